--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -40,7 +40,7 @@
 	instances := map[string]*arrowwalk.Scheduler{}
 	var reply []byte
 	for {
-		batch, err := reader.Read()
+		batch, err := reader.ReadBatch()
 		if err == io.EOF {
 			return nil
 		}
@@ -50,7 +50,7 @@
 		reply, err = answer(reply[:0], batch, instances)
 		failed, isFault := err.(*fault)
 		if isFault {
-			reply = wire.AppendFault(reply[:0], failed.instance, failed.err.Error())
+			reply = wire.AppendFatal(reply[:0], failed.instance, failed.err.Error())
 		} else if err != nil {
 			return err
 		}
@@ -87,7 +87,7 @@
 func gather(batch *wire.Batch, instances map[string]*arrowwalk.Scheduler) ([]*turn, error) {
 	var turns []*turn
 	open := map[string]*turn{}
-	for _, it := range batch.Items {
+	for _, it := range batch.Messages {
 		switch {
 		case it.Settings != nil:
 			s, err := arrowwalk.New(*it.Settings)
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -53,4 +53,4 @@
 }
 
 // nilEvents makes the step of a turn without a scheduler panic.
-func nilEvents() []arrowwalk.Event { return []arrowwalk.Event{&arrowwalk.Timer{}} }
+func nilEvents() []arrowwalk.Event { return []arrowwalk.Event{&arrowwalk.TimerFired{}} }
--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -113,11 +113,11 @@
 // Try makes an attempt (host.Runner).
 func (c *Call) Try(t *host.Try) host.Result {
 	if !c.attempt.Begin(t.Number) {
-		return host.Result{Status: arrowwalk.Moot}
+		return host.Result{Status: arrowwalk.NotSent}
 	}
 	if t.Member.Address == "" {
 		c.Reason = brick.ReasonUnknownBrick
-		return host.Result{Status: arrowwalk.Moot}
+		return host.Result{Status: arrowwalk.NotSent}
 	}
 	c.Node = t.Member
 	q, s := c.request(t), c.sender
--- a/internal/brick/pool.go
+++ b/internal/brick/pool.go
@@ -74,7 +74,7 @@
 // *Failure, and nothing is left to do.
 func (p *Pool) Do(at *Attempt, address string, call *Call, ans *Answer) error {
 	if len(call.Name) > nameMost || len(call.Meta) > codecMost {
-		return fail(arrowwalk.Moot, ReasonBadAnswer, errors.New("name or meta too large"))
+		return fail(arrowwalk.NotSent, ReasonBadAnswer, errors.New("name or meta too large"))
 	}
 	c, err := p.take(at, address, call.Deadline)
 	if err != nil {
@@ -116,7 +116,7 @@
 func (a *Answer) refusal() *Failure {
 	switch {
 	case a.Status == statusFull:
-		return fail(arrowwalk.Full, ReasonFull, nil)
+		return fail(arrowwalk.Overloaded, ReasonFull, nil)
 	case a.Status == 421:
 		return fail(arrowwalk.Unreachable, ReasonWrongBrick, nil)
 	case a.Status >= 500 && a.Status != 507:
--- a/internal/brick/pool_test.go
+++ b/internal/brick/pool_test.go
@@ -44,7 +44,7 @@
 	}{
 		{"served", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", false, arrowwalk.OK, ""},
 		{"not found is an answer", "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.OK, ""},
-		{"full", "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Full, ReasonFull},
+		{"full", "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Overloaded, ReasonFull},
 		{"another brick", "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Unreachable, ReasonWrongBrick},
 		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Failed, ReasonError},
 		{"garbage", "\x00garbage\r\n\r\n", true, arrowwalk.Reset, ReasonBadAnswer},
--- a/internal/emul/hosts.go
+++ b/internal/emul/hosts.go
@@ -76,7 +76,7 @@
 	s.lists = append(s.lists, list{int64(len(s.lists) + 1), nil})
 	l := &s.lists[len(s.lists)-1]
 	for _, b := range s.bricks {
-		if state := s.listed(b); state != arrowwalk.Gone {
+		if state := s.listed(b); state != arrowwalk.Removed {
 			l.nodes = append(l.nodes, arrowwalk.Node{ID: arrowwalk.NodeID(b.Name), Shard: b.Shard, Zone: b.Zone, State: state, Started: arrowwalk.Micros(b.Started)})
 		}
 	}
@@ -109,7 +109,7 @@
 	h.gate = trust.NewGate(10*time.Second, 10*time.Second, 3, len(h.known))
 	if first {
 		h.gate.Offer(trust.Offer{Source: "list", Version: 1, Bricks: len(s.lists[0].nodes)})
-		s.take(h, arrowwalk.ListFull, &s.lists[0])
+		s.take(h, arrowwalk.ListSnapshot, &s.lists[0])
 	} else {
 		s.restore(h)
 		s.tell(h, len(s.lists)-1)
@@ -187,7 +187,7 @@
 	}
 	for _, n := range h.known {
 		if string(n.ID) == b.Name {
-			h.inbox = append(h.inbox, &arrowwalk.NodeList{Kind: arrowwalk.ListChanges, Nodes: []arrowwalk.Node{s.doubted(h, n)}})
+			h.inbox = append(h.inbox, &arrowwalk.NodeList{Kind: arrowwalk.ListDelta, Nodes: []arrowwalk.Node{s.doubted(h, n)}})
 		}
 	}
 }
@@ -197,7 +197,7 @@
 	answer, _ := h.gate.Offer(trust.Offer{Source: "list", Version: l.version, Bricks: len(l.nodes), At: time.Duration(s.now) * time.Microsecond})
 	if answer == trust.Take {
 		h.doubts = nil
-		s.take(h, arrowwalk.ListFull, l)
+		s.take(h, arrowwalk.ListSnapshot, l)
 	}
 }
 
--- a/internal/emul/policy/policy.go
+++ b/internal/emul/policy/policy.go
@@ -142,7 +142,7 @@
 	if e.Kind == arrowwalk.ListFailed {
 		return
 	}
-	if e.Kind != arrowwalk.ListChanges {
+	if e.Kind != arrowwalk.ListDelta {
 		for _, l := range p.shards {
 			l.ready = false
 		}
--- a/internal/emul/sim.go
+++ b/internal/emul/sim.go
@@ -243,7 +243,7 @@
 	b.units += r.units
 	switch b.Arrive(s.now, j, b.rnd.Float64()) {
 	case model.Full:
-		s.answer(b, at, arrowwalk.Full)
+		s.answer(b, at, arrowwalk.Overloaded)
 	case model.Fails:
 		s.answer(b, at, arrowwalk.Failed)
 	case model.Repeat:
@@ -307,7 +307,7 @@
 func (s *Sim) answer(b *brickSim, at *attempt, status arrowwalk.Status) {
 	a := &s.trace.Arrivals[at.arrival]
 	a.Ended = s.now
-	a.Status = map[arrowwalk.Status]int{arrowwalk.OK: 200, arrowwalk.Full: 503, arrowwalk.Failed: 500}[status]
+	a.Status = map[arrowwalk.Status]int{arrowwalk.OK: 200, arrowwalk.Overloaded: 503, arrowwalk.Failed: 500}[status]
 	at.status = status
 	if s.odd.Float64() < s.lossOf[b.number] || s.lost(at.rq.host, b) {
 		return
--- a/internal/emul/troubles.go
+++ b/internal/emul/troubles.go
@@ -129,7 +129,7 @@
 func (s *Sim) listed(b *brickSim) arrowwalk.NodeState {
 	switch {
 	case b.Dead && !b.mute:
-		return arrowwalk.Gone
+		return arrowwalk.Removed
 	case s.shards[b.Shard] == b.number:
 		return arrowwalk.Ready
 	}
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -58,7 +58,7 @@
 
 // listed tells the desk of discovery's word.
 func (g *Gateway) listed(members []host.Member) {
-	states := map[arrowwalk.NodeState]drains.State{arrowwalk.Ready: drains.Ready, arrowwalk.Draining: drains.Draining, arrowwalk.Gone: drains.Gone}
+	states := map[arrowwalk.NodeState]drains.State{arrowwalk.Ready: drains.Ready, arrowwalk.Draining: drains.Draining, arrowwalk.Removed: drains.Gone}
 	list := make([]drains.Brick, 0, len(members))
 	for _, m := range members {
 		list = append(list, drains.Brick{Name: string(m.ID), Shard: m.Shard, State: states[m.State], Started: int64(m.Started)})
@@ -156,7 +156,7 @@
 	for _, st := range g.desk.Statuses() {
 		m := members[st.Brick]
 		b := control.BrickStatus{Status: st, Brick: figures[st.Brick], Address: m.Address, Zone: m.Zone, Trust: levels[st.Brick],
-			Requests: out[st.Brick], UnitsOut: units[st.Brick], Cap: views[m.ID].Cap, QueueUS: int64(views[m.ID].Queue)}
+			Requests: out[st.Brick], UnitsOut: units[st.Brick], Cap: views[m.ID].MaxUnitsInFlight, QueueUS: int64(views[m.ID].QueueDelay)}
 		if b.Brick.Name == "" {
 			b.Brick = meters.Brick{Name: st.Brick, Util: -1}
 		}
@@ -176,7 +176,7 @@
 	var out []control.VolumeStatus
 	for _, v := range g.desk.Meters.Volumes() {
 		view := views[s3.VolumeID(v.Name)]
-		out = append(out, control.VolumeStatus{Volume: v, Quadrant: view.Quadrant, Rate: view.Rate, Measured: view.Measured, Reserve: view.Reserve})
+		out = append(out, control.VolumeStatus{Volume: v, Quadrant: view.Quadrant, Rate: view.TokenRate, Measured: view.ServedRate, Reserve: view.ReserveUnits})
 	}
 	return out
 }
--- a/internal/host/engine.go
+++ b/internal/host/engine.go
@@ -38,7 +38,7 @@
 	e.tokens = e.wheel.Advance(int64(now), e.tokens[:0])
 	e.events = e.events[:0]
 	for _, token := range e.tokens {
-		e.events = append(e.events, &arrowwalk.Timer{Token: token})
+		e.events = append(e.events, &arrowwalk.TimerFired{Token: token})
 	}
 	e.events = append(e.events, events...)
 	actions := e.scheduler.Step(now, e.events...)
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -250,14 +250,14 @@
 
 func (h *Host) try(t *Task, s signal) Result {
 	if t.over.Load() || !time.Now().Before(s.until) { // the final word came before the attempt began, or comes now
-		return Result{Status: arrowwalk.Moot}
+		return Result{Status: arrowwalk.NotSent}
 	}
 	return t.Runner.Try(&Try{Request: t.request.ID, Number: s.number, Member: s.member, Until: s.until})
 }
 
 // Stream tells that the answer to t has begun: its deadline no longer counts.
 func (h *Host) Stream(t *Task, number int, node arrowwalk.NodeID) {
-	h.post(message{event: &arrowwalk.StreamStart{Request: t.request.ID, Attempt: number, Node: node}})
+	h.post(message{event: &arrowwalk.StreamStarted{Request: t.request.ID, Attempt: number, Node: node}})
 }
 
 // Abandon tells that t's client has gone; false: Do has not begun with t, and
@@ -355,11 +355,11 @@
 			t.until = l.until(t.until)
 		}
 	case *arrowwalk.NodeList:
-		if e.Kind == arrowwalk.ListFull || e.Kind == arrowwalk.ListStored {
+		if e.Kind == arrowwalk.ListSnapshot || e.Kind == arrowwalk.ListStored {
 			clear(l.members)
 		}
 		for _, member := range m.members {
-			if member.State == arrowwalk.Gone {
+			if member.State == arrowwalk.Removed {
 				delete(l.members, member.ID)
 			} else {
 				l.members[member.ID] = member
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -127,7 +127,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.Nodes(arrowwalk.ListFull, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
+		h.Nodes(arrowwalk.ListSnapshot, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
 		r := &runner{results: c.results, block: make(chan struct{})}
 		began := time.Now()
 		v := h.Do(&Task{Class: c.class, Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 1, Shard: c.shard, Until: began.Add(400 * time.Millisecond), Runner: r})
@@ -151,7 +151,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.Nodes(arrowwalk.ListFull, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
+	h.Nodes(arrowwalk.ListSnapshot, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
 	var wg sync.WaitGroup
 	var ends [Gone + 1]atomic.Int32
 	task := func(results []Result, abandon bool, until time.Duration) {
@@ -206,7 +206,7 @@
 		t.Fatal(err)
 	}
 	defer h.Close()
-	h.Nodes(arrowwalk.ListFull, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
+	h.Nodes(arrowwalk.ListSnapshot, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
 	r := &runner{block: make(chan struct{})}
 	tk := &Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 0.1, Until: time.Now().Add(time.Minute), Runner: r, Outlive: true}
 	if h.Abandon(tk) {
@@ -237,7 +237,7 @@
 		b.Fatal(err)
 	}
 	defer h.Close()
-	h.Nodes(arrowwalk.ListFull, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
+	h.Nodes(arrowwalk.ListSnapshot, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
 	ok := []Result{{Status: arrowwalk.OK, Closed: true}}
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
@@ -260,7 +260,7 @@
 				b.Fatal(err)
 			}
 			defer func() { h.Close() }()
-			h.Nodes(arrowwalk.ListFull, 1, members)
+			h.Nodes(arrowwalk.ListSnapshot, 1, members)
 			ok := []Result{{Status: arrowwalk.OK, Closed: true}}
 			for i := 0; b.Loop(); i++ {
 				switch what {
@@ -269,9 +269,9 @@
 					if h, err = New(Options{Settings: settings()}); err != nil {
 						b.Fatal(err)
 					}
-					h.Nodes(arrowwalk.ListFull, int64(i), members)
+					h.Nodes(arrowwalk.ListSnapshot, int64(i), members)
 				case "change":
-					h.Nodes(arrowwalk.ListChanges, int64(i), members[i%5000:i%5000+1])
+					h.Nodes(arrowwalk.ListDelta, int64(i), members[i%5000:i%5000+1])
 				default:
 					h.Do(&Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 0.01, Shard: i % 5000, Until: time.Now().Add(time.Second), Runner: &runner{results: ok}})
 				}
--- a/internal/host/shutdown_test.go
+++ b/internal/host/shutdown_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	defer h.Close()
-	h.Nodes(arrowwalk.ListFull, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
+	h.Nodes(arrowwalk.ListSnapshot, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
 	var wg sync.WaitGroup
 	do := func(r *runner) {
 		v := h.Do(&Task{Class: 1, Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 1, Until: time.Now().Add(time.Minute), Runner: r})
--- a/internal/host/stats.go
+++ b/internal/host/stats.go
@@ -7,7 +7,7 @@
 	"arrowwalk"
 )
 
-const statuses = int(arrowwalk.Moot) + 1
+const statuses = int(arrowwalk.NotSent) + 1
 
 // counters are what the host counts; each has one writer or is atomic.
 type counters struct {
--- a/internal/host/still_test.go
+++ b/internal/host/still_test.go
@@ -28,7 +28,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.Nodes(arrowwalk.ListFull, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
+		h.Nodes(arrowwalk.ListSnapshot, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
 		if _, ok := h.Stood(time.Minute); ok {
 			t.Error("a stall before there was one")
 		}
--- a/internal/membership/follow_test.go
+++ b/internal/membership/follow_test.go
@@ -49,11 +49,11 @@
 
 func (h *teller) Nodes(kind arrowwalk.ListKind, version int64, members []host.Member) {
 	h.mu.Lock()
-	if kind != arrowwalk.ListChanges {
+	if kind != arrowwalk.ListDelta {
 		clear(h.state)
 	}
 	for _, m := range members {
-		if m.State == arrowwalk.Gone {
+		if m.State == arrowwalk.Removed {
 			delete(h.state, m.ID)
 		} else {
 			h.state[m.ID] = m
--- a/internal/membership/keeper.go
+++ b/internal/membership/keeper.go
@@ -250,7 +250,7 @@
 	k.keep(o)
 	k.live, k.doubts = true, nil
 	k.doubt.Store(false)
-	k.tell(arrowwalk.ListFull, o.list.Version, o.list.Members(k.opt.Shape))
+	k.tell(arrowwalk.ListSnapshot, o.list.Version, o.list.Members(k.opt.Shape))
 }
 
 // keep makes an accepted list the one to be kept, and learns from what changed.
@@ -367,7 +367,7 @@
 
 func (k *Keeper) tell(kind arrowwalk.ListKind, version int64, members []host.Member) {
 	k.known.Store(true)
-	if kind != arrowwalk.ListChanges {
+	if kind != arrowwalk.ListDelta {
 		k.members = map[arrowwalk.NodeID]host.Member{}
 	}
 	for _, m := range members {
@@ -383,12 +383,12 @@
 		k.opt.Listed(all)
 	}
 	k.pass(kind, version, members)
-	if k.opt.Reached == nil || kind == arrowwalk.ListChanges {
+	if k.opt.Reached == nil || kind == arrowwalk.ListDelta {
 		return
 	}
 	var addresses []string
 	for _, m := range members {
-		if m.State != arrowwalk.Gone {
+		if m.State != arrowwalk.Removed {
 			addresses = append(addresses, m.Address)
 		}
 	}
@@ -453,7 +453,7 @@
 	for _, m := range k.members {
 		members = append(members, m)
 	}
-	k.pass(arrowwalk.ListChanges, k.version, members)
+	k.pass(arrowwalk.ListDelta, k.version, members)
 }
 
 // pass tells the host what is new to it. A complete list is passed on as its
@@ -463,7 +463,7 @@
 	members = slices.Clone(members)
 	k.overlay(members)
 	before := k.told
-	if kind != arrowwalk.ListChanges {
+	if kind != arrowwalk.ListDelta {
 		k.told = make(map[arrowwalk.NodeID]host.Member, len(members))
 	}
 	var changes []host.Member
@@ -473,20 +473,20 @@
 		}
 		k.told[m.ID] = m
 	}
-	if kind != arrowwalk.ListChanges && len(before) == 0 {
+	if kind != arrowwalk.ListDelta && len(before) == 0 {
 		k.opt.Host.Nodes(kind, version, members)
 		return
 	}
-	if kind != arrowwalk.ListChanges {
+	if kind != arrowwalk.ListDelta {
 		for id, old := range before {
 			if _, there := k.told[id]; !there {
-				old.State = arrowwalk.Gone
+				old.State = arrowwalk.Removed
 				changes = append(changes, old)
 			}
 		}
 	}
 	if len(changes) > 0 {
-		k.opt.Host.Nodes(arrowwalk.ListChanges, version, changes)
+		k.opt.Host.Nodes(arrowwalk.ListDelta, version, changes)
 	}
 }
 
@@ -515,7 +515,7 @@
 	}
 	e, _ := k.doubts.Entry(v.name)
 	k.log.Info("brick's trust changed", "brick", e.Name, "level", e.Level.String(), "started", e.Started)
-	k.tell(arrowwalk.ListChanges, k.kept.Version, []host.Member{k.member(&e)})
+	k.tell(arrowwalk.ListDelta, k.kept.Version, []host.Member{k.member(&e)})
 	if e.Level == trust.Fresh {
 		k.noteConfirmed(e)
 	}
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -37,7 +37,7 @@
 )
 
 var states = map[string]arrowwalk.NodeState{
-	"": arrowwalk.Ready, Ready: arrowwalk.Ready, Draining: arrowwalk.Draining, Gone: arrowwalk.Gone,
+	"": arrowwalk.Ready, Ready: arrowwalk.Ready, Draining: arrowwalk.Draining, Gone: arrowwalk.Removed,
 }
 
 // Shape is what a list must fit into.
--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -30,7 +30,7 @@
 	}
 	z := NewZones([]string{"a", "b"})
 	want := host.Member{Address: "10.1.0.18:8000", Zone: "b", Node: arrowwalk.Node{ID: "s-5be2a07c", Shard: 3, Zone: 1, Started: 1_700_000_000_123_000}}
-	if got := l.Members(z); len(got) != 1 || got[0] != want || l.Kind() != arrowwalk.ListFull {
+	if got := l.Members(z); len(got) != 1 || got[0] != want || l.Kind() != arrowwalk.ListSnapshot {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	if z.Number("new") != 2 || z.Number("newer") != 3 || z.Number("new") != 2 {
@@ -129,11 +129,11 @@
 	defer f.Stop()
 	c.await(t, fmt.Sprint(arrowwalk.ListStored, "@7 old:0"))
 	book.Tell(entry("new", "active"), entry("old", "leaving"))
-	c.await(t, fmt.Sprint(arrowwalk.ListChanges, "@8 new:0 old:1"))
+	c.await(t, fmt.Sprint(arrowwalk.ListDelta, "@8 new:0 old:1"))
 	agent.Mute(true)
 	book.Tell(entry("old", "left"))
 	agent.Mute(false) // cuts the watch: what was missed comes first
-	c.await(t, fmt.Sprint(arrowwalk.ListChanges, "@9 old:2"))
+	c.await(t, fmt.Sprint(arrowwalk.ListDelta, "@9 old:2"))
 	other, err := standin.NewAgent(book)
 	if err != nil {
 		t.Fatal(err)
@@ -144,7 +144,7 @@
 	}
 	agent.Retire()
 	book.Tell(entry("last", "active"))
-	c.await(t, fmt.Sprint(arrowwalk.ListChanges, "@10 last:0"))
+	c.await(t, fmt.Sprint(arrowwalk.ListDelta, "@10 last:0"))
 	f.Stop()
 	if len(c.addr) != 2 || len(f.book) != 2 {
 		t.Errorf("addresses %v, bricks %v: what left is remembered", c.addr, f.book)
--- a/internal/platform/discovery/list.go
+++ b/internal/platform/discovery/list.go
@@ -39,7 +39,7 @@
 )
 
 var states = map[string]arrowwalk.NodeState{
-	"active": arrowwalk.Ready, "leaving": arrowwalk.Draining, "left": arrowwalk.Gone,
+	"active": arrowwalk.Ready, "leaving": arrowwalk.Draining, "left": arrowwalk.Removed,
 }
 
 // Parse reads a list and checks it; the error names the field at fault.
@@ -92,7 +92,7 @@
 	if !ok {
 		return fmt.Errorf("status: %.40q: must be active, leaving or left", e.Status)
 	}
-	if h, p, err := net.SplitHostPort(e.Address); state != arrowwalk.Gone && (err != nil || h == "" || p == "") {
+	if h, p, err := net.SplitHostPort(e.Address); state != arrowwalk.Removed && (err != nil || h == "" || p == "") {
 		return fmt.Errorf("address: %.80q: must be HOST:PORT", e.Address)
 	}
 	if e.Group < 0 || e.Group >= groupMax {
@@ -148,9 +148,9 @@
 // Kind returns what the module is told that the list is.
 func (l *List) Kind() arrowwalk.ListKind {
 	if l.Snapshot {
-		return arrowwalk.ListFull
+		return arrowwalk.ListSnapshot
 	}
-	return arrowwalk.ListChanges
+	return arrowwalk.ListDelta
 }
 
 // book keeps which addresses bricks have, so that connections to those that
@@ -162,7 +162,7 @@
 		clear(b)
 	}
 	for i := range l.Endpoints {
-		if e := &l.Endpoints[i]; states[e.Status] == arrowwalk.Gone {
+		if e := &l.Endpoints[i]; states[e.Status] == arrowwalk.Removed {
 			delete(b, e.Name)
 		} else {
 			b[e.Name] = e.Address
--- a/internal/platform/discovery/watch_test.go
+++ b/internal/platform/discovery/watch_test.go
@@ -110,7 +110,7 @@
 	w := s.next()
 	w.begin()
 	w.list(8, true, "a", "active")
-	c.await(t, fmt.Sprint(arrowwalk.ListFull, "@8 a:0"))
+	c.await(t, fmt.Sprint(arrowwalk.ListSnapshot, "@8 a:0"))
 	w.say("{\n \"index\": 9, \"snapshot\": true,\n")
 	w.nc.Close()
 	w = s.next()
@@ -123,7 +123,7 @@
 	w = s.next()
 	w.begin()
 	w.list(10, true, "b", "active")
-	c.await(t, fmt.Sprint(arrowwalk.ListFull, "@10 b:0"))
+	c.await(t, fmt.Sprint(arrowwalk.ListSnapshot, "@10 b:0"))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.addr) > 1 {
@@ -182,18 +182,18 @@
 	old := before.next()
 	old.begin()
 	old.list(8, true, "a", "active")
-	c.await(t, fmt.Sprint(arrowwalk.ListFull, "@8 a:0"))
+	c.await(t, fmt.Sprint(arrowwalk.ListSnapshot, "@8 a:0"))
 	if !f.Move(after.ln.Addr().String()) {
 		t.Fatal("not moved")
 	}
 	next := after.next() // it has asked, and is not answered
 	old.list(9, false, "a", "leaving")
-	c.await(t, fmt.Sprint(arrowwalk.ListChanges, "@9 a:1"))
+	c.await(t, fmt.Sprint(arrowwalk.ListDelta, "@9 a:1"))
 	next.begin()
 	next.list(8, false, "a", "active") // older than what is known
 	old.over()
 	next.list(10, false, "a", "left")
-	c.await(t, fmt.Sprint(arrowwalk.ListChanges, "@10 a:2"))
+	c.await(t, fmt.Sprint(arrowwalk.ListDelta, "@10 a:2"))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.list) != 4 {
@@ -213,7 +213,7 @@
 	w := last.next()
 	w.begin()
 	w.list(8, true, "z", "active")
-	c.await(t, fmt.Sprint(arrowwalk.ListFull, "@8 z:0"))
+	c.await(t, fmt.Sprint(arrowwalk.ListSnapshot, "@8 z:0"))
 	<-f.Answered()
 	select {
 	case <-last.calls:
--- a/internal/platform/entry/race_test.go
+++ b/internal/platform/entry/race_test.go
@@ -111,7 +111,7 @@
 			}
 			return nc, err
 		}})
-	h.Nodes(arrowwalk.ListFull, 1, []host.Member{{Node: arrowwalk.Node{ID: "b"}, Address: r.brick.Addr().String()}})
+	h.Nodes(arrowwalk.ListSnapshot, 1, []host.Member{{Node: arrowwalk.Node{ID: "b"}, Address: r.brick.Addr().String()}})
 	r.ln = &seenListener{listen(t).(*net.TCPListener), r.seen, gate, make(chan struct{}, 1)}
 	r.s = Start(r.ln, Options{Host: h, Sender: sender, Settings: set, Log: slog.New(slog.DiscardHandler), Max: 50, Easy: 40, BodyBytes: 1 << 20})
 	t.Cleanup(func() {
--- a/internal/platform/exit/exit.go
+++ b/internal/platform/exit/exit.go
@@ -107,7 +107,7 @@
 // Try makes an attempt (host.Runner).
 func (c *Call) Try(t *host.Try) host.Result {
 	if !c.attempt.Begin(t.Number) || t.Member.Address == "" {
-		return host.Result{Status: arrowwalk.Moot}
+		return host.Result{Status: arrowwalk.NotSent}
 	}
 	s, at := c.sender, &c.attempt.Attempt
 	began := time.Now()
@@ -117,13 +117,13 @@
 	}
 	if !at.Hold(nc.Conn, t.Until) {
 		s.pool.Put(nc)
-		return host.Result{Status: arrowwalk.Moot}
+		return host.Result{Status: arrowwalk.NotSent}
 	}
 	if c.Left != nil && c.Left() { // perhaps while the connection came up
 		at.Release()
 		nc.SetDeadline(time.Time{})
 		s.pool.Put(nc)
-		return host.Result{Status: arrowwalk.Moot}
+		return host.Result{Status: arrowwalk.NotSent}
 	}
 	r, clean := c.exchange(nc, t.Until, began)
 	if at.Release() && clean {
@@ -262,7 +262,7 @@
 		return arrowwalk.OK
 	case 503, 504:
 		if head.Fields.Get(headerNotRun) == "1" {
-			return arrowwalk.Full
+			return arrowwalk.Overloaded
 		}
 	}
 	return arrowwalk.Failed
--- a/internal/platform/exit/exit_test.go
+++ b/internal/platform/exit/exit_test.go
@@ -77,8 +77,8 @@
 		{"a second copy", good + good, false, arrowwalk.OK, false},
 		{"noise behind", good + "noise", false, arrowwalk.OK, false},
 		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Failed, true},
-		{"turned away", "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Full, true},
-		{"over already", "HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Full, true},
+		{"turned away", "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Overloaded, true},
+		{"over already", "HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Overloaded, true},
 		{"503 that may have run", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Failed, true},
 		{"noise", "\x16\x03\x01", false, arrowwalk.Failed, false},
 		{"no head", "HTTP/1.1 200 OK\r\n\x00\x01\r\n\r\nok", false, arrowwalk.Failed, false},
@@ -116,7 +116,7 @@
 	if r := try(newCall(s), dead, time.Second); r.Status != arrowwalk.Unreachable {
 		t.Errorf("nobody listens: %+v", r)
 	}
-	if r := try(newCall(s), "", time.Second); r.Status != arrowwalk.Moot {
+	if r := try(newCall(s), "", time.Second); r.Status != arrowwalk.NotSent {
 		t.Errorf("no address: %+v", r)
 	}
 	if open, idle, _ := s.Counts(); open != 0 || idle != 0 {
@@ -170,7 +170,7 @@
 		t.Errorf("aborted while it waits: %+v", r)
 	}
 	call.Abort(1)
-	if r := call.Try(&host.Try{Number: 1, Member: host.Member{Address: addr}, Until: time.Now().Add(time.Second)}); r.Status != arrowwalk.Moot {
+	if r := call.Try(&host.Try{Number: 1, Member: host.Member{Address: addr}, Until: time.Now().Add(time.Second)}); r.Status != arrowwalk.NotSent {
 		t.Errorf("aborted before it began: %+v", r)
 	}
 	served, _ := brick(t, false, good)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -114,7 +114,7 @@
 func (*known) UnmarshalJSON([]byte) error { return nil }
 
 var (
-	repeats = map[string]arrowwalk.Repeat{
+	repeats = map[string]arrowwalk.RepeatPolicy{
 		"read_like": arrowwalk.Safe, "idempotency_key": arrowwalk.Keyed, "non_idempotent": arrowwalk.Unsafe,
 	}
 	scopes = map[string]arrowwalk.Scope{
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -16,9 +16,9 @@
 	"arrowwalk/internal/settings"
 )
 
-// Item is one event line: an instance's start (Settings set), its end (Stop)
+// Message is one event line: an instance's start (Settings set), its end (Stop)
 // or an event. A Skip item holds nothing that the decisions use.
-type Item struct {
+type Message struct {
 	Line     int
 	Instance string
 	Settings *arrowwalk.Settings
@@ -29,8 +29,8 @@
 
 // Batch is what happened at one time.
 type Batch struct {
-	Now   arrowwalk.Micros
-	Items []Item
+	Now      arrowwalk.Micros
+	Messages []Message
 }
 
 // Reader reads batches.
@@ -62,8 +62,8 @@
 
 func (r *Reader) fail(err error) error { return fmt.Errorf("line %d: %w", r.line, err) }
 
-// Read returns the next batch, or io.EOF at the end of the input.
-func (r *Reader) Read() (*Batch, error) {
+// ReadBatch returns the next batch, or io.EOF at the end of the input.
+func (r *Reader) ReadBatch() (*Batch, error) {
 	line, err := r.next()
 	for err == nil && line == "" {
 		line, err = r.next()
@@ -94,14 +94,14 @@
 		if err != nil {
 			return nil, err
 		}
-		b.Items = append(b.Items, item)
+		b.Messages = append(b.Messages, item)
 	}
 }
 
 // item reads one event line, and the entry lines that belong to it.
-func (r *Reader) item(line string) (Item, error) {
+func (r *Reader) item(line string) (Message, error) {
 	f := newFields(line)
-	it := Item{Line: r.line, Instance: f.instance()}
+	it := Message{Line: r.line, Instance: f.instance()}
 	list, entries := (*arrowwalk.NodeList)(nil), 0
 	switch f.tag {
 	case "OPEN_INSTANCE":
@@ -124,9 +124,9 @@
 	case "RETIRE":
 		it.Stop = true
 	case "DUE":
-		it.Event = &arrowwalk.Timer{Token: f.natural()}
+		it.Event = &arrowwalk.TimerFired{Token: f.natural()}
 	case "UNDER_WAY":
-		ev := &arrowwalk.StreamStart{Request: f.request(), Attempt: f.count()}
+		ev := &arrowwalk.StreamStarted{Request: f.request(), Attempt: f.count()}
 		f.micros()
 		ev.Node = f.node()
 		it.Event = ev
@@ -214,9 +214,9 @@
 func listKind(f *fields) arrowwalk.ListKind {
 	switch w := f.word(); w {
 	case "diff":
-		return arrowwalk.ListChanges
+		return arrowwalk.ListDelta
 	case "snapshot":
-		return arrowwalk.ListFull
+		return arrowwalk.ListSnapshot
 	case "disk":
 		return arrowwalk.ListStored
 	case "error":
@@ -234,10 +234,10 @@
 	case "fading":
 		return arrowwalk.Draining
 	case "off":
-		return arrowwalk.Gone
+		return arrowwalk.Removed
 	default:
 		f.bad("health", w)
-		return arrowwalk.Gone
+		return arrowwalk.Removed
 	}
 }
 
@@ -394,7 +394,7 @@
 	case 500:
 		return arrowwalk.Failed
 	case 503:
-		return arrowwalk.Full
+		return arrowwalk.Overloaded
 	case 504:
 		return arrowwalk.TimedOut
 	case 502:
@@ -404,7 +404,7 @@
 	case 499:
 		return arrowwalk.Cancelled
 	case 410:
-		return arrowwalk.Moot
+		return arrowwalk.NotSent
 	}
 	return arrowwalk.Unknown
 }
@@ -441,9 +441,9 @@
 	return out, nil
 }
 
-// AppendFault appends the line that ends the day, because the decision code
+// AppendFatal appends the line that ends the day, because the decision code
 // has failed for that reason.
-func AppendFault(out []byte, instance, reason string) []byte {
+func AppendFatal(out []byte, instance, reason string) []byte {
 	return fmt.Appendf(out, "FATAL\t%s\t%s\n", instance, oneLine(reason))
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -19,7 +19,7 @@
 
 func read(t *testing.T, text string) (*Batch, error) {
 	t.Helper()
-	return NewReader(strings.NewReader(text)).Read()
+	return NewReader(strings.NewReader(text)).ReadBatch()
 }
 
 func TestReadEvents(t *testing.T) {
@@ -42,10 +42,10 @@
 		{"DONE\thost-3\t156\t0\tbrick_a\t777\t1\t0\t-\t-\t-", &arrowwalk.Outcome{
 			Attempt: arrowwalk.Attempt{Request: 156, Node: "brick_a"}, Status: arrowwalk.Unknown, Latency: 1}},
 		{"PROBED\thost-3\t900\tbrick_a\t503\t4", &arrowwalk.ProbeResult{
-			Node: "brick_a", Status: arrowwalk.Full, Latency: 900, Load: []float64{4}}},
-		{"UNDER_WAY\thost-3\t156\t1\t500\tbrick_a", &arrowwalk.StreamStart{Request: 156, Attempt: 1, Node: "brick_a"}},
+			Node: "brick_a", Status: arrowwalk.Overloaded, Latency: 900, Load: []float64{4}}},
+		{"UNDER_WAY\thost-3\t156\t1\t500\tbrick_a", &arrowwalk.StreamStarted{Request: 156, Attempt: 1, Node: "brick_a"}},
 		{"ABANDONED\thost-3\t156", &arrowwalk.Abandoned{Request: 156}},
-		{"DUE\thost-3\t77", &arrowwalk.Timer{Token: 77}},
+		{"DUE\thost-3\t77", &arrowwalk.TimerFired{Token: 77}},
 	}
 	for _, c := range cases {
 		b, err := read(t, "TICK\t8412250\n"+c.lines+"\nEOF_BATCH\n")
@@ -53,9 +53,9 @@
 			t.Errorf("%q: %v", c.lines, err)
 			continue
 		}
-		if b.Now != 8412250 || len(b.Items) != 1 || b.Items[0].Instance != "host-3" ||
-			!reflect.DeepEqual(b.Items[0].Event, c.want) {
-			t.Errorf("%q: got %+v", c.lines, b.Items[0].Event)
+		if b.Now != 8412250 || len(b.Messages) != 1 || b.Messages[0].Instance != "host-3" ||
+			!reflect.DeepEqual(b.Messages[0].Event, c.want) {
+			t.Errorf("%q: got %+v", c.lines, b.Messages[0].Event)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := b.Items[0].Settings
+	s := b.Messages[0].Settings
 	want := arrowwalk.Settings{
 		Seed: 99, Host: 1, Hosts: 3, Zone: 2, Tick: 2000, Subscribe: true, MaxAttempts: 4, MaxWait: 500000,
 		MeanUnits: 2, MostUnits: 6, ShareWorth: 0.3, SpareWorth: 0.05, Cancel: true,
@@ -78,7 +78,7 @@
 	if !reflect.DeepEqual(*s, want) {
 		t.Errorf("got  %+v\nwant %+v", *s, want)
 	}
-	if !b.Items[1].Stop {
+	if !b.Messages[1].Stop {
 		t.Error("RETIRE is not a stop")
 	}
 }
--- a/scheduler.go
+++ b/scheduler.go
@@ -93,9 +93,9 @@
 		s.accept(e)
 	case *Outcome:
 		s.outcome(e)
-	case *Timer:
+	case *TimerFired:
 		s.ring(e.Token)
-	case *StreamStart:
+	case *StreamStarted:
 		if r := s.requests[e.Request]; r != nil {
 			r.stream = true
 		}
@@ -157,11 +157,11 @@
 	if l.Kind != ListStored {
 		s.wait = listFirst
 	}
-	if l.Kind != ListChanges {
+	if l.Kind != ListDelta {
 		for _, sh := range s.shards {
 			n := sh.node
 			if n != nil && !slices.ContainsFunc(l.Nodes, func(entry Node) bool { return entry.ID == n.ID }) {
-				n.State = Gone
+				n.State = Removed
 			}
 		}
 	}
@@ -174,7 +174,7 @@
 func (s *Scheduler) learnNode(entry Node) {
 	n := s.nodes[entry.ID]
 	if n == nil {
-		if entry.State == Gone {
+		if entry.State == Removed {
 			return
 		}
 		n = &node{Node: Node{Started: -1}, cap: capFirst * s.set.MeanUnits}
@@ -597,11 +597,11 @@
 	if !o.Status.NeverRan() && r.ran == nil {
 		r.ran = a
 	}
-	if o.Status == Moot && len(r.attempts) == 1 { // a moot send draws nothing
+	if o.Status == NotSent && len(r.attempts) == 1 { // a moot send draws nothing
 		r.drawn = false
 		r.vol.store += r.Units
 	}
-	if t := r.turn; t != nil && o.Status.MayRunOn() {
+	if t := r.turn; t != nil && o.Status.MayStillRun() {
 		t.rest = max(t.rest, s.now+s.set.Rules.OrderGap)
 	}
 	if sh := s.shard(a.node.Shard); sh != nil {
@@ -640,7 +640,7 @@
 		}
 		s.cost[r.Class] = cost + gain*(per-cost)
 		s.sample(n, float64(o.Latency)-s.own(r))
-	case Full, Unreachable:
+	case Overloaded, Unreachable:
 		s.sample(n, max(n.queue, float64(s.tightest)))
 	case Reset, TimedOut, Cancelled:
 		if a.sent > n.heard { // not overtaken: the node is slow, the answer isn't lost
@@ -900,7 +900,7 @@
 		sh.flows = slices.DeleteFunc(sh.flows, func(f *flow) bool { return idle(f.vol) })
 	}
 	for id, n := range s.nodes {
-		if n.State == Gone && n.out == 0 {
+		if n.State == Removed && n.out == 0 {
 			delete(s.nodes, id)
 		}
 	}
--- a/scheduler_test.go
+++ b/scheduler_test.go
@@ -101,7 +101,7 @@
 		var events []Event
 		for _, token := range due {
 			delete(g.timers, token)
-			events = append(events, &Timer{Token: token})
+			events = append(events, &TimerFired{Token: token})
 		}
 		if events != nil {
 			g.step(events...)
@@ -170,7 +170,7 @@
 			if g.sent[1] > 0 {
 				g.end(1, TimedOut) // a late outcome changes nothing
 			}
-			g.step(&Timer{Token: tokenRequest + 1}, &Abandoned{Request: 1})
+			g.step(&TimerFired{Token: tokenRequest + 1}, &Abandoned{Request: 1})
 			g.want(c.want...)
 			if len(g.s.requests) != 0 {
 				t.Error("the request is still held")
@@ -189,7 +189,7 @@
 		{0, Failed, 0, "send 1"}, {0, Reset, 0, "send 1"}, {0, Unknown, 0, "send 1"}, {0, Cancelled, 0, "send 1"},
 		{1, Reset, 0, "send 1"}, {1, Reset, 1100 * ms, "fail 1"}, {1, Failed, 0, "send 1"},
 		{2, Failed, 0, "fail 1"}, {2, Reset, 0, "fail 1"}, {2, TimedOut, 0, "fail 1"}, {2, Unknown, 0, "fail 1"},
-		{2, Cancelled, 0, "fail 1"}, {2, Full, 0, "send 1"}, {2, Unreachable, 0, "send 1"}, {2, Moot, 0, "send 1"},
+		{2, Cancelled, 0, "fail 1"}, {2, Overloaded, 0, "send 1"}, {2, Unreachable, 0, "send 1"}, {2, NotSent, 0, "send 1"},
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprint(c.class, c.status, c.wait), func(t *testing.T) {
@@ -216,7 +216,7 @@
 		g := newRig(t, set)
 		g.ask(class(1))
 		// The node is replaced by another of the same shard.
-		g.step(&NodeList{Kind: ListChanges, Nodes: []Node{{ID: "a", State: Gone}, {ID: "b", Zone: c.zone}}})
+		g.step(&NodeList{Kind: ListDelta, Nodes: []Node{{ID: "a", State: Removed}, {ID: "b", Zone: c.zone}}})
 		g.end(1, Reset)
 		g.run(100 * ms)
 		g.want("send 1", c.want)
@@ -225,9 +225,9 @@
 
 func TestDrainingNodeGetsNothing(t *testing.T) {
 	for _, news := range []*NodeList{
-		{Kind: ListChanges, Nodes: []Node{{ID: "a", State: Draining}}},
-		{Kind: ListChanges, Nodes: []Node{{ID: "a", State: Gone}}},
-		{Kind: ListFull, Nodes: []Node{{ID: "b", Shard: 1}}},
+		{Kind: ListDelta, Nodes: []Node{{ID: "a", State: Draining}}},
+		{Kind: ListDelta, Nodes: []Node{{ID: "a", State: Removed}}},
+		{Kind: ListSnapshot, Nodes: []Node{{ID: "b", Shard: 1}}},
 	} {
 		g := newRig(t, settings())
 		g.step(news)
@@ -235,7 +235,7 @@
 		g.run(300 * ms)
 		g.want()
 		// It returns, as lists may also go back in time.
-		g.step(&NodeList{Kind: ListChanges, Nodes: []Node{{ID: "a"}}})
+		g.step(&NodeList{Kind: ListDelta, Nodes: []Node{{ID: "a"}}})
 		g.want("send 1")
 	}
 }
@@ -256,7 +256,7 @@
 }
 
 func TestColdNodeGetsThisHostsPart(t *testing.T) {
-	fresh := func(g *rig) { g.step(&NodeList{Kind: ListChanges, Nodes: []Node{{ID: "a", Started: g.now}}}) }
+	fresh := func(g *rig) { g.step(&NodeList{Kind: ListDelta, Nodes: []Node{{ID: "a", Started: g.now}}}) }
 	cases := []struct {
 		name     string
 		start    func(*rig)
@@ -266,12 +266,12 @@
 		{"just started", fresh, 0, 8, 10},
 		{"half warm", fresh, 6 * second, 20, 27},
 		{"warm", fresh, 11 * second, 60, 1e9},
-		{"known for long", func(g *rig) { g.step(&NodeList{Kind: ListFull, Nodes: []Node{{ID: "a"}}}) }, 0, 81, 1e9},
+		{"known for long", func(g *rig) { g.step(&NodeList{Kind: ListSnapshot, Nodes: []Node{{ID: "a"}}}) }, 0, 81, 1e9},
 		{"old list after a restart", func(*rig) {}, 0, 81, 1e9},
 		{"full is an answer", func(g *rig) {
 			g.run(4 * second)
 			for range 2 {
-				g.end(g.ask(nil), Full)
+				g.end(g.ask(nil), Overloaded)
 				g.run(3 * second)
 			}
 		}, 0, 81, 1e9},
@@ -299,7 +299,7 @@
 		set := settings()
 		set.Hosts, set.Seed, set.Rules.ColdUnits = hosts, uint64(i), 5
 		g := newRig(t, set)
-		g.step(&NodeList{Kind: ListChanges, Nodes: []Node{{ID: "a", Started: g.now}}})
+		g.step(&NodeList{Kind: ListDelta, Nodes: []Node{{ID: "a", Started: g.now}}})
 		first += flood(g, 990*ms, nil)
 		total += flood(g, 9*second, nil)
 	}
@@ -322,7 +322,7 @@
 		g.s.ended -= intervalSpan
 		g.s.interval()
 	}
-	g.step(&NodeList{Kind: ListChanges, Nodes: []Node{{ID: "a", State: Gone}, {ID: "b", Started: g.now}}})
+	g.step(&NodeList{Kind: ListDelta, Nodes: []Node{{ID: "a", State: Removed}, {ID: "b", Started: g.now}}})
 	n := g.s.shards[0].node
 	part, cold := g.s.coldPart(n)
 	if most := set.Rules.ColdMultiple * set.Rules.ColdFrom * 40; !cold || part < 0.3*most || part > most {
@@ -400,7 +400,7 @@
 
 func TestLimitPart(t *testing.T) {
 	limited := func(q *Request) { q.Volume = Volume{ID: 9, Plan: 1, Hosts: 3} }
-	confirm := &NodeList{Kind: ListFull, Nodes: []Node{{ID: "a"}}}
+	confirm := &NodeList{Kind: ListSnapshot, Nodes: []Node{{ID: "a"}}}
 	t.Run("opens with one request and fills at an even part", func(t *testing.T) {
 		g := newRig(t, settings())
 		g.step(confirm)
@@ -421,7 +421,7 @@
 		g.step(confirm)
 		g.run(210 * ms)
 		before := 2.1 - 2
-		g.end(g.ask(limited), Moot)
+		g.end(g.ask(limited), NotSent)
 		if store := g.s.volumes[9].store; store < before-0.2 || g.sent[1] != 2 {
 			t.Errorf("store %v after %v sends", store, g.sent[1])
 		}
@@ -473,7 +473,7 @@
 
 func TestUnitsOutStayUnderTheCap(t *testing.T) {
 	g := newRig(t, settings())
-	g.step(&NodeList{Kind: ListFull, Nodes: []Node{{ID: "a"}}})
+	g.step(&NodeList{Kind: ListSnapshot, Nodes: []Node{{ID: "a"}}})
 	for range 60 {
 		g.ask(nil)
 	}
@@ -509,7 +509,7 @@
 	if g.nodeOf[id] != "b" {
 		t.Errorf("sent to %q, not to the fast node", g.nodeOf[id])
 	}
-	g.step(&NodeList{Kind: ListChanges, Nodes: []Node{{ID: "b", Shard: 1, State: Draining}}})
+	g.step(&NodeList{Kind: ListDelta, Nodes: []Node{{ID: "b", Shard: 1, State: Draining}}})
 	if id = g.ask(object); g.nodeOf[id] != "a" {
 		t.Errorf("sent to %q, not to the node that is left", g.nodeOf[id])
 	}
@@ -521,7 +521,7 @@
 	set := settings()
 	set.Hosts = 300
 	g := newRig(t, set, Node{ID: "a"}, Node{ID: "b", Shard: 1})
-	g.step(&NodeList{Kind: ListChanges, Nodes: []Node{{ID: "b", Shard: 1, Started: g.now}}})
+	g.step(&NodeList{Kind: ListDelta, Nodes: []Node{{ID: "b", Shard: 1, Started: g.now}}})
 	n := g.s.shards[0].node
 	n.queue, n.sampled = 300_000, g.now
 	for range 5 {
@@ -691,8 +691,8 @@
 
 func TestUnknownThingsAreIgnored(t *testing.T) {
 	g := newRig(t, settings())
-	g.step(&Outcome{Attempt: Attempt{99, 0, "a"}}, &Timer{Token: 1 << 62}, &Abandoned{99}, &StreamStart{Request: 99},
-		&ProbeResult{Node: "zz"}, &NodeList{Kind: ListChanges, Nodes: []Node{{ID: "zz", State: Gone}, {ID: "y", Shard: -3}}})
+	g.step(&Outcome{Attempt: Attempt{99, 0, "a"}}, &TimerFired{Token: 1 << 62}, &Abandoned{99}, &StreamStarted{Request: 99},
+		&ProbeResult{Node: "zz"}, &NodeList{Kind: ListDelta, Nodes: []Node{{ID: "zz", State: Removed}, {ID: "y", Shard: -3}}})
 	g.ask(nil)
 	g.step(&Outcome{Attempt: Attempt{1, 7, "a"}}, &Outcome{Attempt: Attempt{1, -1, "a"}})
 	g.end(1, OK)
@@ -703,7 +703,7 @@
 func TestStreamOutlivesItsDeadline(t *testing.T) {
 	g := newRig(t, settings())
 	g.ask(nil)
-	g.step(&StreamStart{Request: 1, Node: "a"})
+	g.step(&StreamStarted{Request: 1, Node: "a"})
 	g.run(4 * second)
 	g.end(1, OK)
 	g.want("send 1")
@@ -719,7 +719,7 @@
 			})
 			g.run(4 * ms)
 			if g.sent[id] > 0 {
-				g.end(id, []Status{OK, OK, Failed, Unreachable, Full}[i%5])
+				g.end(id, []Status{OK, OK, Failed, Unreachable, Overloaded}[i%5])
 			}
 		}
 		g.run(5 * second)
@@ -741,7 +741,7 @@
 			g.end(id, OK)
 		}
 	}
-	g.step(&NodeList{Kind: ListChanges, Nodes: []Node{{ID: "a", State: Gone}}})
+	g.step(&NodeList{Kind: ListDelta, Nodes: []Node{{ID: "a", State: Removed}}})
 	g.run(volumeAge + 3*intervalSpan)
 	s := g.s
 	left := []int{len(s.requests), len(s.volumes), len(s.order), len(s.turns), len(s.nodes), len(s.shards[0].lanes),
@@ -855,7 +855,7 @@
 		want    bool
 	}{{"a new node", 1, false}, {"the node that is known", 0, true}} {
 		g := newRig(t, settings())
-		g.step(&NodeList{Kind: ListChanges, Nodes: []Node{{ID: "a", Started: c.started}}})
+		g.step(&NodeList{Kind: ListDelta, Nodes: []Node{{ID: "a", Started: c.started}}})
 		n, r := g.s.shards[0].node, &request{Request: &Request{Units: 2}, patience: 1}
 		if got := g.s.admits(n, r, levelSpare); got != c.want || !g.s.admits(n, r, levelReserve) {
 			t.Errorf("%s: spare %v, want %v", c.name, got, c.want)
@@ -915,10 +915,10 @@
 			if c.change != nil {
 				c.change(&set)
 			} else {
-				entry.State = Gone
+				entry.State = Removed
 			}
 			g := newRig(t, set)
-			g.step(&NodeList{Kind: ListChanges, Nodes: []Node{entry}})
+			g.step(&NodeList{Kind: ListDelta, Nodes: []Node{entry}})
 			for range 20 {
 				g.ask(limited)
 			}
@@ -947,7 +947,7 @@
 		for i := range hosts {
 			set.Seed = uint64(i)
 			g := newRig(t, set) // which begins at 100 s
-			g.step(&NodeList{Kind: ListFull, Nodes: []Node{{ID: "a", Started: g.now - 2*second}}})
+			g.step(&NodeList{Kind: ListSnapshot, Nodes: []Node{{ID: "a", Started: g.now - 2*second}}})
 			for sec := range sums {
 				before := len(g.sent)
 				for range 3 {
@@ -979,7 +979,7 @@
 func TestShutdownBoundsDeadlines(t *testing.T) {
 	g := newRig(t, settings())
 	out := g.ask(class(2)) // is out, and may have run
-	g.step(&NodeList{Kind: ListChanges, Nodes: []Node{{ID: "a", State: Draining}}})
+	g.step(&NodeList{Kind: ListDelta, Nodes: []Node{{ID: "a", State: Draining}}})
 	waits := g.ask(nil)
 	g.run(100 * ms)
 	g.step(&Shutdown{At: g.now + 300*ms})
--- a/state.go
+++ b/state.go
@@ -289,19 +289,19 @@
 
 // NodeView is what the host knows of a node, for those who watch it.
 type NodeView struct {
-	ID    NodeID
-	Queue Micros  // how long a request should wait there now
-	Out   float64 // units out
-	Cap   float64 // units that may be out
+	ID               NodeID
+	QueueDelay       Micros  // how long a request should wait there now
+	UnitsInFlight    float64 // units out
+	MaxUnitsInFlight float64 // units that may be out
 }
 
 // VolumeView is a volume's standing, for those who watch it.
 type VolumeView struct {
-	ID       VolumeID
-	Quadrant string  // of the last interval: failed, meet, exceed or lucky
-	Rate     float64 // token rate in units a second; 0: unpaced
-	Measured float64 // units a second served through this host in the last interval
-	Reserve  float64 // units of the reserve that are left
+	ID           VolumeID
+	Quadrant     string  // of the last interval: failed, meet, exceed or lucky
+	TokenRate    float64 // token rate in units a second; 0: unpaced
+	ServedRate   float64 // units a second served through this host in the last interval
+	ReserveUnits float64 // units of the reserve that are left
 }
 
 // View copies what the scheduler knows of its nodes and volumes. It changes
--- a/types.go
+++ b/types.go
@@ -8,12 +8,12 @@
 // clock, which may start anywhere and only advances.
 type Micros int64
 
-// Repeat says whether a request of a class may run more than once.
-type Repeat int
+// RepeatPolicy says whether a request of a class may run more than once.
+type RepeatPolicy int
 
 const (
 	// Safe requests may run any number of times.
-	Safe Repeat = iota
+	Safe RepeatPolicy = iota
 	// Keyed requests carry a key by which a group of nodes drops repeats.
 	Keyed
 	// Unsafe requests must never run twice.
@@ -40,7 +40,7 @@
 	Deadline   Micros  // what a client waits in all its tries
 	Worth      float64 // worth of a mean request
 	LateWorth  float64 // part earned after the aim
-	Repeat     Repeat
+	Repeat     RepeatPolicy
 	Scope      Scope  // for Keyed
 	Window     Micros // for Keyed: how long repeats are dropped
 	Ordered    bool   // requests with one key run one at a time
@@ -116,8 +116,8 @@
 	Ready NodeState = iota
 	// Draining nodes finish their work and take nothing new.
 	Draining
-	// Gone nodes have left the list.
-	Gone
+	// Removed nodes have left the list.
+	Removed
 )
 
 // Node is an entry of the node list.
@@ -144,10 +144,10 @@
 type ListKind int
 
 const (
-	// ListFull is the whole list.
-	ListFull ListKind = iota
-	// ListChanges holds the changed entries only.
-	ListChanges
+	// ListSnapshot is the whole list.
+	ListSnapshot ListKind = iota
+	// ListDelta holds the changed entries only.
+	ListDelta
 	// ListStored is the whole list as the host last had it; it may be old.
 	ListStored
 	// ListFailed tells that a call failed or the subscription broke.
@@ -174,8 +174,8 @@
 	Again  bool
 }
 
-// StreamStart tells that the answer of a streamed request has begun.
-type StreamStart struct {
+// StreamStarted tells that the answer of a streamed request has begun.
+type StreamStarted struct {
 	Request RequestID
 	Attempt int
 	Node    NodeID
@@ -198,8 +198,8 @@
 	OK
 	// Failed means that the node answered with an error; it may have run.
 	Failed
-	// Full means sent back before it was seen; it never ran.
-	Full
+	// Overloaded means sent back before it was seen; it never ran.
+	Overloaded
 	// TimedOut means no answer in time; it may have run or still run.
 	TimedOut
 	// Unreachable means that no connection was made; it never ran.
@@ -208,15 +208,15 @@
 	Reset
 	// Cancelled means called off; it may have run.
 	Cancelled
-	// Moot means not sent at all.
-	Moot
+	// NotSent means not sent at all.
+	NotSent
 )
 
 // NeverRan tells whether the status proves that the attempt did not run.
-func (s Status) NeverRan() bool { return s == Full || s == Unreachable || s == Moot }
+func (s Status) NeverRan() bool { return s == Overloaded || s == Unreachable || s == NotSent }
 
-// MayRunOn tells whether the attempt may still be running after the outcome.
-func (s Status) MayRunOn() bool {
+// MayStillRun tells whether the attempt may still be running after the outcome.
+func (s Status) MayStillRun() bool {
 	return s == TimedOut || s == Reset || s == Cancelled || s == Unknown
 }
 
@@ -246,17 +246,17 @@
 	Load    []float64
 }
 
-// Timer tells that a timer has run out.
-type Timer struct{ Token uint64 }
-
-func (*NodeList) event()    {}
-func (*Request) event()     {}
-func (*StreamStart) event() {}
-func (*Abandoned) event()   {}
-func (*Shutdown) event()    {}
-func (*Outcome) event()     {}
-func (*ProbeResult) event() {}
-func (*Timer) event()       {}
+// TimerFired tells that a timer has run out.
+type TimerFired struct{ Token uint64 }
+
+func (*NodeList) event()      {}
+func (*Request) event()       {}
+func (*StreamStarted) event() {}
+func (*Abandoned) event()     {}
+func (*Shutdown) event()      {}
+func (*Outcome) event()       {}
+func (*ProbeResult) event()   {}
+func (*TimerFired) event()    {}
 
 // ActionKind is what an action does.
 type ActionKind int
