--- a/cmd/arrowwalk/platform.go
+++ b/cmd/arrowwalk/platform.go
@@ -22,36 +22,36 @@
 func (c *platformCmd) Run(g *globals) error {
 	signals := make(chan os.Signal, 8) // before all else: a signal at the start ends nothing
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT)
-	cfg, err := platform.Load(os.Getenv)
+	cfg, err := platform.LoadConfig(os.Getenv)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "arrowwalk platform:", err)
 		os.Exit(exitBadStart)
 	}
-	cfg.Limit()
-	p, err := platform.Start(cfg, g.log, platform.Guards{DoubleFraming: c.DropGuard == "framing", KeepDirty: c.DropGuard == "dirty",
-		NoEvict: c.DropGuard == "silent", NoAge: c.DropGuard == "age", NoStart: c.DropGuard == "cold",
-		NoRest: c.DropGuard == "rest", NoLook: c.DropGuard == "look", NoBound: c.DropGuard == "bound", NoReserve: c.DropGuard == "reserve"})
+	cfg.ApplyLimits()
+	p, err := platform.Start(cfg, g.log, platform.DisabledGuards{AcceptDoubleFraming: c.DropGuard == "framing", ReuseDirtyConns: c.DropGuard == "dirty",
+		NoEviction: c.DropGuard == "silent", NoArrivalAge: c.DropGuard == "age", NoStartTimes: c.DropGuard == "cold",
+		NoReuseDelay: c.DropGuard == "rest", NoDisconnectCheck: c.DropGuard == "look", NoShutdownDeadline: c.DropGuard == "bound", NoDescriptorReserve: c.DropGuard == "reserve"})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "arrowwalk platform:", err)
 		os.Exit(exitBadStart)
 	}
-	g.log.Info("serving", "name", cfg.Name, "listen", cfg.Listen, "discovery", cfg.Discovery, "known", len(cfg.Known.Endpoints))
+	g.log.Info("serving", "name", cfg.Name, "listen", cfg.Listen, "discovery", cfg.Discovery, "known", len(cfg.KnownBricks.Endpoints))
 	for s := range signals {
 		if s != syscall.SIGHUP {
 			break
 		}
-		if next, err := platform.Load(os.Getenv); err != nil {
+		if next, err := platform.LoadConfig(os.Getenv); err != nil {
 			g.log.Error("the new configuration is wrong, nothing changes", "error", err)
 		} else {
 			p.Reload(next)
 		}
 	}
-	g.log.Info("stopping", p.Report()...)
+	g.log.Info("stopping", p.LogAttrs()...)
 	go func() { // what comes meanwhile changes nothing
 		for range signals {
 		}
 	}()
 	p.Stop(context.Background())
-	g.log.Info("stopped", p.Report()...)
+	g.log.Info("stopped", p.LogAttrs()...)
 	return nil
 }
--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -11,7 +11,7 @@
 	"arrowwalk"
 	"arrowwalk/internal/brick"
 	"arrowwalk/internal/config"
-	"arrowwalk/internal/conns"
+	"arrowwalk/internal/connpool"
 	"arrowwalk/internal/host"
 )
 
@@ -69,7 +69,7 @@
 	Task   host.Task
 
 	sender  *Sender
-	attempt conns.Numbered
+	attempt connpool.NumberedAttempt
 }
 
 // Ready makes the call, whose Task says what the module is to know, ready for Do.
--- a/internal/brick/call.go
+++ b/internal/brick/call.go
@@ -166,8 +166,8 @@
 	}
 	b = append(b, " HTTP/1.1\r\nHost: brick\r\n"...)
 	b = http1.AppendField(b, HeaderRequest, c.Request)
-	b = http1.AppendInt(b, HeaderDeadline, left.Microseconds())
-	b = http1.AppendInt(b, HeaderHost, int64(c.Host))
+	b = http1.AppendIntField(b, HeaderDeadline, left.Microseconds())
+	b = http1.AppendIntField(b, HeaderHost, int64(c.Host))
 	b = append(b, HeaderVolume+": "...)
 	b = append(strconv.AppendUint(b, c.Volume, 10), "\r\n"...)
 	b = append(b, HeaderUnits+": "...)
@@ -200,17 +200,17 @@
 		b = append(b, HeaderWhole+": 1\r\n"...)
 	}
 	if c.Epoch != 0 {
-		b = http1.AppendInt(b, HeaderEpoch, int64(c.Epoch))
+		b = http1.AppendIntField(b, HeaderEpoch, int64(c.Epoch))
 	}
 	if c.Method == "PATCH" {
-		b = http1.AppendInt(b, HeaderOffset, c.Offset)
-		b = http1.AppendInt(b, HeaderNumber, int64(c.Number))
+		b = http1.AppendIntField(b, HeaderOffset, c.Offset)
+		b = http1.AppendIntField(b, HeaderNumber, int64(c.Number))
 		if c.Truncate {
 			b = http1.AppendField(b, HeaderTruncate, "1")
 		}
 	}
 	if c.Method == "PUT" || c.Method == "PATCH" {
-		b = http1.AppendInt(b, "Content-Length", c.bodyLen())
+		b = http1.AppendIntField(b, "Content-Length", c.bodyLen())
 	}
 	return append(b, "\r\n"...)
 }
--- a/internal/brick/pool.go
+++ b/internal/brick/pool.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"arrowwalk"
-	"arrowwalk/internal/conns"
+	"arrowwalk/internal/connpool"
 	"arrowwalk/internal/http1"
 )
 
@@ -25,7 +25,7 @@
 // retries: each Do is one attempt.
 type Pool struct {
 	opt   PoolOptions
-	conns *conns.Pool
+	conns *connpool.Pool
 }
 
 // NewPool returns an empty pool.
@@ -42,15 +42,15 @@
 	if opt.Stall == 0 {
 		opt.Stall = 10 * time.Second
 	}
-	return &Pool{opt: opt, conns: conns.NewPool(conns.Options{IdleEach: opt.IdlePerBrick, IdleFor: opt.IdleFor,
-		DialTimeout: opt.DialTimeout, Limits: http1.DefaultLimits})}
+	return &Pool{opt: opt, conns: connpool.NewPool(connpool.Options{MaxIdlePerAddress: opt.IdlePerBrick, IdleTimeout: opt.IdleFor,
+		DialTimeout: opt.DialTimeout, HeadLimits: http1.DefaultLimits})}
 }
 
 // Close closes the idle connections; those in use close when they come back.
 func (p *Pool) Close() { p.conns.Close() }
 
 // Keep closes the idle connections to all addresses but those given.
-func (p *Pool) Keep(addresses []string) { p.conns.Keep(addresses) }
+func (p *Pool) Keep(addresses []string) { p.conns.CloseIdleExcept(addresses) }
 
 // Dialed returns how many connections were opened.
 func (p *Pool) Dialed() int64 {
@@ -60,14 +60,14 @@
 
 // conn is a connection with the answer that is read on it.
 type conn struct {
-	*conns.Conn
+	*connpool.Conn
 	resp http1.Response
 	body http1.Body
 }
 
 // Attempt is one sending, which another goroutine may abort: Do, or the reading
 // of the body, then returns a Failure with ReasonAborted.
-type Attempt = conns.Attempt
+type Attempt = connpool.Attempt
 
 // Do sends a call to the brick at address and reads the answer's head into
 // ans. On nil the caller reads ans.Body and calls ans.Done. Any error is a
@@ -80,26 +80,26 @@
 	if err != nil {
 		return err
 	}
-	if !at.Hold(c.Conn, call.Deadline) {
+	if !at.Attach(c.Conn, call.Deadline) {
 		p.conns.Put(c.Conn)
 		return fail(arrowwalk.Cancelled, ReasonAborted, nil)
 	}
 	if err := c.send(call); err != nil {
 		return p.lose(at, c, err)
 	}
-	if err := c.Heads.ReadResponse(&c.resp, call.Method); err != nil {
+	if err := c.HeadReader.ReadResponse(&c.resp, call.Method); err != nil {
 		return p.lose(at, c, err)
 	}
-	ans.conn, ans.at, ans.Raw = c, at, c.Raw
+	ans.conn, ans.at, ans.Raw = c, at, c.RawConn
 	if err := ans.read(&c.resp); err != nil {
 		return p.lose(at, c, &http1.Error{Status: 502, Reason: err.Error()})
 	}
 	if ans.Request != "" && ans.Request != call.Request { // a second answer to one before
 		return p.lose(at, c, &http1.Error{Status: 502, Reason: "the answer is to request " + ans.Request})
 	}
-	c.body.Reset(c.In, c.resp.Framing)
+	c.body.Reset(c.Reader, c.resp.Framing)
 	if call.Method == "HEAD" {
-		c.body.Reset(c.In, http1.Framing{})
+		c.body.Reset(c.Reader, http1.Framing{})
 	}
 	ans.Body = &c.body
 	if refused := ans.refusal(); refused != nil {
@@ -132,8 +132,8 @@
 
 // lose closes a connection on which an attempt failed and names the failure.
 func (p *Pool) lose(at *Attempt, c *conn, err error) *Failure {
-	aborted := !at.Release()
-	p.conns.Drop(c.Conn)
+	aborted := !at.Detach()
+	p.conns.Discard(c.Conn)
 	return classify(err, aborted, ReasonBroken)
 }
 
@@ -155,12 +155,12 @@
 
 // take returns a connection to the brick at address.
 func (p *Pool) take(at *Attempt, address string, deadline time.Time) (*conn, error) {
-	c, err := p.conns.Take(at, address, deadline)
+	c, err := p.conns.Get(at, address, deadline)
 	if err == nil {
 		return &conn{Conn: c}, nil
 	}
 	reason := ReasonRefused
-	var dial *conns.DialError
+	var dial *connpool.DialError
 	if errors.As(err, &dial) && dial.Aborted {
 		reason = ReasonAborted
 	} else if dial != nil && dial.TimedOut {
@@ -174,19 +174,19 @@
 // send writes the call's head and body. A small body goes out with the head
 // in one write.
 func (c *conn) send(call *Call) error {
-	c.Out = call.append(c.Out[:0], time.Until(call.Deadline))
+	c.WriteBuf = call.append(c.WriteBuf[:0], time.Until(call.Deadline))
 	if call.bodyLen() == 0 {
-		_, err := c.Write(c.Out)
+		_, err := c.Write(c.WriteBuf)
 		return err
 	}
 	parts, reader := call.Body.Parts()
 	if reader == nil {
 		buffers := make(net.Buffers, 0, len(parts)+1)
-		buffers = append(append(buffers, c.Out), parts...)
+		buffers = append(append(buffers, c.WriteBuf), parts...)
 		_, err := buffers.WriteTo(c.Conn.Conn)
 		return err
 	}
-	if _, err := c.Write(c.Out); err != nil {
+	if _, err := c.Write(c.WriteBuf); err != nil {
 		return err
 	}
 	source := &sourceErr{r: reader}
@@ -251,7 +251,7 @@
 
 // Stream tells that the answer is being passed on: from now on each wait for
 // bytes has the pool's stall bound in place of the call's deadline.
-func (a *Answer) Stream(p *Pool) { a.at.Extend(time.Now().Add(p.opt.Stall)) }
+func (a *Answer) Stream(p *Pool) { a.at.ExtendDeadline(time.Now().Add(p.opt.Stall)) }
 
 // ReadAll reads the whole body into buf, which it grows, up to most bytes.
 func (a *Answer) ReadAll(p *Pool, buf []byte, most int64) ([]byte, error) {
@@ -286,10 +286,10 @@
 		return
 	}
 	a.conn = nil
-	if a.at.Release() && whole && c.body.Done() && !c.resp.Close && c.In.Buffered() == 0 {
+	if a.at.Detach() && whole && c.body.Done() && !c.resp.Close && c.Reader.Buffered() == 0 {
 		c.SetDeadline(time.Time{})
 		p.conns.Put(c.Conn)
 		return
 	}
-	p.conns.Drop(c.Conn)
+	p.conns.Discard(c.Conn)
 }
--- a/internal/brick/pool_test.go
+++ b/internal/brick/pool_test.go
@@ -108,17 +108,17 @@
 		if err := get(closes, &Attempt{}); err != nil {
 			t.Errorf("a connection that the brick closes: %v", err)
 		}
-		c := p.conns.Pop(closes)
+		c := p.conns.PopIdle(closes)
 		if c == nil {
 			continue
 		}
-		for c.Quiet() { // until the close has come over
+		for c.IsReusable() { // until the close has come over
 			time.Sleep(time.Millisecond)
 		}
 		p.conns.Put(c)
 	}
 	p.Keep([]string{closes})
-	if c := p.conns.Pop(keeps); c != nil {
+	if c := p.conns.PopIdle(keeps); c != nil {
 		t.Error("connections to a brick that left are kept")
 	}
 	silent := answerWith(t, "", false)
@@ -135,7 +135,7 @@
 	f.Add("TEXT cpu_utilization=0.5,x=1", "bytes 0-1/2", "12", "YQ")
 	f.Add("JSON {}", "bytes */5", "-1", "!")
 	f.Fuzz(func(t *testing.T, load, rng, amount, meta string) {
-		p := http1.Response{Status: 206, Framing: http1.Framing{Length: 2, Sized: true}, Fields: http1.Fields{
+		p := http1.Response{Status: 206, Framing: http1.Framing{Length: 2, HasLength: true}, Fields: http1.Fields{
 			{Name: HeaderLoad, Value: load}, {Name: "Content-Range", Value: rng}, {Name: HeaderOthers, Value: amount}, {Name: HeaderMeta, Value: meta}}}
 		var a Answer
 		if err := a.read(&p); err != nil {
--- a/internal/brickd/patch.go
+++ b/internal/brickd/patch.go
@@ -154,7 +154,7 @@
 		return &reply{status: 405, text: "only extents are changed in part"}
 	}
 	offset, err := c.number(brick.HeaderOffset)
-	if err == nil && (!c.req.Sized || c.req.Length > extentMost || int64(offset) > extentMost-c.req.Length) {
+	if err == nil && (!c.req.HasLength || c.req.Length > extentMost || int64(offset) > extentMost-c.req.Length) {
 		err = fmt.Errorf("header %s: %d and a body of %d bytes are over %d", brick.HeaderOffset, offset, c.req.Length, extentMost)
 	}
 	number, err2 := c.number(brick.HeaderNumber)
--- a/internal/brickd/reply.go
+++ b/internal/brickd/reply.go
@@ -85,7 +85,7 @@
 
 // head appends the head of r with the given length.
 func (c *conn) head(r *reply, length int64) {
-	b := http1.AppendStatus(c.out[:0], r.status)
+	b := http1.AppendStatusLine(c.out[:0], r.status)
 	b = http1.AppendField(b, brick.HeaderBrick, c.s.name)
 	if c.request != "" { // an answer says to what, so that one too many is seen
 		b = http1.AppendField(b, brick.HeaderRequest, c.request)
@@ -95,7 +95,7 @@
 		b = http1.AppendField(b, brick.HeaderState, "draining")
 	}
 	if r.version != 0 {
-		b = http1.AppendInt(b, brick.HeaderVersion, int64(r.version))
+		b = http1.AppendIntField(b, brick.HeaderVersion, int64(r.version))
 	}
 	if r.blob != nil {
 		b = appendMeta(b, brick.HeaderMeta, r.blob.Meta)
@@ -135,7 +135,7 @@
 		b = http1.AppendField(b, "Connection", "close")
 	}
 	if r.status != 204 {
-		b = http1.AppendInt(b, "Content-Length", length)
+		b = http1.AppendIntField(b, "Content-Length", length)
 	}
 	c.out = append(b, "\r\n"...)
 }
--- a/internal/brickd/server.go
+++ b/internal/brickd/server.go
@@ -21,11 +21,11 @@
 
 	"arrowwalk/internal/brick"
 	"arrowwalk/internal/http1"
-	"arrowwalk/internal/stall/sockage"
 	"arrowwalk/internal/store"
 	"arrowwalk/internal/store/admit"
 	"arrowwalk/internal/store/record"
 	"arrowwalk/internal/store/tidy"
+	"arrowwalk/internal/tcpinfo"
 )
 
 // Options of a brick.
@@ -334,7 +334,7 @@
 			c.raw, _ = sc.SyscallConn()
 		}
 	}
-	if age, ok := sockage.Age(c.raw); ok && age >= sockage.Coarse {
+	if age, ok := tcpinfo.LastReceiveAge(c.raw); ok && age >= tcpinfo.MinReliableAge {
 		t = time.Now().Add(-age)
 	}
 	return t
@@ -503,7 +503,7 @@
 }
 
 func (c *conn) put(x *Exchange) *reply {
-	if !c.req.Sized || c.req.Length > c.s.opt.BodyMax {
+	if !c.req.HasLength || c.req.Length > c.s.opt.BodyMax {
 		return &reply{status: 413, text: fmt.Sprintf("body without a length, or over %d bytes", c.s.opt.BodyMax)}
 	}
 	cond, err := c.condition()
--- a/internal/conns/attempt.go
+++ b/internal/connpool/attempt.go
@@ -1,4 +1,4 @@
-package conns
+package connpool
 
 import (
 	"context"
@@ -49,8 +49,8 @@
 	return !a.aborted
 }
 
-// Hold takes the connection into the attempt; false: it was aborted before.
-func (a *Attempt) Hold(nc net.Conn, deadline time.Time) bool {
+// Attach takes the connection into the attempt; false: it was aborted before.
+func (a *Attempt) Attach(nc net.Conn, deadline time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.aborted {
@@ -63,8 +63,8 @@
 	return true
 }
 
-// Extend moves the connection's deadline, unless the attempt was aborted.
-func (a *Attempt) Extend(deadline time.Time) {
+// ExtendDeadline moves the connection's deadline, unless the attempt was aborted.
+func (a *Attempt) ExtendDeadline(deadline time.Time) {
 	a.mu.Lock()
 	if !a.aborted && a.nc != nil {
 		a.nc.SetDeadline(deadline)
@@ -72,8 +72,8 @@
 	a.mu.Unlock()
 }
 
-// Release lets go of the connection and tells whether it may be used again.
-func (a *Attempt) Release() bool {
+// Detach lets go of the connection and tells whether it may be used again.
+func (a *Attempt) Detach() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.nc, a.cancel = nil, nil
@@ -87,9 +87,9 @@
 	return a.aborted
 }
 
-// Numbered is an Attempt that is made again and again: an Abort of one number
+// NumberedAttempt is an Attempt that is made again and again: an Abort of one number
 // ends no other.
-type Numbered struct {
+type NumberedAttempt struct {
 	Attempt
 	turn    sync.Mutex
 	begun   bool
@@ -99,7 +99,7 @@
 
 // Begin readies n for the attempt of a number, from 0 on; false: it was
 // aborted before it began.
-func (n *Numbered) Begin(number int) bool {
+func (n *NumberedAttempt) Begin(number int) bool {
 	n.turn.Lock()
 	defer n.turn.Unlock()
 	if n.aborted > number {
@@ -111,7 +111,7 @@
 }
 
 // Abort ends the attempt of that number: before, during or after it runs.
-func (n *Numbered) Abort(number int) {
+func (n *NumberedAttempt) Abort(number int) {
 	n.turn.Lock()
 	defer n.turn.Unlock()
 	n.aborted = max(n.aborted, number+1) // a Cut stays
@@ -120,8 +120,8 @@
 	}
 }
 
-// Cut ends the attempt that runs, and lets none begin any more.
-func (n *Numbered) Cut() {
+// AbortAll ends the attempt that runs, and lets none begin any more.
+func (n *NumberedAttempt) AbortAll() {
 	n.turn.Lock()
 	defer n.turn.Unlock()
 	n.aborted = math.MaxInt
@@ -129,7 +129,7 @@
 }
 
 // Number returns the number of the attempt that runs.
-func (n *Numbered) Number() int {
+func (n *NumberedAttempt) Number() int {
 	n.turn.Lock()
 	defer n.turn.Unlock()
 	return n.number
--- a/internal/conns/conns.go
+++ b/internal/connpool/conns.go
@@ -1,7 +1,7 @@
 // Package conns keeps TCP connections to servers for reuse, one exchange at a
 // time on each. It never sends anything and never retries: what is said on a
 // connection, and what an error means, is its caller's.
-package conns
+package connpool
 
 import (
 	"bufio"
@@ -13,23 +13,23 @@
 	"time"
 
 	"arrowwalk/internal/http1"
-	"arrowwalk/internal/peek"
+	"arrowwalk/internal/sockstate"
 )
 
-// Dial opens a connection to a server.
-type Dial func(ctx context.Context, address string) (net.Conn, error)
+// DialFunc opens a connection to a server.
+type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
 // Options bounds the connections of a Pool.
 type Options struct {
-	IdleEach    int           // connections kept for reuse at each address
-	IdleFor     time.Duration // and for how long
-	Rest        time.Duration // before a connection is used again: what is behind an answer may come late
-	DialTimeout time.Duration // longest wait for a new connection
-	Dial        Dial          // nil: TCP
-	Buffer      int           // bytes of a connection's read buffer; 0: 16 KiB
-	Max         int           // connections open at once, idle ones that give way included; 0: any number
-	Limits      http1.Limits  // of heads that are read
-	Blind       bool          // idle connections are used without a look; for proofs that must fail
+	MaxIdlePerAddress int           // connections kept for reuse at each address
+	IdleTimeout       time.Duration // and for how long
+	ReuseDelay        time.Duration // before a connection is used again: what is behind an answer may come late
+	DialTimeout       time.Duration // longest wait for a new connection
+	Dial              DialFunc      // nil: TCP
+	ReadBufferBytes   int           // bytes of a connection's read buffer; 0: 16 KiB
+	MaxConns          int           // connections open at once, idle ones that give way included; 0: any number
+	HeadLimits        http1.Limits  // of heads that are read
+	SkipIdleCheck     bool          // idle connections are used without a look; for proofs that must fail
 }
 
 // Pool keeps connections. It is safe for concurrent use.
@@ -44,8 +44,8 @@
 
 // NewPool returns an empty pool.
 func NewPool(opt Options) *Pool {
-	if opt.Buffer == 0 {
-		opt.Buffer = 16 << 10
+	if opt.ReadBufferBytes == 0 {
+		opt.ReadBufferBytes = 16 << 10
 	}
 	if opt.Dial == nil {
 		opt.Dial = func(ctx context.Context, address string) (net.Conn, error) {
@@ -59,12 +59,12 @@
 // kept by Put, never by its caller.
 type Conn struct {
 	net.Conn
-	Raw     syscall.RawConn // nil: it has none
-	In      *bufio.Reader
-	Heads   *http1.Reader
-	Out     []byte // to be reused for what is written
-	address string
-	used    time.Time
+	RawConn    syscall.RawConn // nil: it has none
+	Reader     *bufio.Reader
+	HeadReader *http1.Reader
+	WriteBuf   []byte // to be reused for what is written
+	address    string
+	used       time.Time
 }
 
 // DialError tells that no connection came about.
@@ -97,8 +97,8 @@
 	}
 }
 
-// Keep closes the idle connections to all addresses but those given.
-func (p *Pool) Keep(addresses []string) {
+// CloseIdleExcept closes the idle connections to all addresses but those given.
+func (p *Pool) CloseIdleExcept(addresses []string) {
 	known := make(map[string]bool, len(addresses))
 	for _, a := range addresses {
 		known[a] = true
@@ -113,13 +113,13 @@
 	}
 }
 
-// Sweep closes what was idle for too long at a time.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes what was idle for too long at a time.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, list := range p.idle {
 		n := 0
-		for n < len(list) && now.Sub(list[n].used) >= p.opt.IdleFor {
+		for n < len(list) && now.Sub(list[n].used) >= p.opt.IdleTimeout {
 			n++
 		}
 		p.shut(list[:n])
@@ -142,24 +142,24 @@
 	return p.open, idle, p.dialed
 }
 
-// Take returns an idle connection to address that is still open, or dials one;
+// Get returns an idle connection to address that is still open, or dials one;
 // any error is a *DialError. The attempt holds the connection, with a deadline.
-func (p *Pool) Take(at *Attempt, address string, deadline time.Time) (*Conn, error) {
+func (p *Pool) Get(at *Attempt, address string, deadline time.Time) (*Conn, error) {
 	for {
-		c := p.pop(address, time.Now().Add(-p.opt.Rest))
+		c := p.pop(address, time.Now().Add(-p.opt.ReuseDelay))
 		if c == nil {
 			break
 		}
-		if time.Since(c.used) < p.opt.IdleFor && (p.opt.Blind || c.Quiet()) {
+		if time.Since(c.used) < p.opt.IdleTimeout && (p.opt.SkipIdleCheck || c.IsReusable()) {
 			return c, nil
 		}
-		p.Drop(c)
+		p.Discard(c)
 	}
 	return p.dial(at, address, deadline)
 }
 
-// Pop takes the idle connection that was used last; nil: there is none.
-func (p *Pool) Pop(address string) *Conn { return p.pop(address, time.Now()) }
+// PopIdle takes the idle connection that was used last; nil: there is none.
+func (p *Pool) PopIdle(address string) *Conn { return p.pop(address, time.Now()) }
 
 // pop takes the idle connection that was used last, but not after a time; nil:
 // there is none.
@@ -188,18 +188,18 @@
 	c.used = time.Now()
 	p.mu.Lock()
 	list := p.idle[c.address]
-	keep := !p.closed && len(list) < p.opt.IdleEach
+	keep := !p.closed && len(list) < p.opt.MaxIdlePerAddress
 	if keep {
 		p.idle[c.address] = append(list, c)
 	}
 	p.mu.Unlock()
 	if !keep {
-		p.Drop(c)
+		p.Discard(c)
 	}
 }
 
-// Drop closes a connection that was taken.
-func (p *Pool) Drop(c *Conn) {
+// Discard closes a connection that was taken.
+func (p *Pool) Discard(c *Conn) {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
@@ -210,7 +210,7 @@
 func (p *Pool) room() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.opt.Max > 0 && p.open >= p.opt.Max && !p.evict() {
+	if p.opt.MaxConns > 0 && p.open >= p.opt.MaxConns && !p.evict() {
 		return false
 	}
 	p.open++
@@ -261,16 +261,16 @@
 	p.mu.Lock()
 	p.dialed++
 	p.mu.Unlock()
-	c := &Conn{Conn: nc, Raw: peek.Raw(nc), address: address, In: bufio.NewReaderSize(nc, p.opt.Buffer)}
-	c.Heads = http1.NewReader(c.In, p.opt.Limits)
+	c := &Conn{Conn: nc, RawConn: sockstate.RawConn(nc), address: address, Reader: bufio.NewReaderSize(nc, p.opt.ReadBufferBytes)}
+	c.HeadReader = http1.NewReader(c.Reader, p.opt.HeadLimits)
 	return c, nil
 }
 
-// Quiet looks whether an idle connection is still there: a server that closed
+// IsReusable looks whether an idle connection is still there: a server that closed
 // it, or said something unasked, is not asked on it.
-func (c *Conn) Quiet() bool {
-	if c.In.Buffered() > 0 {
+func (c *Conn) IsReusable() bool {
+	if c.Reader.Buffered() > 0 {
 		return false
 	}
-	return c.Raw == nil || !peek.Readable(c.Raw)
+	return c.RawConn == nil || !sockstate.Readable(c.RawConn)
 }
--- a/internal/conns/conns_test.go
+++ b/internal/connpool/conns_test.go
@@ -1,4 +1,4 @@
-package conns
+package connpool
 
 import (
 	"errors"
@@ -44,7 +44,7 @@
 
 func take(t *testing.T, p *Pool, address string) *Conn {
 	t.Helper()
-	c, err := p.Take(&Attempt{}, address, time.Now().Add(5*time.Second))
+	c, err := p.Get(&Attempt{}, address, time.Now().Add(5*time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 // never does.
 func TestBoundOfOpenConnections(t *testing.T) {
 	a, b := server(t), server(t)
-	p := NewPool(Options{IdleEach: 9, IdleFor: time.Minute, DialTimeout: time.Second, Max: 3, Limits: http1.DefaultLimits})
+	p := NewPool(Options{MaxIdlePerAddress: 9, IdleTimeout: time.Minute, DialTimeout: time.Second, MaxConns: 3, HeadLimits: http1.DefaultLimits})
 	defer p.Close()
 	oldest, kept, used := take(t, p, a), take(t, p, a), take(t, p, b)
 	p.Put(oldest)
@@ -65,15 +65,15 @@
 	if open, idle, dialed := p.Counts(); open != 3 || idle != 1 || dialed != 4 {
 		t.Errorf("%d open, %d idle, %d dialed", open, idle, dialed)
 	}
-	if c := p.Pop(a); c != kept {
+	if c := p.PopIdle(a); c != kept {
 		t.Error("another one than the oldest gave way")
 	}
 	var refused *DialError
-	if _, err := p.Take(&Attempt{}, a, time.Now().Add(time.Second)); !errors.As(err, &refused) || refused.TimedOut {
+	if _, err := p.Get(&Attempt{}, a, time.Now().Add(time.Second)); !errors.As(err, &refused) || refused.TimedOut {
 		t.Errorf("over the bound: %v", err)
 	}
 	for _, c := range []*Conn{kept, used, more} {
-		p.Drop(c)
+		p.Discard(c)
 	}
 	if open, _, _ := p.Counts(); open != 0 {
 		t.Errorf("%d open after all were dropped", open)
@@ -84,20 +84,20 @@
 // closed.
 func TestSweepAndKeep(t *testing.T) {
 	a, b := server(t), server(t)
-	p := NewPool(Options{IdleEach: 9, IdleFor: time.Minute, DialTimeout: time.Second, Limits: http1.DefaultLimits})
+	p := NewPool(Options{MaxIdlePerAddress: 9, IdleTimeout: time.Minute, DialTimeout: time.Second, HeadLimits: http1.DefaultLimits})
 	defer p.Close()
 	first, second := take(t, p, a), take(t, p, b)
 	p.Put(first)
 	p.Put(second)
-	p.Sweep(time.Now())
+	p.CloseExpired(time.Now())
 	if _, idle, _ := p.Counts(); idle != 2 {
 		t.Errorf("%d idle after a sweep in time", idle)
 	}
-	p.Keep([]string{b})
-	if _, idle, _ := p.Counts(); idle != 1 || p.Pop(a) != nil {
+	p.CloseIdleExcept([]string{b})
+	if _, idle, _ := p.Counts(); idle != 1 || p.PopIdle(a) != nil {
 		t.Errorf("%d idle: an address that left is kept", idle)
 	}
-	p.Sweep(time.Now().Add(2 * time.Minute))
+	p.CloseExpired(time.Now().Add(2 * time.Minute))
 	if open, idle, _ := p.Counts(); open != 0 || idle != 0 {
 		t.Errorf("%d open, %d idle after their time", open, idle)
 	}
@@ -105,7 +105,7 @@
 
 // An abort is of its number alone; after a cut nothing begins.
 func TestNumbered(t *testing.T) {
-	var n Numbered
+	var n NumberedAttempt
 	n.Abort(1)
 	for _, c := range []struct {
 		number int
@@ -121,7 +121,7 @@
 	if n.Abort(3); !n.Aborted() {
 		t.Error("the attempt runs on after its abort")
 	}
-	if n.Cut(); n.Begin(99) {
+	if n.AbortAll(); n.Begin(99) {
 		t.Error("an attempt begins after the cut")
 	}
 }
--- a/internal/emul/clients.go
+++ b/internal/emul/clients.go
@@ -167,7 +167,7 @@
 	h.requests[r.task] = r
 	wait := r.until - r.sentAt // as the request says
 	if s.found > 0 && s.s.Site.Found == scenario.FoundHalf {
-		wait -= (h.stood.To - h.stood.From) / 2
+		wait -= (h.stood.End - h.stood.Start) / 2
 	}
 	wait -= s.now - s.came()
 	h.inbox = append(h.inbox, &arrowwalk.Request{ID: r.task, Class: r.class, Left: arrowwalk.Micros(max(1, wait-margin)), Units: r.units, Shard: r.shard,
--- a/internal/emul/hosts.go
+++ b/internal/emul/hosts.go
@@ -316,7 +316,7 @@
 	closed := status == arrowwalk.OK && !r.final
 	unseen := int64(0)
 	if status != arrowwalk.OK && s.found == 0 && s.s.Site.TellsAge() {
-		unseen = h.stood.Within(at.sent, s.now)
+		unseen = h.stood.Overlap(at.sent, s.now)
 	}
 	h.inbox = append(h.inbox, &arrowwalk.Outcome{
 		Attempt: arrowwalk.Attempt{Request: r.task, Number: at.number, Node: arrowwalk.NodeID(s.bricks[at.brick].Name)},
@@ -419,7 +419,7 @@
 		return
 	}
 	held := h.held
-	h.held, h.armed, h.stood, h.stalled = nil, 0, stall.Stall{From: h.stallFrom, To: h.stalled}, 0
+	h.held, h.armed, h.stood, h.stalled = nil, 0, stall.Stall{Start: h.stallFrom, End: h.stalled}, 0
 	for i := range held {
 		s.found = held[i].at
 		s.take1(h, &held[i].event)
--- a/internal/endtoend/hard_test.go
+++ b/internal/endtoend/hard_test.go
@@ -173,7 +173,7 @@
 	for _, f := range append(fields, added...) {
 		head = http1.AppendField(head, f.Name, f.Value)
 	}
-	head = append(http1.AppendInt(head, "Content-Length", int64(len(text))), "\r\n"...)
+	head = append(http1.AppendIntField(head, "Content-Length", int64(len(text))), "\r\n"...)
 	status, _ := send(t, g, string(head)+string(text))
 	a := c.Do(&clients.Request{Method: "GET", Path: "/papers/s"})
 	if stored := a.Call.Status == 200; stored != (status == 200) || stored && !bytes.Equal(a.Body, body) {
--- a/internal/front/s3/body.go
+++ b/internal/front/s3/body.go
@@ -21,7 +21,7 @@
 	"arrowwalk/internal/front/s3/chunked"
 	"arrowwalk/internal/front/s3/sigv4"
 	"arrowwalk/internal/http1"
-	"arrowwalk/internal/peek"
+	"arrowwalk/internal/sockstate"
 )
 
 // nvme is the polynomial of x-amz-checksum-crc64nvme, reflected.
@@ -60,7 +60,7 @@
 func (x *exchange) newUpload() (*upload, error) {
 	req := &x.c.req
 	u := &upload{x: x, in: clientBody{x}, size: -1, md5: md5.New(), told: map[string]string{}, sums: map[string]hash.Hash{}}
-	if req.Sized {
+	if req.HasLength {
 		u.size = req.Length
 	}
 	if err := u.payload(); err != nil {
@@ -171,7 +171,7 @@
 	}
 	began := time.Now()
 	left := x.c.body.Remaining()
-	empty := x.c.in.Buffered() == 0 && x.c.raw != nil && !peek.Readable(x.c.raw)
+	empty := x.c.in.Buffered() == 0 && x.c.raw != nil && !sockstate.Readable(x.c.raw)
 	if left > onTheWay || (left < 0 || empty) && !x.away {
 		x.from = began // the client is still sending: its wait has not begun
 	}
--- a/internal/front/s3/exchange.go
+++ b/internal/front/s3/exchange.go
@@ -273,7 +273,7 @@
 func (x *exchange) head(status int, fields http1.Fields, length int64) {
 	x.status = status
 	x.s.stats.statuses[status/100].Add(1)
-	b := http1.AppendStatus(x.c.out[:0], status)
+	b := http1.AppendStatusLine(x.c.out[:0], status)
 	b = http1.AppendField(b, "x-amz-request-id", x.id)
 	b = http1.AppendField(b, "Date", dateNow())
 	b = append(b, "Server: arrowwalk\r\n"...)
@@ -281,7 +281,7 @@
 		b = http1.AppendField(b, fields[i].Name, fields[i].Value)
 	}
 	if length >= 0 {
-		b = http1.AppendInt(b, "Content-Length", length)
+		b = http1.AppendIntField(b, "Content-Length", length)
 	}
 	if x.s.closing.Load() {
 		x.close = true
--- a/internal/front/s3/server.go
+++ b/internal/front/s3/server.go
@@ -18,9 +18,9 @@
 	"arrowwalk/internal/front/s3/sigv4"
 	"arrowwalk/internal/host"
 	"arrowwalk/internal/http1"
-	"arrowwalk/internal/peek"
 	"arrowwalk/internal/placement"
 	"arrowwalk/internal/sizing"
+	"arrowwalk/internal/sockstate"
 	"arrowwalk/internal/spool"
 )
 
@@ -112,7 +112,7 @@
 	s := &Server{opt: opt, cfg: cfg, log: opt.Log, ln: ln, slots: slots, conns: map[*conn]struct{}{},
 		quit: make(chan struct{}), sizes: sizing.NewEstimator(64 << 10),
 		verifier: sigv4.NewVerifier(cfg.Region, config.MS(cfg.Timeouts.SkewMS), opt.Keys),
-		limits:   http1.Limits{LineBytes: min(16<<10, cfg.Bounds.HeaderBytes), HeadBytes: cfg.Bounds.HeaderBytes, Fields: 200}}
+		limits:   http1.Limits{MaxLineBytes: min(16<<10, cfg.Bounds.HeaderBytes), MaxHeadBytes: cfg.Bounds.HeaderBytes, MaxFields: 200}}
 	s.sender = attempts.Sender{Pool: opt.Pool, Host: opt.Host, Config: cfg, Seen: opt.Seen, AnyBrick: opt.AnyBrick}
 	s.longest = s.sender.Longest()
 	s.buckets.init(cfg)
@@ -201,7 +201,7 @@
 		nc.Close()
 		return
 	}
-	c := &conn{s: s, nc: nc, raw: peek.Raw(nc)}
+	c := &conn{s: s, nc: nc, raw: sockstate.RawConn(nc)}
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
@@ -226,7 +226,7 @@
 		}
 		var gone []*conn
 		s.eachConn(func(c *conn) {
-			if c.waits() && peek.Gone(c.raw) {
+			if c.waits() && sockstate.AtEOF(c.raw) {
 				gone = append(gone, c)
 			}
 		})
@@ -337,7 +337,7 @@
 			return net.ErrClosed
 		}
 	}
-	return peek.Await(c.raw)
+	return sockstate.WaitReadable(c.raw)
 }
 
 // patient reads a connection. Where its time is up and bytes are there all the
@@ -351,7 +351,7 @@
 // Read reads what has come.
 func (p patient) Read(b []byte) (int, error) {
 	n, err := p.c.nc.Read(b)
-	if n > 0 || !isTimeout(err) || p.c.raw == nil || p.c.s.closing.Load() || !peek.Readable(p.c.raw) {
+	if n > 0 || !isTimeout(err) || p.c.raw == nil || p.c.s.closing.Load() || !sockstate.Readable(p.c.raw) {
 		return n, err
 	}
 	p.c.nc.SetReadDeadline(time.Now().Add(lookAgain))
--- a/internal/host/still.go
+++ b/internal/host/still.go
@@ -8,7 +8,7 @@
 
 	"arrowwalk"
 	"arrowwalk/internal/stall"
-	"arrowwalk/internal/stall/sockage"
+	"arrowwalk/internal/tcpinfo"
 )
 
 // beatEvery is how often the host shows that it lives.
@@ -31,7 +31,7 @@
 
 func newStill(now arrowwalk.Micros) *still {
 	s := &still{detect: stall.NewDetector(beatEvery.Microseconds(), int64(now)), late: map[*Task]struct{}{}}
-	s.limit.Store(s.detect.Limit())
+	s.limit.Store(s.detect.StallDeadline())
 	return s
 }
 
@@ -39,17 +39,17 @@
 func (s *still) beat(now arrowwalk.Micros) (stall.Stall, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was, ok := s.detect.Beat(int64(now))
+	was, ok := s.detect.Heartbeat(int64(now))
 	if ok {
 		s.since = was
 		s.fresh.Store(true)
-		s.ended.Store(was.To)
-		s.catchUp.Begin(was.To, was.To-was.From)
+		s.ended.Store(was.End)
+		s.catchUp.Begin(was.End, was.End-was.Start)
 		if s.open == nil {
 			s.open = make(chan struct{})
 		}
 	}
-	s.limit.Store(s.detect.Limit()) // last: who sees the new limit sees the stall too
+	s.limit.Store(s.detect.StallDeadline()) // last: who sees the new limit sees the stall too
 	return was, ok
 }
 
@@ -58,7 +58,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.late[t] = struct{}{}
-	s.catchUp.Owe()
+	s.catchUp.AddPendingReply()
 }
 
 // decided notes that all final words that a stall made due are known, and
@@ -66,11 +66,11 @@
 func (s *still) decided() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.catchUp.Decided()
+	s.catchUp.FinishDeciding()
 	if len(s.late) == 0 {
 		s.reopen()
 	}
-	return s.catchUp.Words()
+	return s.catchUp.Replies()
 }
 
 // paid notes that t's final word is written.
@@ -81,8 +81,8 @@
 		return
 	}
 	delete(s.late, t)
-	s.catchUp.Paid()
-	if len(s.late) == 0 && !s.catchUp.Deciding() {
+	s.catchUp.MarkReplySent()
+	if len(s.late) == 0 && !s.catchUp.IsDeciding() {
 		s.reopen()
 	}
 }
@@ -102,12 +102,12 @@
 	if s.open == nil {
 		return nil, 0
 	}
-	if s.catchUp.Open(int64(now)) {
+	if s.catchUp.AllowsNew(int64(now)) {
 		clear(s.late)
 		s.reopen()
 		return nil, 0
 	}
-	return s.open, time.Duration(s.catchUp.Until()-int64(now)) * time.Microsecond
+	return s.open, time.Duration(s.catchUp.Deadline()-int64(now)) * time.Microsecond
 }
 
 // watch beats until the host stops.
@@ -137,7 +137,7 @@
 	if int64(now) > h.still.limit.Load() {
 		h.catchUp(now)
 	}
-	if int64(h.now())-h.still.ended.Load() < 2*stall.CatchUpMost {
+	if int64(h.now())-h.still.ended.Load() < 2*stall.MaxCatchUpMicros {
 		h.await(t)
 	}
 }
@@ -184,7 +184,7 @@
 	h.step()
 	h.catching = false
 	words := h.still.decided()
-	if span := time.Duration(was.To-was.From) * time.Microsecond; span >= logStill {
+	if span := time.Duration(was.End-was.Start) * time.Microsecond; span >= logStill {
 		h.log.Warn("this host stood still", "for", span.Round(time.Millisecond), "overdue", words)
 	}
 }
@@ -227,7 +227,7 @@
 	}
 	h.still.mu.Lock()
 	defer h.still.mu.Unlock()
-	at, ok := h.still.detect.Since(int64(now), span.Microseconds())
+	at, ok := h.still.detect.EarliestRecentStall(int64(now), span.Microseconds())
 	if !ok {
 		return time.Time{}, false
 	}
@@ -248,11 +248,11 @@
 	if !ok {
 		return time.Time{}, false
 	}
-	unread, counted := sockage.Unread(raw)
-	age, told := sockage.Age(raw)
-	f := stall.Found{Now: h.micros(time.Now()), Empty: h.micros(empty), Age: age.Microseconds(), Told: told,
-		Part: rest < 0 || rest > 0 && (!counted || int64(unread) < rest) || got+unread > windowLeast}
-	return h.base.Add(time.Duration(f.Came(h.micros(from))) * time.Microsecond), true
+	unread, counted := tcpinfo.UnreadBytes(raw)
+	age, told := tcpinfo.LastReceiveAge(raw)
+	f := stall.UnreadData{ObservedAt: h.micros(time.Now()), LastEmpty: h.micros(empty), Age: age.Microseconds(), AgeKnown: told,
+		Partial: rest < 0 || rest > 0 && (!counted || int64(unread) < rest) || got+unread > windowLeast}
+	return h.base.Add(time.Duration(f.ArrivalTime(h.micros(from))) * time.Microsecond), true
 }
 
 // Lay returns how long an attempt's answer, whose head was just read, lay in
@@ -275,7 +275,7 @@
 	h.still.mu.Lock()
 	defer h.still.mu.Unlock()
 	from := h.wall + h.micros(began)
-	return time.Duration(h.still.detect.Within(from, int64(h.now()))) * time.Microsecond
+	return time.Duration(h.still.detect.StalledTime(from, int64(h.now()))) * time.Microsecond
 }
 
 func (h *Host) micros(t time.Time) int64 { return t.Sub(h.base).Microseconds() }
@@ -293,6 +293,6 @@
 func (h *Host) Stalls() (n uint64, longest time.Duration) {
 	h.still.mu.Lock()
 	defer h.still.mu.Unlock()
-	n, most := h.still.detect.Count()
+	n, most := h.still.detect.Totals()
 	return n, time.Duration(most) * time.Microsecond
 }
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -45,9 +45,9 @@
 	return b.left
 }
 
-// Taken tells the body that n of its bytes were read past it, straight from
+// Advance tells the body that n of its bytes were read past it, straight from
 // the connection; only a body of fixed length can be read so.
-func (b *Body) Taken(n int64) {
+func (b *Body) Advance(n int64) {
 	b.left -= n
 	b.done = b.left == 0
 }
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -11,16 +11,16 @@
 
 // Limits bounds what is kept of a message's head.
 type Limits struct {
-	LineBytes int // longest line, request line included
-	HeadBytes int // whole head, in bytes
-	Fields    int // header fields
-	// DoubleFraming takes a length beside a transfer coding; for proofs that
+	MaxLineBytes int // longest line, request line included
+	MaxHeadBytes int // whole head, in bytes
+	MaxFields    int // header fields
+	// AcceptDoubleFraming takes a length beside a transfer coding; for proofs that
 	// must fail.
-	DoubleFraming bool
+	AcceptDoubleFraming bool
 }
 
 // DefaultLimits are the bounds for a message from a stranger.
-var DefaultLimits = Limits{LineBytes: 16 << 10, HeadBytes: 64 << 10, Fields: 128}
+var DefaultLimits = Limits{MaxLineBytes: 16 << 10, MaxHeadBytes: 64 << 10, MaxFields: 128}
 
 // Error tells why a message was refused and with which status.
 type Error struct {
@@ -82,10 +82,10 @@
 
 // Request is the head of a request.
 type Request struct {
-	Method string
-	Target string // as sent: path and query, not decoded
-	Minor  int    // 0 or 1, of HTTP/1.x
-	Fields Fields
+	Method       string
+	Target       string // as sent: path and query, not decoded
+	MinorVersion int    // 0 or 1, of HTTP/1.x
+	Fields       Fields
 
 	Framing
 	Expect100 bool // the client waits for 100 before it sends the body
@@ -94,9 +94,9 @@
 
 // Framing says how long a message's body is (RFC 9112 section 6).
 type Framing struct {
-	Length  int64 // bytes; 0 where there is none
-	Sized   bool  // Content-Length was given
-	Chunked bool
+	Length    int64 // bytes; 0 where there is none
+	HasLength bool  // Content-Length was given
+	Chunked   bool
 }
 
 // Response is the head of a response.
@@ -134,10 +134,10 @@
 	if err := parseRequestLine(line, q); err != nil {
 		return err
 	}
-	if q.Fields, err = parseFields(rest, q.Fields, r.limits.Fields); err != nil {
+	if q.Fields, err = parseFields(rest, q.Fields, r.limits.MaxFields); err != nil {
 		return err
 	}
-	return q.settle(r.limits.DoubleFraming)
+	return q.settle(r.limits.AcceptDoubleFraming)
 }
 
 // ReadResponse reads a response's head to a request with the given method.
@@ -151,7 +151,7 @@
 	if err := parseStatusLine(line, p); err != nil {
 		return err
 	}
-	if p.Fields, err = parseFields(rest, p.Fields, r.limits.Fields); err != nil {
+	if p.Fields, err = parseFields(rest, p.Fields, r.limits.MaxFields); err != nil {
 		return err
 	}
 	return p.settle(method)
@@ -163,16 +163,16 @@
 	lineStart := 0
 	for {
 		part, err := r.in.ReadSlice('\n')
-		if len(r.head)+len(part) > r.limits.HeadBytes {
-			return "", refuse(431, "head over %d bytes", r.limits.HeadBytes)
+		if len(r.head)+len(part) > r.limits.MaxHeadBytes {
+			return "", refuse(431, "head over %d bytes", r.limits.MaxHeadBytes)
 		}
 		r.head = append(r.head, part...)
 		length := len(r.head) - lineStart
-		if length > r.limits.LineBytes {
+		if length > r.limits.MaxLineBytes {
 			if lineStart == 0 {
-				return "", refuse(414, "first line over %d bytes", r.limits.LineBytes)
+				return "", refuse(414, "first line over %d bytes", r.limits.MaxLineBytes)
 			}
-			return "", refuse(431, "header line over %d bytes", r.limits.LineBytes)
+			return "", refuse(431, "header line over %d bytes", r.limits.MaxLineBytes)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
@@ -231,9 +231,9 @@
 	}
 	switch proto {
 	case "HTTP/1.1":
-		q.Minor = 1
+		q.MinorVersion = 1
 	case "HTTP/1.0":
-		q.Minor = 0
+		q.MinorVersion = 0
 	default:
 		if strings.HasPrefix(proto, "HTTP/") {
 			return refuse(505, "version %q", clip([]byte(proto)))
@@ -312,14 +312,14 @@
 		name, value := fields[i].Name, fields[i].Value
 		switch {
 		case equalFold(name, "Content-Length"):
-			if f.Sized {
+			if f.HasLength {
 				return f, refuse(bad, "two Content-Length fields")
 			}
 			length, err := parseLength(value)
 			if err != nil {
 				return f, refuse(bad, "bad Content-Length %q", clip([]byte(value)))
 			}
-			f.Length, f.Sized = length, true
+			f.Length, f.HasLength = length, true
 		case equalFold(name, "Transfer-Encoding"):
 			if f.Chunked {
 				return f, refuse(bad, "two Transfer-Encoding fields")
@@ -330,7 +330,7 @@
 			f.Chunked = true
 		}
 	}
-	if f.Sized && f.Chunked {
+	if f.HasLength && f.Chunked {
 		if !double {
 			return f, refuse(bad, "Content-Length beside Transfer-Encoding")
 		}
@@ -357,13 +357,13 @@
 	if q.Framing, err = frame(q.Fields, 400, double); err != nil {
 		return err
 	}
-	if q.Chunked && q.Minor == 0 {
+	if q.Chunked && q.MinorVersion == 0 {
 		return refuse(400, "chunked body in HTTP/1.0")
 	}
-	if hosts := q.Fields.Count("Host"); hosts > 1 || hosts == 0 && q.Minor == 1 {
+	if hosts := q.Fields.Count("Host"); hosts > 1 || hosts == 0 && q.MinorVersion == 1 {
 		return refuse(400, "%d Host fields", hosts)
 	}
-	q.Close = q.Minor == 0
+	q.Close = q.MinorVersion == 0
 	if c, ok := q.Fields.Lookup("Connection"); ok {
 		q.Close = hasItem(c, "close") || q.Close && !hasItem(c, "keep-alive")
 	}
@@ -371,7 +371,7 @@
 		if !strings.EqualFold(e, "100-continue") {
 			return refuse(417, "expectation %q", clip([]byte(e)))
 		}
-		q.Expect100 = q.Minor == 1
+		q.Expect100 = q.MinorVersion == 1
 	}
 	return nil
 }
@@ -388,7 +388,7 @@
 		p.Chunked = false
 		return nil
 	}
-	if !p.Sized && !p.Chunked {
+	if !p.HasLength && !p.Chunked {
 		return refuse(502, "response without a length")
 	}
 	return nil
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -23,7 +23,7 @@
 
 func TestRequests(t *testing.T) {
 	long := strings.Repeat("x", 300)
-	limits := Limits{LineBytes: 200, HeadBytes: 1000, Fields: 8}
+	limits := Limits{MaxLineBytes: 200, MaxHeadBytes: 1000, MaxFields: 8}
 	for _, c := range []struct {
 		name, text string
 		status     int // 0: good
@@ -114,7 +114,7 @@
 }
 
 func TestFieldsCannotBeInjected(t *testing.T) {
-	b := AppendField(AppendStatus(nil, 200), "X", "a\r\nSet: b\x00\x7f")
+	b := AppendField(AppendStatusLine(nil, 200), "X", "a\r\nSet: b\x00\x7f")
 	if want := "HTTP/1.1 200 OK\r\nX: aSet: b\r\n"; string(b) != want {
 		t.Errorf("%q, want %q", b, want)
 	}
@@ -126,7 +126,7 @@
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 	f.Add([]byte("PUT / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\nGET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 	f.Add([]byte("PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"))
-	limits := Limits{LineBytes: 512, HeadBytes: 2048, Fields: 16}
+	limits := Limits{MaxLineBytes: 512, MaxHeadBytes: 2048, MaxFields: 16}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		read := func(size int) (out []string) {
 			in := bufio.NewReaderSize(bytes.NewReader(text), size)
@@ -135,7 +135,7 @@
 				if err := heads.ReadRequest(&q); err != nil {
 					return append(out, "head error")
 				}
-				if strings.ContainsAny(q.Method+q.Target, "\r\n ") || len(q.Fields) > limits.Fields {
+				if strings.ContainsAny(q.Method+q.Target, "\r\n ") || len(q.Fields) > limits.MaxFields {
 					t.Fatalf("head %+v", q)
 				}
 				var b Body
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// AppendStatus appends a status line.
-func AppendStatus(b []byte, status int) []byte {
+// AppendStatusLine appends a status line.
+func AppendStatusLine(b []byte, status int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
@@ -24,8 +24,8 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendInt appends a header field with a number.
-func AppendInt(b []byte, name string, value int64) []byte {
+// AppendIntField appends a header field with a number.
+func AppendIntField(b []byte, name string, value int64) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
 	b = strconv.AppendInt(b, value, 10)
--- a/internal/platform/budget.go
+++ b/internal/platform/budget.go
@@ -38,5 +38,5 @@
 	debug.SetMemoryLimit(b.heap)
 }
 
-// Limit has the runtime of this process keep the configuration's limits.
-func (c *Config) Limit() { share(c.Limits).apply(c.Limits) }
+// ApplyLimits has the runtime of this process keep the configuration's limits.
+func (c *Config) ApplyLimits() { share(c.Limits).apply(c.Limits) }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -13,12 +13,12 @@
 
 // Config is what the platform tells a host at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Limits    Limits
-	Known     *discovery.List
-	Settings  *settings.Settings
+	Name        string
+	Listen      string
+	Discovery   string
+	Limits      Limits
+	KnownBricks *discovery.List
+	Settings    *settings.Settings
 }
 
 // Limits are what a host may use of its machine.
@@ -42,9 +42,9 @@
 // fileMax bounds the configuration file, bytes.
 const fileMax = 16 << 20
 
-// Load reads the configuration that the variables of the platform name; an
+// LoadConfig reads the configuration that the variables of the platform name; an
 // error names the variable, or the file and its field.
-func Load(getenv func(string) string) (*Config, error) {
+func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
 		return nil, fmt.Errorf("GW_CONFIG: it is not set; it must name the configuration file")
@@ -60,21 +60,21 @@
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	cfg, err := Parse(text, getenv)
+	cfg, err := ParseConfig(text, getenv)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return cfg, nil
 }
 
-// Parse reads a configuration. Name, listening address and discovery may be
+// ParseConfig reads a configuration. Name, listening address and discovery may be
 // left to the variables; where the file has them, it counts: it may be newer.
-func Parse(text []byte, getenv func(string) string) (*Config, error) {
+func ParseConfig(text []byte, getenv func(string) string) (*Config, error) {
 	f := file{Name: getenv("GW_NAME"), Listen: getenv("GW_LISTEN"), Discovery: getenv("GW_DISCOVERY")}
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, err
 	}
-	cfg := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Known: &discovery.List{}}
+	cfg := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, KnownBricks: &discovery.List{}}
 	if variable := getenv("GW_LISTEN"); variable != "" {
 		cfg.Listen = variable // where the platform's clients connect
 	}
@@ -94,7 +94,7 @@
 		return nil, fmt.Errorf("limits: %+v: must be cores over 0, 16 MB and 64 sockets or more", cfg.Limits)
 	}
 	if len(f.Known) > 0 {
-		if cfg.Known, err = discovery.Parse(f.Known); err != nil {
+		if cfg.KnownBricks, err = discovery.ParseList(f.Known); err != nil {
 			return nil, fmt.Errorf("known.%w", err)
 		}
 	}
--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -24,11 +24,11 @@
  {"name":"s-5be2a07c","address":"10.1.0.18:8000","zone":"b","type":"m2","group":3,"status":"active","weight":1.0,"since_ms":1700000000123}]}`
 
 func TestListInTheModulesTerms(t *testing.T) {
-	l, err := Parse([]byte(line))
+	l, err := ParseList([]byte(line))
 	if err != nil {
 		t.Fatal(err)
 	}
-	z := NewZones([]string{"a", "b"})
+	z := NewZoneIndex([]string{"a", "b"})
 	want := host.Member{Address: "10.1.0.18:8000", Zone: "b", Node: arrowwalk.Node{ID: "s-5be2a07c", Shard: 3, Zone: 1, Started: 1_700_000_000_123_000}}
 	if got := l.Members(z); len(got) != 1 || got[0] != want || l.Kind() != arrowwalk.ListSnapshot {
 		t.Errorf("%+v, want %+v", got, want)
@@ -50,7 +50,7 @@
 		{`"index":41`, `"index":"x"`, "index"},
 	} {
 		text := strings.Replace(line, c.old, c.new, 1)
-		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), c.says) {
+		if _, err := ParseList([]byte(text)); err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: %v", c.new, err)
 		}
 	}
@@ -124,8 +124,8 @@
 	c := &told{news: make(chan struct{}, 1)}
 	var log bytes.Buffer
 	known := &List{Index: 7, Snapshot: true, Endpoints: []Endpoint{{Name: "old", Address: "127.0.0.1:9", Zone: "a", Status: "active"}}}
-	f := Start(known, Options{Address: agent.Addr(), Zones: NewZones([]string{"a"}), Log: slog.New(slog.NewTextHandler(&log, nil)),
-		Told: c.take, Reached: c.reached})
+	f := Start(known, Options{Address: agent.Addr(), Zones: NewZoneIndex([]string{"a"}), Log: slog.New(slog.NewTextHandler(&log, nil)),
+		OnList: c.take, OnAddresses: c.reached})
 	defer f.Stop()
 	c.await(t, fmt.Sprint(arrowwalk.ListStored, "@7 old:0"))
 	book.Tell(entry("new", "active"), entry("old", "leaving"))
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	defer other.Stop()
-	if f.Move(agent.Addr()) || !f.Move(other.Addr()) {
+	if f.SetAddress(agent.Addr()) || !f.SetAddress(other.Addr()) {
 		t.Error("only another address is a move")
 	}
 	agent.Retire()
@@ -172,7 +172,7 @@
 		}
 	}()
 	c := &told{news: make(chan struct{}, 1)}
-	f := Start(&List{}, Options{Address: ln.Addr().String(), Zones: NewZones(nil), Log: slog.New(slog.DiscardHandler), Told: c.take, Reached: c.reached})
+	f := Start(&List{}, Options{Address: ln.Addr().String(), Zones: NewZoneIndex(nil), Log: slog.New(slog.DiscardHandler), OnList: c.take, OnAddresses: c.reached})
 	began := time.Now()
 	for range 5 {
 		<-asked
@@ -187,11 +187,11 @@
 	f.Add([]byte(line))
 	f.Add([]byte(`{"endpoints":[{"since_ms":1e300}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		l, err := Parse(text)
+		l, err := ParseList(text)
 		if err != nil {
 			return
 		}
-		for _, m := range l.Members(NewZones([]string{"a"})) {
+		for _, m := range l.Members(NewZoneIndex([]string{"a"})) {
 			if m.ID == "" || m.Shard < 0 || m.Started < 0 {
 				t.Errorf("%+v", m)
 			}
--- a/internal/platform/discovery/follow.go
+++ b/internal/platform/discovery/follow.go
@@ -13,13 +13,13 @@
 // Options of a Follower.
 type Options struct {
 	Address string // of the agent
-	Zones   *Zones
+	Zones   *ZoneIndex
 	Log     *slog.Logger
-	// Told is given each list, one at a time and in order.
-	Told func(kind arrowwalk.ListKind, index int64, members []host.Member)
-	// Reached is given the addresses of all bricks that have not left.
-	Reached func(addresses []string)
-	NoStart bool // the bricks' starts are not told; for proofs that must fail
+	// OnList is given each list, one at a time and in order.
+	OnList func(kind arrowwalk.ListKind, index int64, members []host.Member)
+	// OnAddresses is given the addresses of all bricks that have not left.
+	OnAddresses  func(addresses []string)
+	NoStartTimes bool // the bricks' starts are not told; for proofs that must fail
 }
 
 // Follower keeps a watch on the list, and opens it again when it ends.
@@ -57,16 +57,16 @@
 func (f *Follower) tell(kind arrowwalk.ListKind, l *List) {
 	members := l.Members(f.opt.Zones)
 	for i := range members {
-		if f.opt.NoStart {
+		if f.opt.NoStartTimes {
 			members[i].Started = 0
 		}
 	}
-	f.opt.Told(kind, l.Index, members)
+	f.opt.OnList(kind, l.Index, members)
 }
 
-// Answered is closed when an agent has answered for the first time, and its
+// Ready is closed when an agent has answered for the first time, and its
 // list is told.
-func (f *Follower) Answered() <-chan struct{} { return f.first }
+func (f *Follower) Ready() <-chan struct{} { return f.first }
 
 // Stop ends all watches.
 func (f *Follower) Stop() {
@@ -74,9 +74,9 @@
 	<-f.done
 }
 
-// Move follows the agent at another address from now on; false: it is the one
+// SetAddress follows the agent at another address from now on; false: it is the one
 // that is followed. The old watch serves until the new one has answered.
-func (f *Follower) Move(address string) bool {
+func (f *Follower) SetAddress(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if address == f.address {
@@ -217,7 +217,7 @@
 		f.index = l.Index
 		f.tell(l.Kind(), l)
 		f.book.take(l)
-		f.opt.Reached(f.book.addresses())
+		f.opt.OnAddresses(f.book.addresses())
 	}
 	f.ready(w)
 	return nil
--- a/internal/platform/discovery/list.go
+++ b/internal/platform/discovery/list.go
@@ -42,17 +42,17 @@
 	"active": arrowwalk.Ready, "leaving": arrowwalk.Draining, "left": arrowwalk.Removed,
 }
 
-// Parse reads a list and checks it; the error names the field at fault.
-func Parse(text []byte) (*List, error) {
+// ParseList reads a list and checks it; the error names the field at fault.
+func ParseList(text []byte) (*List, error) {
 	l := &List{}
 	if err := json.NewDecoder(bytes.NewReader(text)).Decode(l); err != nil {
 		return nil, err
 	}
-	return l, l.Check()
+	return l, l.Validate()
 }
 
-// Check tells what of a list cannot be.
-func (l *List) Check() error {
+// Validate tells what of a list cannot be.
+func (l *List) Validate() error {
 	if len(l.Endpoints) > entriesMax {
 		return fmt.Errorf("endpoints: over %d", entriesMax)
 	}
@@ -104,17 +104,17 @@
 	return nil
 }
 
-// Zones numbers zones as the settings do; those they lack come after them.
-type Zones struct {
+// ZoneIndex numbers zones as the settings do; those they lack come after them.
+type ZoneIndex struct {
 	numbers map[string]int
 }
 
 // zonesMax bounds how many names are told apart.
 const zonesMax = 1024
 
-// NewZones numbers the settings' zones.
-func NewZones(names []string) *Zones {
-	z := &Zones{numbers: map[string]int{}}
+// NewZoneIndex numbers the settings' zones.
+func NewZoneIndex(names []string) *ZoneIndex {
+	z := &ZoneIndex{numbers: map[string]int{}}
 	for i, name := range names {
 		z.numbers[name] = i
 	}
@@ -122,7 +122,7 @@
 }
 
 // Number returns a zone's number; past the bound each is one of its own.
-func (z *Zones) Number(name string) int {
+func (z *ZoneIndex) Number(name string) int {
 	n, ok := z.numbers[name]
 	if !ok {
 		n = len(z.numbers)
@@ -134,7 +134,7 @@
 }
 
 // Members turns a list into the host's form.
-func (l *List) Members(z *Zones) []host.Member {
+func (l *List) Members(z *ZoneIndex) []host.Member {
 	members := make([]host.Member, 0, len(l.Endpoints))
 	for i := range l.Endpoints {
 		e := &l.Endpoints[i]
--- a/internal/platform/discovery/watch_test.go
+++ b/internal/platform/discovery/watch_test.go
@@ -96,8 +96,8 @@
 
 func followed(t *testing.T, s *script) (*Follower, *told) {
 	c := &told{news: make(chan struct{}, 1)}
-	f := Start(&List{Index: 7}, Options{Address: s.ln.Addr().String(), Zones: NewZones([]string{"a"}),
-		Log: slog.New(slog.DiscardHandler), Told: c.take, Reached: c.reached})
+	f := Start(&List{Index: 7}, Options{Address: s.ln.Addr().String(), Zones: NewZoneIndex([]string{"a"}),
+		Log: slog.New(slog.DiscardHandler), OnList: c.take, OnAddresses: c.reached})
 	t.Cleanup(f.Stop)
 	return f, c
 }
@@ -183,7 +183,7 @@
 	old.begin()
 	old.list(8, true, "a", "active")
 	c.await(t, fmt.Sprint(arrowwalk.ListSnapshot, "@8 a:0"))
-	if !f.Move(after.ln.Addr().String()) {
+	if !f.SetAddress(after.ln.Addr().String()) {
 		t.Fatal("not moved")
 	}
 	next := after.next() // it has asked, and is not answered
@@ -207,14 +207,14 @@
 	a, b, last := newScript(t), newScript(t), newScript(t)
 	f, c := followed(t, a)
 	silent := a.next()
-	f.Move(b.ln.Addr().String())
-	f.Move(last.ln.Addr().String())
+	f.SetAddress(b.ln.Addr().String())
+	f.SetAddress(last.ln.Addr().String())
 	silent.over()
 	w := last.next()
 	w.begin()
 	w.list(8, true, "z", "active")
 	c.await(t, fmt.Sprint(arrowwalk.ListSnapshot, "@8 z:0"))
-	<-f.Answered()
+	<-f.Ready()
 	select {
 	case <-last.calls:
 		t.Error("the last address is asked twice")
--- a/internal/platform/giveway/giveway_test.go
+++ b/internal/platform/eviction/giveway_test.go
@@ -1,4 +1,4 @@
-package giveway
+package eviction
 
 import (
 	"math/rand/v2"
@@ -7,7 +7,7 @@
 )
 
 func names(t *Table[string], now int64, most int) (list []string) {
-	t.Victims(now, func(e *Entry[string]) bool {
+	t.EachVictim(now, func(e *Entry[string]) bool {
 		list = append(list, e.Conn)
 		return len(list) < most
 	})
@@ -19,27 +19,27 @@
 // never.
 func TestWhoGivesWay(t *testing.T) {
 	tab := NewTable[string](6, 3)
-	add := func(name string, at int64, to Stage) *Entry[string] {
+	add := func(name string, at int64, to State) *Entry[string] {
 		e := tab.Add(name, at)
-		tab.Move(e, to, at)
+		tab.SetState(e, to, at)
 		return e
 	}
-	add("idle", 0, Idle)
-	add("open", 0, Open)
-	if got := names(tab, 10*IdleMin, 9); len(got) != 0 {
+	add("idle", 0, StateIdle)
+	add("open", 0, StateWaiting)
+	if got := names(tab, 10*MinIdleMicros, 9); len(got) != 0 {
 		t.Errorf("with room for all, %v give way", got)
 	}
-	add("just idle", 9*IdleMin, Idle)
-	add("silent", 1, Fresh)
-	if got := names(tab, 10*IdleMin, 9); !slices.Equal(got, []string{"idle", "just idle"}) {
+	add("just idle", 9*MinIdleMicros, StateIdle)
+	add("silent", 1, StateNew)
+	if got := names(tab, 10*MinIdleMicros, 9); !slices.Equal(got, []string{"idle", "just idle"}) {
 		t.Errorf("%v give way", got)
 	}
-	if got := names(tab, 10*IdleMin-1, 9); !slices.Equal(got, []string{"idle"}) {
+	if got := names(tab, 10*MinIdleMicros-1, 9); !slices.Equal(got, []string{"idle"}) {
 		t.Errorf("%v give way before their time", got)
 	}
-	second := add("silent too", 2, Fresh)
-	add("stuck", 0, Reading)
-	if !tab.Full() {
+	second := add("silent too", 2, StateNew)
+	add("stuck", 0, StateReading)
+	if !tab.IsFull() {
 		t.Error("the table is not full")
 	}
 	if got := names(tab, 1, 9); !slices.Equal(got, []string{"silent", "silent too", "stuck"}) {
@@ -47,9 +47,9 @@
 	}
 	tab.Remove(second)
 	tab.Remove(second)
-	tab.Move(second, Open, 3)
-	if _, here := tab.Stage(second); here || tab.Count() != 5 || tab.In(Open) != 1 {
-		t.Errorf("a removed connection counts: %d, %d open", tab.Count(), tab.In(Open))
+	tab.SetState(second, StateWaiting, 3)
+	if _, here := tab.State(second); here || tab.Count() != 5 || tab.CountIn(StateWaiting) != 1 {
+		t.Errorf("a removed connection counts: %d, %d open", tab.Count(), tab.CountIn(StateWaiting))
 	}
 }
 
@@ -58,7 +58,7 @@
 	tab := NewTable[int](20, 4)
 	for n := range 8 {
 		for _, first := range []bool{true, false} {
-			if got, want := tab.Keep(first), n < 4 || !first && n < 6; got != want {
+			if got, want := tab.ShouldKeep(first), n < 4 || !first && n < 6; got != want {
 				t.Errorf("%d connections, first %v: kept %v", n, first, got)
 			}
 		}
@@ -67,12 +67,12 @@
 }
 
 func TestBytesAreBounded(t *testing.T) {
-	b := Bytes{Max: 100}
-	if !b.Hold(60) || b.Hold(41) || !b.Hold(40) || b.Held() != 100 {
+	b := ByteBudget{Max: 100}
+	if !b.Acquire(60) || b.Acquire(41) || !b.Acquire(40) || b.InUse() != 100 {
 		t.Error("the bound of 100 bytes does not hold")
 	}
-	b.Free(60)
-	if !b.Hold(60) {
+	b.Release(60)
+	if !b.Acquire(60) {
 		t.Error("what was freed cannot be had")
 	}
 }
@@ -82,25 +82,25 @@
 func TestAgainstAPlainList(t *testing.T) {
 	dice := rand.New(rand.NewPCG(1, 2))
 	tab := NewTable[int](40, 20)
-	stage := map[*Entry[int]]Stage{}
+	stage := map[*Entry[int]]State{}
 	for now := range int64(20_000) {
 		switch n := dice.IntN(10); {
-		case n < 3 && !tab.Full():
-			stage[tab.Add(int(now), now*1000)] = Fresh
+		case n < 3 && !tab.IsFull():
+			stage[tab.Add(int(now), now*1000)] = StateNew
 		default:
 			for e := range stage {
 				if n == 9 {
 					tab.Remove(e)
 					delete(stage, e)
 				} else {
-					stage[e] = Stage(dice.IntN(int(stages)))
-					tab.Move(e, stage[e], now*1000)
+					stage[e] = State(dice.IntN(int(stages)))
+					tab.SetState(e, stage[e], now*1000)
 				}
 				break
 			}
 		}
-		tab.Victims(now*1000, func(e *Entry[int]) bool {
-			if stage[e] == Open {
+		tab.EachVictim(now*1000, func(e *Entry[int]) bool {
+			if stage[e] == StateWaiting {
 				t.Fatal("an open request gives way")
 			}
 			if dice.IntN(4) == 0 {
--- a/internal/platform/entry/check.go
+++ b/internal/platform/frontend/check.go
@@ -1,4 +1,4 @@
-package entry
+package frontend
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"arrowwalk"
 	"arrowwalk/internal/http1"
-	"arrowwalk/internal/platform/exit"
+	"arrowwalk/internal/platform/upstream"
 )
 
 // Header fields of clients.
@@ -25,7 +25,7 @@
 )
 
 // limits of a client's heads.
-var limits = http1.Limits{LineBytes: 2 << 10, HeadBytes: 8 << 10, Fields: 48}
+var limits = http1.Limits{MaxLineBytes: 2 << 10, MaxHeadBytes: 8 << 10, MaxFields: 48}
 
 // asked is what a request's head says, checked.
 type asked struct {
@@ -79,8 +79,8 @@
 	if !class.Writes && (q.Chunked || q.Length > 0) {
 		return bad(400, "a %s has no body", want)
 	}
-	if q.Length > exit.BodyMax {
-		return bad(413, "Content-Length %d: over %d", q.Length, exit.BodyMax)
+	if q.Length > upstream.MaxRequestBodyBytes {
+		return bad(413, "Content-Length %d: over %d", q.Length, upstream.MaxRequestBodyBytes)
 	}
 	return c.fields(q, a, class)
 }
@@ -127,28 +127,28 @@
 	for _, f := range [...]struct {
 		name string
 		into *string
-	}{{exit.HeaderID, &a.id}, {headerPlan, &plan}, {exit.HeaderTimeout, &wait}, {headerIO, &io}} {
+	}{{upstream.HeaderRequestID, &a.id}, {headerPlan, &plan}, {upstream.HeaderTimeout, &wait}, {headerIO, &io}} {
 		var err error
 		if *f.into, err = one(q.Fields, f.name); err != nil {
 			return err
 		}
 	}
 	if a.id == "" || len(a.id) > idMax {
-		return bad(400, "%s: must be 1 to %d bytes", exit.HeaderID, idMax)
+		return bad(400, "%s: must be 1 to %d bytes", upstream.HeaderRequestID, idMax)
 	}
-	if n := q.Fields.Count(exit.HeaderKey); n > 1 {
-		return bad(400, "%d fields %s: must be one", n, exit.HeaderKey)
+	if n := q.Fields.Count(upstream.HeaderIdempotencyKey); n > 1 {
+		return bad(400, "%d fields %s: must be one", n, upstream.HeaderIdempotencyKey)
 	}
-	a.key = q.Fields.Get(exit.HeaderKey)
+	a.key = q.Fields.Get(upstream.HeaderIdempotencyKey)
 	if class.Repeat == arrowwalk.Keyed && a.key == "" || len(a.key) > keyMax {
-		return bad(400, "%s: must be 1 to %d bytes", exit.HeaderKey, keyMax)
+		return bad(400, "%s: must be 1 to %d bytes", upstream.HeaderIdempotencyKey, keyMax)
 	}
 	var ok bool
 	if a.volume.Plan, ok = c.plans[plan]; !ok {
 		return bad(400, "%s: no plan is called %.32q", headerPlan, plan)
 	}
 	if a.timeout, ok = seconds(wait, class.Deadline); !ok {
-		return bad(400, "%s: %.32q is no number of seconds", exit.HeaderTimeout, wait)
+		return bad(400, "%s: %.32q is no number of seconds", upstream.HeaderTimeout, wait)
 	}
 	a.again = q.Fields.Get(headerRetry) == "1"
 	return c.io(io, a)
--- a/internal/platform/entry/check_test.go
+++ b/internal/platform/frontend/check_test.go
@@ -1,4 +1,4 @@
-package entry
+package frontend
 
 import (
 	"strings"
@@ -70,8 +70,8 @@
 		{"absolute", "GET", "http://h/fetch-text" + piece, fields(), http1.Framing{}, 404, "path"},
 		{"signed hex", "GET", "/fetch-text/+000000000000abc/ffffffffffffffff", fields(), http1.Framing{}, 404, "16 hex"},
 		{"method", "PUT", "/fetch-text" + piece, fields(), http1.Framing{}, 405, "PUT"},
-		{"body of a read", "GET", "/fetch-text" + piece, fields(), http1.Framing{Length: 1, Sized: true}, 400, "no body"},
-		{"too large", "PUT", "/save-paper" + piece, fields(), http1.Framing{Length: 65<<10 + 1, Sized: true}, 413, "Content-Length"},
+		{"body of a read", "GET", "/fetch-text" + piece, fields(), http1.Framing{Length: 1, HasLength: true}, 400, "no body"},
+		{"too large", "PUT", "/save-paper" + piece, fields(), http1.Framing{Length: 65<<10 + 1, HasLength: true}, 413, "Content-Length"},
 		{"no id", "GET", "/fetch-text" + piece, fields("X-Request-ID", ""), http1.Framing{}, 400, "X-Request-ID"},
 		{"long id", "GET", "/fetch-text" + piece, fields("X-Request-ID", strings.Repeat("x", 65)), http1.Framing{}, 400, "X-Request-ID"},
 		{"two ids", "GET", "/fetch-text" + piece, append(fields(), http1.Field{Name: "x-request-id", Value: "b"}), http1.Framing{}, 400, "X-Request-ID"},
--- a/internal/platform/entry/conn.go
+++ b/internal/platform/frontend/conn.go
@@ -1,4 +1,4 @@
-package entry
+package frontend
 
 import (
 	"bufio"
@@ -12,10 +12,10 @@
 
 	"arrowwalk/internal/host"
 	"arrowwalk/internal/http1"
-	"arrowwalk/internal/peek"
-	"arrowwalk/internal/platform/exit"
-	"arrowwalk/internal/platform/giveway"
-	"arrowwalk/internal/stall/sockage"
+	"arrowwalk/internal/platform/eviction"
+	"arrowwalk/internal/platform/upstream"
+	"arrowwalk/internal/sockstate"
+	"arrowwalk/internal/tcpinfo"
 )
 
 // conn is one client's connection, served by one goroutine.
@@ -27,7 +27,7 @@
 	req   http1.Request
 	body  http1.Body
 	out   []byte
-	place *giveway.Entry[*conn]
+	place *eviction.Entry[*conn]
 	asked int // requests so far
 
 	mu    sync.Mutex
@@ -66,18 +66,20 @@
 
 // stage moves the connection to a stage; false: it gave way meanwhile, and
 // what comes on it is not read any more.
-func (c *conn) stage(to giveway.Stage) bool {
+func (c *conn) stage(to eviction.State) bool {
 	c.s.mu.Lock()
 	defer c.s.mu.Unlock()
-	if at, here := c.s.table.Stage(c.place); !here || at == giveway.Closing && to != giveway.Closing {
+	if at, here := c.s.table.State(c.place); !here || at == eviction.StateClosing && to != eviction.StateClosing {
 		return false
 	}
-	c.s.table.Move(c.place, to, c.s.now())
+	c.s.table.SetState(c.place, to, c.s.now())
 	return true
 }
 
 // speaks tells whether bytes have come that nobody has read.
-func (c *conn) speaks() bool { return c.raw != nil && peek.Readable(c.raw) && !peek.Gone(c.raw) }
+func (c *conn) speaks() bool {
+	return c.raw != nil && sockstate.Readable(c.raw) && !sockstate.AtEOF(c.raw)
+}
 
 // await waits for a request's first byte, without a buffer.
 func (c *conn) await(fresh bool) bool {
@@ -87,15 +89,15 @@
 	c.release()
 	if !fresh {
 		c.nc.SetReadDeadline(time.Time{}) // before: who evicts it sets another
-		if !c.stage(giveway.Idle) {
+		if !c.stage(eviction.StateIdle) {
 			return false
 		}
 	}
-	if err := peek.Await(c.raw); err != nil {
+	if err := sockstate.WaitReadable(c.raw); err != nil {
 		return false
 	}
 	if fresh {
-		if !c.stage(giveway.Starting) {
+		if !c.stage(eviction.StateFirstRequest) {
 			return false
 		}
 	} else if !c.startReading() {
@@ -108,7 +110,7 @@
 
 // startReading moves the connection into its next request.
 func (c *conn) startReading() bool {
-	if !c.stage(giveway.Reading) {
+	if !c.stage(eviction.StateReading) {
 		return false
 	}
 	c.nc.SetReadDeadline(time.Now().Add(readMax))
@@ -129,21 +131,21 @@
 		return c.refuse(err)
 	}
 	held := c.bodyMax()
-	if !c.s.bodies.Hold(held) {
+	if !c.s.bodies.Acquire(held) {
 		wait := time.Duration(c.s.opt.Settings.MaxWait) * time.Microsecond
 		c.write(503, c.retryAfter(wait), nil, true)
 		return false
 	}
-	defer c.s.bodies.Free(held)
+	defer c.s.bodies.Release(held)
 	body, err := c.readBody()
 	if err != nil {
 		return c.refuse(err)
 	}
 	if !c.s.ids.take(a.id) {
-		return c.refuse(bad(409, "%s %.64q: it is, or was, another request's", exit.HeaderID, a.id))
+		return c.refuse(bad(409, "%s %.64q: it is, or was, another request's", upstream.HeaderRequestID, a.id))
 	}
 	defer c.s.ids.done(a.id)
-	if !c.stage(giveway.Open) {
+	if !c.stage(eviction.StateWaiting) {
 		return false
 	}
 	return c.decide(&a, body)
@@ -152,7 +154,7 @@
 // bodyMax returns how much memory the request's body may take, bytes.
 func (c *conn) bodyMax() int64 {
 	if c.req.Chunked {
-		return exit.BodyMax
+		return upstream.MaxRequestBodyBytes
 	}
 	return c.req.Length
 }
@@ -173,9 +175,9 @@
 		_, err := io.ReadFull(&c.body, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(&c.body, exit.BodyMax+1))
-	if err == nil && len(body) > exit.BodyMax {
-		err = bad(413, "body over %d bytes", exit.BodyMax)
+	body, err := io.ReadAll(io.LimitReader(&c.body, upstream.MaxRequestBodyBytes+1))
+	if err == nil && len(body) > upstream.MaxRequestBodyBytes {
+		err = bad(413, "body over %d bytes", upstream.MaxRequestBodyBytes)
 	}
 	return body, err
 }
@@ -186,10 +188,10 @@
 // came returns when the request's last byte came, whenever it was read.
 func (c *conn) came() time.Time {
 	now := time.Now()
-	if c.s.opt.NoAge {
+	if c.s.opt.NoArrivalAge {
 		return now
 	}
-	if age, ok := sockage.Age(c.raw); ok && age >= sockage.Coarse && age < ageMax {
+	if age, ok := tcpinfo.LastReceiveAge(c.raw); ok && age >= tcpinfo.MinReliableAge && age < ageMax {
 		return now.Add(-age)
 	}
 	return now
@@ -198,14 +200,14 @@
 // exchange is what one request needs until its answer.
 type exchange struct {
 	task host.Task
-	call exit.Call
+	call upstream.Call
 }
 
 // decide hands the request to the host and passes its final word on.
 func (c *conn) decide(a *asked, body []byte) bool {
-	x := &exchange{call: exit.Call{Method: c.req.Method, Target: c.req.Target, ID: a.id, Key: a.key, Body: body}}
-	x.call.Ready(c.s.opt.Sender)
-	x.call.Left = c.lookLeft
+	x := &exchange{call: upstream.Call{Method: c.req.Method, Target: c.req.Target, ID: a.id, Key: a.key, Body: body}}
+	x.call.Init(c.s.opt.Sender)
+	x.call.ClientGone = c.lookLeft
 	x.task = host.Task{Class: a.class, Volume: a.volume, Key: a.piece, HasKey: true, Units: a.units, Shard: a.shard,
 		Until: c.came().Add(a.timeout), Again: a.again, Runner: &x.call, Label: a.id, Outlive: true, Tells: true}
 	c.asked++
@@ -216,11 +218,11 @@
 	}
 	v := c.s.opt.Host.Do(&x.task)
 	c.leave(x)
-	defer x.call.Free()
+	defer x.call.ReleaseResponse()
 	defer c.s.opt.Host.Answered(&x.task)
 	switch v.End {
 	case host.Served:
-		return c.answer(200, "", x.call.Answer)
+		return c.answer(200, "", x.call.ResponseBody)
 	case host.Refused:
 		return c.answer(503, c.retryAfter(v.After), nil)
 	case host.Gone:
@@ -262,7 +264,7 @@
 
 // lookLeft looks whether the client has gone, and tells the host.
 func (c *conn) lookLeft() bool {
-	if c.s.opt.NoLook || !peek.Left(c.raw) {
+	if c.s.opt.NoDisconnectCheck || !sockstate.PeerClosed(c.raw) {
 		return false
 	}
 	if c.abandon() {
@@ -305,7 +307,7 @@
 	}
 	c.s.mu.Lock()
 	defer c.s.mu.Unlock()
-	return c.s.table.Keep(c.asked <= 1)
+	return c.s.table.ShouldKeep(c.asked <= 1)
 }
 
 // copyMax is the longest body that is copied behind its head, bytes.
@@ -313,9 +315,9 @@
 
 // write writes an answer; false: it did not arrive.
 func (c *conn) write(status int, field string, body []byte, last bool) bool {
-	b := http1.AppendStatus(c.out[:0], status)
+	b := http1.AppendStatusLine(c.out[:0], status)
 	b = append(b, field...)
-	b = http1.AppendInt(b, "Content-Length", int64(len(body)))
+	b = http1.AppendIntField(b, "Content-Length", int64(len(body)))
 	if last {
 		b = append(b, "Connection: close\r\n"...)
 	}
@@ -356,7 +358,7 @@
 // bounded time. A close with unread bytes would reset the connection under the
 // last answer. The caller closes the connection after it.
 func (c *conn) linger() {
-	if !c.stage(giveway.Closing) {
+	if !c.stage(eviction.StateClosing) {
 		return
 	}
 	shutWrite(c.nc)
--- a/internal/platform/entry/ids.go
+++ b/internal/platform/frontend/ids.go
@@ -1,4 +1,4 @@
-package entry
+package frontend
 
 import "sync"
 
--- a/internal/platform/entry/race_test.go
+++ b/internal/platform/frontend/race_test.go
@@ -1,4 +1,4 @@
-package entry
+package frontend
 
 import (
 	"bufio"
@@ -19,9 +19,9 @@
 	"arrowwalk"
 	"arrowwalk/internal/host"
 	"arrowwalk/internal/http1"
-	"arrowwalk/internal/peek"
-	"arrowwalk/internal/platform/exit"
-	"arrowwalk/internal/platform/giveway"
+	"arrowwalk/internal/platform/eviction"
+	"arrowwalk/internal/platform/upstream"
+	"arrowwalk/internal/sockstate"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -101,8 +101,8 @@
 	r.brick = listen(t)
 	var bricks sync.WaitGroup
 	bricks.Go(func() { r.serveBrick(&bricks) })
-	sender := exit.NewSender(exit.Options{Host: h, DialTimeout: 10 * time.Second, IdleFor: time.Minute, Max: 50,
-		Longest: time.Minute, Bytes: 1 << 20, Dial: func(ctx context.Context, address string) (net.Conn, error) {
+	sender := upstream.NewSender(upstream.Options{Host: h, DialTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxConns: 50,
+		MaxClientWait: time.Minute, MaxResponseBytes: 1 << 20, Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			nc, err := new(net.Dialer).DialContext(ctx, "tcp", address)
 			if hold {
 				up := make(chan struct{})
@@ -113,7 +113,7 @@
 		}})
 	h.Nodes(arrowwalk.ListSnapshot, 1, []host.Member{{Node: arrowwalk.Node{ID: "b"}, Address: r.brick.Addr().String()}})
 	r.ln = &seenListener{listen(t).(*net.TCPListener), r.seen, gate, make(chan struct{}, 1)}
-	r.s = Start(r.ln, Options{Host: h, Sender: sender, Settings: set, Log: slog.New(slog.DiscardHandler), Max: 50, Easy: 40, BodyBytes: 1 << 20})
+	r.s = Start(r.ln, Options{Host: h, Sender: sender, Settings: set, Log: slog.New(slog.DiscardHandler), MaxConns: 50, IdleEvictionThreshold: 40, MaxBodyBytes: 1 << 20})
 	t.Cleanup(func() {
 		r.s.Stop()
 		h.Close()
@@ -219,12 +219,12 @@
 }
 
 // conn returns the server's side of the only connection in a stage.
-func (r *rig) conn(stage giveway.Stage) *giveway.Entry[*conn] {
+func (r *rig) conn(stage eviction.State) *eviction.Entry[*conn] {
 	r.t.Helper()
 	for began := time.Now(); time.Since(began) < 20*time.Second; time.Sleep(time.Millisecond) {
-		var found *giveway.Entry[*conn]
+		var found *eviction.Entry[*conn]
 		r.s.mu.Lock()
-		r.s.table.Each(stage, func(e *giveway.Entry[*conn]) { found = e })
+		r.s.table.ForEach(stage, func(e *eviction.Entry[*conn]) { found = e })
 		r.s.mu.Unlock()
 		if found != nil {
 			return found
@@ -257,11 +257,11 @@
 			p := r.dial()
 			p.say(request("one", ""))
 			up := <-r.dials
-			e := r.conn(giveway.Open)
+			e := r.conn(eviction.StateWaiting)
 			leave(p)
-			eventually(t, "the close does not come over", func() bool { return peek.Left(e.Conn.raw) })
+			eventually(t, "the close does not come over", func() bool { return sockstate.PeerClosed(e.Conn.raw) })
 			close(up)
-			eventually(t, "the request is not over", func() bool { return r.s.Conns() == 0 && r.s.opt.Host.Stats().Ended["gone"] == 1 })
+			eventually(t, "the request is not over", func() bool { return r.s.ConnCount() == 0 && r.s.opt.Host.Stats().Ended["gone"] == 1 })
 			select {
 			case <-r.asked:
 				t.Error("a brick got the request of a client that had gone")
@@ -281,15 +281,15 @@
 	p := r.dial()
 	p.say(request("one", "Connection: close\r\n"))
 	brick := <-r.asked
-	e := r.conn(giveway.Open)
+	e := r.conn(eviction.StateWaiting)
 	p.say(strings.Repeat("x", 100<<10))
-	eventually(t, "the bytes do not come over", func() bool { return peek.Readable(e.Conn.raw) })
+	eventually(t, "the bytes do not come over", func() bool { return sockstate.Readable(e.Conn.raw) })
 	io.WriteString(brick, goodAnswer)
 	eventually(t, "the connection does not end", func() bool {
 		r.s.mu.Lock()
 		defer r.s.mu.Unlock()
-		stage, here := r.s.table.Stage(e.Conn.place)
-		return !here || stage == giveway.Closing
+		stage, here := r.s.table.State(e.Conn.place)
+		return !here || stage == eviction.StateClosing
 	})
 	p.say(strings.Repeat("y", 10<<10)) // and once more, behind the shutdown
 	if got := p.status(); got != 200 {
@@ -306,7 +306,7 @@
 	p.say(request("one", ""))
 	r.serve()
 	p.status()
-	e := r.conn(giveway.Idle)
+	e := r.conn(eviction.StateIdle)
 	r.s.mu.Lock()
 	if e.Conn.speaks() {
 		t.Error("it has sent something")
@@ -317,7 +317,7 @@
 	r.s.evict(e)
 	r.s.mu.Unlock()
 	p.end()
-	eventually(t, "the connection is kept", func() bool { return r.s.Conns() == 0 })
+	eventually(t, "the connection is kept", func() bool { return r.s.ConnCount() == 0 })
 	if s := r.s.Stats(); s.Requests != 1 {
 		t.Errorf("%d requests were taken", s.Requests)
 	}
@@ -331,7 +331,7 @@
 	p.say(request("one", ""))
 	r.serve()
 	p.status()
-	r.conn(giveway.Idle)
+	r.conn(eviction.StateIdle)
 	r.s.mu.Lock()
 	<-r.seen // of the first request
 	p.say(request("two", ""))
@@ -353,7 +353,7 @@
 	eventually(t, "the listener's end has not begun", r.s.closing.Load)
 	r.s.mu.Unlock()
 	<-closed
-	if got := r.s.Conns(); got != len(peers) {
+	if got := r.s.ConnCount(); got != len(peers) {
 		t.Errorf("%d connections of %d are counted", got, len(peers))
 	}
 	r.allServed(peers)
@@ -436,8 +436,8 @@
 	r := newRig(t, false)
 	p := r.dial()
 	p.say(request("half", "")[:30])
-	r.conn(giveway.Starting)
-	r.s.EndReading()
+	r.conn(eviction.StateFirstRequest)
+	r.s.ExpireReads()
 	began := time.Now()
 	if got, took := p.status(), time.Since(began); got != 408 || took > freshMax/2 {
 		t.Errorf("answered %d after %s", got, took)
--- a/internal/platform/entry/server.go
+++ b/internal/platform/frontend/server.go
@@ -1,6 +1,6 @@
 // Package entry is the platform's protocol towards clients: what they send is
 // checked, handed to the host, and gets one final answer.
-package entry
+package frontend
 
 import (
 	"errors"
@@ -14,9 +14,9 @@
 	"arrowwalk"
 	"arrowwalk/internal/host"
 	"arrowwalk/internal/http1"
-	"arrowwalk/internal/peek"
-	"arrowwalk/internal/platform/exit"
-	"arrowwalk/internal/platform/giveway"
+	"arrowwalk/internal/platform/eviction"
+	"arrowwalk/internal/platform/upstream"
+	"arrowwalk/internal/sockstate"
 )
 
 // Times of connections.
@@ -33,20 +33,20 @@
 // Options of a Server. The caller keeps Host and Sender, and closes them after
 // Stop.
 type Options struct {
-	Host      *host.Host
-	Sender    *exit.Sender
-	Settings  *arrowwalk.Settings
-	Log       *slog.Logger
-	Max       int   // connections
-	Easy      int   // connections from which on idle ones are closed
-	BodyBytes int64 // of bodies held at once
-	// NoEvict keeps silent connections, DoubleFraming takes a length beside a
-	// transfer coding, NoAge takes what is found in a socket for fresh; for proofs
+	Host                  *host.Host
+	Sender                *upstream.Sender
+	Settings              *arrowwalk.Settings
+	Log                   *slog.Logger
+	MaxConns              int   // connections
+	IdleEvictionThreshold int   // connections from which on idle ones are closed
+	MaxBodyBytes          int64 // of bodies held at once
+	// NoEviction keeps silent connections, AcceptDoubleFraming takes a length beside a
+	// transfer coding, NoArrivalAge takes what is found in a socket for fresh; for proofs
 	// that must fail.
-	NoEvict, DoubleFraming, NoAge bool
-	// NoLook never looks for clients that left, NoBound bounds no deadline by the
+	NoEviction, AcceptDoubleFraming, NoArrivalAge bool
+	// NoDisconnectCheck never looks for clients that left, NoShutdownDeadline bounds no deadline by the
 	// end of a planned restart; for the same.
-	NoLook, NoBound bool
+	NoDisconnectCheck, NoShutdownDeadline bool
 }
 
 // Server serves clients on one listener.
@@ -59,7 +59,7 @@
 	stats   counters
 	drains  atomic.Bool  // a planned restart has begun
 	tell    atomic.Int64 // from then on clients are told to connect anew; 0: they are not
-	bodies  giveway.Bytes
+	bodies  eviction.ByteBudget
 	quit    chan struct{}
 	wg      sync.WaitGroup
 
@@ -67,8 +67,8 @@
 	accepted chan struct{} // closed when no more connections are taken
 
 	mu    sync.Mutex
-	table *giveway.Table[*conn]
-	calls map[*exit.Call]struct{} // that the host decides on
+	table *eviction.Table[*conn]
+	calls map[*upstream.Call]struct{} // that the host decides on
 	base  time.Time
 }
 
@@ -77,14 +77,14 @@
 
 // Stats are counts since the start.
 type Stats struct {
-	Requests uint64 // that were handed to the host
-	Bad      uint64 // that were refused as they came
-	Gone     uint64 // whose clients left
-	Evicted  uint64 // connections that gave way for others
-	Turned   uint64 // connections turned away, with nobody to give way
-	Open     int
-	Conns    int
-	Draining bool // a planned restart has begun
+	Requests    uint64 // that were handed to the host
+	Rejected    uint64 // that were refused as they came
+	ClientsGone uint64 // whose clients left
+	Evicted     uint64 // connections that gave way for others
+	TurnedAway  uint64 // connections turned away, with nobody to give way
+	Open        int
+	Conns       int
+	Draining    bool // a planned restart has begun
 }
 
 // Stats returns the counts so far.
@@ -93,15 +93,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Stats{c.requests.Load(), c.bad.Load(), c.gone.Load(), c.evicted.Load(), c.turned.Load(),
-		s.table.In(giveway.Open), s.table.Count(), s.draining()}
+		s.table.CountIn(eviction.StateWaiting), s.table.Count(), s.draining()}
 }
 
 // Start serves ln until Stop.
 func Start(ln net.Listener, opt Options) *Server {
 	s := &Server{opt: opt, ln: ln, checker: newChecker(opt.Settings), ids: ids{open: map[string]bool{}},
-		quit: make(chan struct{}), accepted: make(chan struct{}), table: giveway.NewTable[*conn](opt.Max, opt.Easy), calls: map[*exit.Call]struct{}{}, base: time.Now()}
-	s.limits, s.bodies.Max = limits, opt.BodyBytes
-	s.limits.DoubleFraming = opt.DoubleFraming
+		quit: make(chan struct{}), accepted: make(chan struct{}), table: eviction.NewTable[*conn](opt.MaxConns, opt.IdleEvictionThreshold), calls: map[*upstream.Call]struct{}{}, base: time.Now()}
+	s.limits, s.bodies.Max = limits, opt.MaxBodyBytes
+	s.limits.AcceptDoubleFraming = opt.AcceptDoubleFraming
 	s.wg.Add(2)
 	go s.accept()
 	go s.watch()
@@ -126,7 +126,7 @@
 			return
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			if peek.Pending(s.ln) { // the time ran out before it looked
+			if sockstate.HasPendingConn(s.ln) { // the time ran out before it looked
 				continue
 			}
 			return
@@ -158,16 +158,16 @@
 func (s *Server) open(nc net.Conn) {
 	s.mu.Lock()
 	s.makeRoom(false)
-	if s.table.Full() {
+	if s.table.IsFull() {
 		s.mu.Unlock()
 		s.stats.turned.Add(1)
 		nc.Close()
 		return
 	}
-	if !s.opt.NoEvict {
+	if !s.opt.NoEviction {
 		nc.SetReadDeadline(time.Now().Add(freshMax)) // before: who evicts it sets another
 	}
-	c := &conn{s: s, nc: nc, raw: peek.Raw(nc)}
+	c := &conn{s: s, nc: nc, raw: sockstate.RawConn(nc)}
 	c.place = s.table.Add(c, s.now())
 	s.wg.Add(1)
 	s.mu.Unlock()
@@ -178,16 +178,16 @@
 // is set; below it, all that were idle for long, but for a planned restart, in
 // which their clients could not connect anew. The caller holds s.mu.
 func (s *Server) makeRoom(must bool) {
-	full := must || s.table.Full()
+	full := must || s.table.IsFull()
 	if !full && s.draining() {
 		return
 	}
-	s.table.Victims(s.now(), func(e *giveway.Entry[*conn]) bool {
-		stage, _ := s.table.Stage(e)
-		if s.opt.NoEvict && stage == giveway.Fresh {
+	s.table.EachVictim(s.now(), func(e *eviction.Entry[*conn]) bool {
+		stage, _ := s.table.State(e)
+		if s.opt.NoEviction && stage == eviction.StateNew {
 			return true
 		}
-		if stage != giveway.Closing && e.Conn.speaks() {
+		if stage != eviction.StateClosing && e.Conn.speaks() {
 			return true // it has sent what nobody has read yet
 		}
 		s.stats.evicted.Add(1)
@@ -204,8 +204,8 @@
 // evict begins the lingering close of a connection between requests. What
 // comes on it from now on is dropped unread: its client sees the end and sends
 // it once more elsewhere. The caller holds s.mu.
-func (s *Server) evict(e *giveway.Entry[*conn]) {
-	s.table.Move(e, giveway.Closing, s.now())
+func (s *Server) evict(e *eviction.Entry[*conn]) {
+	s.table.SetState(e, eviction.StateClosing, s.now())
 	shutWrite(e.Conn.nc)
 	e.Conn.nc.SetReadDeadline(time.Unix(1, 0)) // its goroutine, which waits for a request, goes on to linger
 }
@@ -225,10 +225,10 @@
 		}
 		waiting = waiting[:0]
 		s.mu.Lock()
-		if !s.table.Full() { // who has no connection left cannot ask for room by connecting
+		if !s.table.IsFull() { // who has no connection left cannot ask for room by connecting
 			s.makeRoom(false)
 		}
-		s.table.Each(giveway.Open, func(e *giveway.Entry[*conn]) { waiting = append(waiting, e.Conn) })
+		s.table.ForEach(eviction.StateWaiting, func(e *eviction.Entry[*conn]) { waiting = append(waiting, e.Conn) })
 		s.mu.Unlock()
 		for _, c := range waiting {
 			c.lookGone()
@@ -242,7 +242,7 @@
 func (s *Server) Drain(tell, last time.Time) {
 	s.drains.Store(true)
 	s.tell.Store(tell.UnixNano())
-	if !s.opt.NoBound {
+	if !s.opt.NoShutdownDeadline {
 		s.opt.Host.Shutdown(last)
 	}
 }
@@ -265,8 +265,8 @@
 
 // closeIdle is CloseIdle for a caller that holds s.mu.
 func (s *Server) closeIdle() {
-	for _, stage := range [...]giveway.Stage{giveway.Idle, giveway.Fresh} {
-		s.table.Each(stage, func(e *giveway.Entry[*conn]) {
+	for _, stage := range [...]eviction.State{eviction.StateIdle, eviction.StateNew} {
+		s.table.ForEach(stage, func(e *eviction.Entry[*conn]) {
 			if !e.Conn.speaks() {
 				s.evict(e)
 			}
@@ -274,13 +274,13 @@
 	}
 }
 
-// EndReading answers the connections that are inside a request as if its time
+// ExpireReads answers the connections that are inside a request as if its time
 // were up: there is none left to serve it.
-func (s *Server) EndReading() {
+func (s *Server) ExpireReads() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, stage := range [...]giveway.Stage{giveway.Starting, giveway.Reading} {
-		s.table.Each(stage, func(e *giveway.Entry[*conn]) { e.Conn.nc.SetReadDeadline(time.Unix(1, 0)) })
+	for _, stage := range [...]eviction.State{eviction.StateFirstRequest, eviction.StateReading} {
+		s.table.ForEach(stage, func(e *eviction.Entry[*conn]) { e.Conn.nc.SetReadDeadline(time.Unix(1, 0)) })
 	}
 }
 
@@ -292,8 +292,8 @@
 	s.ln.Close()
 }
 
-// Conns returns how many connections are left.
-func (s *Server) Conns() int {
+// ConnCount returns how many connections are left.
+func (s *Server) ConnCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Count()
@@ -304,14 +304,14 @@
 	s.ln.Close()
 	close(s.quit)
 	s.mu.Lock()
-	for stage := giveway.Fresh; stage <= giveway.Closing; stage++ {
-		s.table.Each(stage, func(e *giveway.Entry[*conn]) {
+	for stage := eviction.StateNew; stage <= eviction.StateClosing; stage++ {
+		s.table.ForEach(stage, func(e *eviction.Entry[*conn]) {
 			e.Conn.nc.Close()
 			e.Conn.abandon()
 		})
 	}
 	for call := range s.calls { // some have outlived their clients
-		call.Cut()
+		call.AbortAll()
 	}
 	s.mu.Unlock()
 	s.wg.Wait()
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -15,8 +15,8 @@
 	"arrowwalk"
 	"arrowwalk/internal/host"
 	"arrowwalk/internal/platform/discovery"
-	"arrowwalk/internal/platform/entry"
-	"arrowwalk/internal/platform/exit"
+	"arrowwalk/internal/platform/frontend"
+	"arrowwalk/internal/platform/upstream"
 )
 
 // Times of a planned restart, which is killed no sooner than killSpare after
@@ -42,39 +42,39 @@
 	idlePart   = 0.8                     // of the settings' idle time, for which connections are reused
 )
 
-// Platform is a running host.
-type Platform struct {
+// Instance is a running host.
+type Instance struct {
 	cfg    *Config
 	log    *slog.Logger
 	host   *host.Host
-	sender *exit.Sender
-	server *entry.Server
+	sender *upstream.Sender
+	server *frontend.Server
 	follow *discovery.Follower
 	quit   chan struct{}
 	wg     sync.WaitGroup
 }
 
-// Guards that can be taken out, for proofs that must fail.
-type Guards struct {
-	DoubleFraming bool // a length beside a transfer coding is taken
-	KeepDirty     bool // a connection with bytes behind its answer is used again
-	NoEvict       bool // silent connections are kept
-	NoAge         bool // what is found in a client's socket is taken for fresh
-	NoStart       bool // bricks are taken for warm, whenever they started
-	NoRest        bool // a brick's connection is used again at once
-	NoLook        bool // nobody looks whether a waiting client has gone
-	NoReserve     bool // clients may take all descriptors
-	NoBound       bool // a planned restart leaves the deadlines of what was taken
+// DisabledGuards that can be taken out, for proofs that must fail.
+type DisabledGuards struct {
+	AcceptDoubleFraming bool // a length beside a transfer coding is taken
+	ReuseDirtyConns     bool // a connection with bytes behind its answer is used again
+	NoEviction          bool // silent connections are kept
+	NoArrivalAge        bool // what is found in a client's socket is taken for fresh
+	NoStartTimes        bool // bricks are taken for warm, whenever they started
+	NoReuseDelay        bool // a brick's connection is used again at once
+	NoDisconnectCheck   bool // nobody looks whether a waiting client has gone
+	NoDescriptorReserve bool // clients may take all descriptors
+	NoShutdownDeadline  bool // a planned restart leaves the deadlines of what was taken
 }
 
 // Start serves as cfg says until Stop.
-func Start(cfg *Config, log *slog.Logger, without Guards) (*Platform, error) {
+func Start(cfg *Config, log *slog.Logger, without DisabledGuards) (*Instance, error) {
 	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	set, b := cfg.Settings, share(cfg.Limits)
-	if without.NoReserve {
+	if without.NoDescriptorReserve {
 		b.clients = 2 * cfg.Limits.Sockets
 	}
 	h, err := host.New(host.Options{Settings: set.Settings, Log: log})
@@ -85,20 +85,20 @@
 	if len(set.Unknown) > 0 {
 		log.Info("settings that this host does not know are passed over", "keys", set.Unknown)
 	}
-	p := &Platform{cfg: cfg, log: log, host: h, quit: make(chan struct{})}
+	p := &Instance{cfg: cfg, log: log, host: h, quit: make(chan struct{})}
 	rest := restMin
-	if without.NoRest {
+	if without.NoReuseDelay {
 		rest = 0
 	}
-	p.sender = exit.NewSender(exit.Options{Host: h, Reports: set.Reports, DialTimeout: span(set.DialTimeout, time.Second),
-		IdleFor: time.Duration(idlePart * float64(span(set.IdleClose, 10*time.Second))), Max: b.bricks, Rest: rest,
-		Longest: p.longest(), Bytes: b.answers, KeepDirty: without.KeepDirty})
-	p.follow = discovery.Start(cfg.Known, discovery.Options{Address: cfg.Discovery, Zones: discovery.NewZones(set.Zones),
-		Log: log, Told: h.Nodes, Reached: p.sender.Keep, NoStart: without.NoStart})
+	p.sender = upstream.NewSender(upstream.Options{Host: h, LoadFields: set.Reports, DialTimeout: span(set.DialTimeout, time.Second),
+		IdleTimeout: time.Duration(idlePart * float64(span(set.IdleClose, 10*time.Second))), MaxConns: b.bricks, ReuseDelay: rest,
+		MaxClientWait: p.longest(), MaxResponseBytes: b.answers, ReuseDirtyConns: without.ReuseDirtyConns})
+	p.follow = discovery.Start(cfg.KnownBricks, discovery.Options{Address: cfg.Discovery, Zones: discovery.NewZoneIndex(set.Zones),
+		Log: log, OnList: h.Nodes, OnAddresses: p.sender.CloseIdleExcept, NoStartTimes: without.NoStartTimes})
 	p.awaitList()
-	p.server = entry.Start(ln, entry.Options{Host: h, Sender: p.sender, Settings: &p.cfg.Settings.Settings, Log: log,
-		Max: b.clients, Easy: b.easy, BodyBytes: b.bodies, NoEvict: without.NoEvict, DoubleFraming: without.DoubleFraming, NoAge: without.NoAge,
-		NoLook: without.NoLook, NoBound: without.NoBound})
+	p.server = frontend.Start(ln, frontend.Options{Host: h, Sender: p.sender, Settings: &p.cfg.Settings.Settings, Log: log,
+		MaxConns: b.clients, IdleEvictionThreshold: b.easy, MaxBodyBytes: b.bodies, NoEviction: without.NoEviction, AcceptDoubleFraming: without.AcceptDoubleFraming, NoArrivalAge: without.NoArrivalAge,
+		NoDisconnectCheck: without.NoDisconnectCheck, NoShutdownDeadline: without.NoShutdownDeadline})
 	p.wg.Add(1)
 	go p.sweep()
 	return p, nil
@@ -107,11 +107,11 @@
 // awaitList waits for the agent's first answer, for a bounded time: what it has
 // counts as told from the first moment on, and clients come once this host
 // serves.
-func (p *Platform) awaitList() {
+func (p *Instance) awaitList() {
 	timer := time.NewTimer(listMax)
 	defer timer.Stop()
 	select {
-	case <-p.follow.Answered():
+	case <-p.follow.Ready():
 	case <-timer.C:
 		p.log.Warn("discovery does not answer, starting with the bricks that were known", "waited", listMax)
 	}
@@ -126,7 +126,7 @@
 }
 
 // longest returns the longest that a client waits.
-func (p *Platform) longest() time.Duration {
+func (p *Instance) longest() time.Duration {
 	var most arrowwalk.Micros
 	for _, c := range p.cfg.Settings.Classes {
 		most = max(most, c.Deadline)
@@ -135,10 +135,10 @@
 }
 
 // Addr returns the address that clients connect to.
-func (p *Platform) Addr() string { return p.server.Addr() }
+func (p *Instance) Addr() string { return p.server.Addr() }
 
 // sweep closes the connections to bricks that were idle for too long.
-func (p *Platform) sweep() {
+func (p *Instance) sweep() {
 	defer p.wg.Done()
 	tick := time.NewTicker(sweepEvery)
 	defer tick.Stop()
@@ -147,15 +147,15 @@
 		case <-p.quit:
 			return
 		case <-tick.C:
-			p.sender.Sweep()
+			p.sender.CloseExpired()
 		}
 	}
 }
 
 // Reload follows what a new configuration changes: discovery's address. What
 // else it has is for the next start.
-func (p *Platform) Reload(cfg *Config) {
-	if p.follow.Move(cfg.Discovery) {
+func (p *Instance) Reload(cfg *Config) {
+	if p.follow.SetAddress(cfg.Discovery) {
 		p.log.Info("discovery is asked at another address", "address", cfg.Discovery)
 	}
 }
@@ -164,19 +164,19 @@
 // requests served for as long as there is time, then clients are told to connect
 // anew, and what is taken gets its answer. It returns sooner where no client is
 // left.
-func (p *Platform) Stop(ctx context.Context) {
+func (p *Instance) Stop(ctx context.Context) {
 	began := time.Now()
 	end := began.Add(min(p.longest(), deadlineMax) + killSpare)
-	empty := func() bool { return time.Since(began) > newMax && p.server.Conns() == 0 }
+	empty := func() bool { return time.Since(began) > newMax && p.server.ConnCount() == 0 }
 	p.server.Drain(end.Add(-tellMin), end.Add(-answerMin))
 	p.wait(ctx, end.Add(-idleMin), empty)
 	p.server.CloseListener()
 	p.wait(ctx, end.Add(-exitMin), func() bool {
 		p.server.CloseIdle()
 		if !time.Now().Before(end.Add(-answerMin)) {
-			p.server.EndReading()
+			p.server.ExpireReads()
 		}
-		return p.server.Conns() == 0
+		return p.server.ConnCount() == 0
 	})
 	p.server.Stop()
 	p.follow.Stop()
@@ -187,7 +187,7 @@
 }
 
 // wait waits until a time, or until done says so; nil: never.
-func (p *Platform) wait(ctx context.Context, until time.Time, done func() bool) {
+func (p *Instance) wait(ctx context.Context, until time.Time, done func() bool) {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	for time.Now().Before(until) {
@@ -202,11 +202,11 @@
 	}
 }
 
-// Report returns what an operator would look at first.
-func (p *Platform) Report() []any {
+// LogAttrs returns what an operator would look at first.
+func (p *Instance) LogAttrs() []any {
 	s, h := p.server.Stats(), p.host.Stats()
 	open, idle, dialed := p.sender.Counts()
-	return []any{"requests", s.Requests, "bad", s.Bad, "gone", s.Gone, "evicted", s.Evicted, "turned", s.Turned,
+	return []any{"requests", s.Requests, "bad", s.Rejected, "gone", s.ClientsGone, "evicted", s.Evicted, "turned", s.TurnedAway,
 		"draining", s.Draining, "open", s.Open, "conns", s.Conns, "brick_conns", open, "brick_idle", idle, "dialed", dialed,
 		"ended", h.Ended, "attempts", h.Attempts, "stalls", h.Stalls, "stall_max", h.StallMax, "step_mean", h.StepMean}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -57,18 +57,18 @@
 		{`"cell"`, `"odd"`, "save-paper"},
 		{`{"name":"n1"`, `{"name":7`, "name"},
 	} {
-		if _, err := Parse([]byte(configText(c.old, c.new)), none); err == nil || !strings.Contains(err.Error(), c.says) {
+		if _, err := ParseConfig([]byte(configText(c.old, c.new)), none); err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: %v", c.new, err)
 		}
 	}
-	if _, err := Load(none); err == nil || !strings.Contains(err.Error(), "GW_CONFIG") {
+	if _, err := LoadConfig(none); err == nil || !strings.Contains(err.Error(), "GW_CONFIG") {
 		t.Errorf("no GW_CONFIG: %v", err)
 	}
 	lost := filepath.Join(t.TempDir(), "lost.json")
-	if _, err := Load(func(string) string { return lost }); err == nil || !strings.Contains(err.Error(), lost) {
+	if _, err := LoadConfig(func(string) string { return lost }); err == nil || !strings.Contains(err.Error(), lost) {
 		t.Errorf("no file: %v", err)
 	}
-	cfg, err := Parse([]byte(configText()), func(name string) string { return map[string]string{"GW_LISTEN": "127.0.0.1:9"}[name] })
+	cfg, err := ParseConfig([]byte(configText()), func(name string) string { return map[string]string{"GW_LISTEN": "127.0.0.1:9"}[name] })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 // rig is a host in this process with bricks, an agent and a log.
 type rig struct {
 	t      *testing.T
-	p      *Platform
+	p      *Instance
 	log    *standin.Log
 	book   *standin.Book
 	agent  *standin.Agent
@@ -111,7 +111,7 @@
 }
 
 // newRig starts a host with two bricks; change may alter the configuration.
-func newRig(t *testing.T, without Guards, change ...string) *rig {
+func newRig(t *testing.T, without DisabledGuards, change ...string) *rig {
 	t.Helper()
 	r := &rig{t: t, log: standin.NewLog(), book: standin.NewBook(41)}
 	for group := range 2 {
@@ -128,7 +128,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.agent.Stop)
-	cfg, err := Parse([]byte(configText(append([]string{"127.0.0.1:2", r.agent.Addr(), "127.0.0.1:1", "127.0.0.1:0"}, change...)...)), none)
+	cfg, err := ParseConfig([]byte(configText(append([]string{"127.0.0.1:2", r.agent.Addr(), "127.0.0.1:1", "127.0.0.1:0"}, change...)...)), none)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -161,7 +161,7 @@
 
 // A read and a write go to their bricks and back unchanged.
 func TestServes(t *testing.T) {
-	r := newRig(t, Guards{})
+	r := newRig(t, DisabledGuards{})
 	defer r.p.Stop(context.Background())
 	r.served()
 	c := r.client("c")
@@ -192,7 +192,7 @@
 // Strangers get an error or a close in time, no brick sees them, and a usual
 // client is served beside them.
 func TestStrangers(t *testing.T) {
-	r := newRig(t, Guards{})
+	r := newRig(t, DisabledGuards{})
 	defer r.p.Stop(context.Background())
 	r.served()
 	r.bricks[0].Take(500 * time.Millisecond) // keeps an id open
@@ -226,7 +226,7 @@
 
 // Hundreds that connect and stay silent give way, and usual clients do not.
 func TestSilentOnesGiveWay(t *testing.T) {
-	r := newRig(t, Guards{})
+	r := newRig(t, DisabledGuards{})
 	defer r.p.Stop(context.Background())
 	r.served()
 	kept := r.client("kept")
@@ -251,7 +251,7 @@
 	if got := kept.Do(r.read(2)); got != 200 {
 		t.Errorf("the kept connection: %d", got)
 	}
-	if s := r.p.server.Stats(); s.Conns > 256 || s.Evicted == 0 || s.Turned != 0 {
+	if s := r.p.server.Stats(); s.Conns > 256 || s.Evicted == 0 || s.TurnedAway != 0 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -259,7 +259,7 @@
 // Clients that ask once and keep their connection for good give way by time
 // alone: nobody else need connect for that.
 func TestKeptForGood(t *testing.T) {
-	r := newRig(t, Guards{}, `"sockets":256`, `"sockets":96`)
+	r := newRig(t, DisabledGuards{}, `"sockets":256`, `"sockets":96`)
 	defer r.p.Stop(context.Background())
 	r.served()
 	var kept []*standin.Client
@@ -295,7 +295,7 @@
 // for as long as there is time and then told to connect anew, and what was taken
 // has its answer before the host would be killed.
 func TestStop(t *testing.T) {
-	r := newRig(t, Guards{})
+	r := newRig(t, DisabledGuards{})
 	r.served()
 	r.bricks[0].Take(700 * time.Millisecond)
 	kept := r.client("kept")
@@ -355,7 +355,7 @@
 // A client that leaves costs neither its brick's connection nor a false word to
 // the module: the attempt ends as it ends, and nothing of it is kept.
 func TestAttemptOutlivesItsClient(t *testing.T) {
-	r := newRig(t, Guards{})
+	r := newRig(t, DisabledGuards{})
 	r.served()
 	r.bricks[0].Take(300 * time.Millisecond)
 	_, _, dialed := r.p.sender.Counts()
@@ -389,7 +389,7 @@
 // In a planned restart no connection is closed for want of room while there is
 // time: its client could not connect anew.
 func TestStopKeepsACrowd(t *testing.T) {
-	r := newRig(t, Guards{}, `"sockets":256`, `"sockets":96`)
+	r := newRig(t, DisabledGuards{}, `"sockets":256`, `"sockets":96`)
 	r.served()
 	stopped := make(chan struct{})
 	var crowd []*standin.Client
@@ -423,7 +423,7 @@
 				t.Fatalf("round %d, client %d: %d", round, n, got)
 			}
 		}
-		if conns := r.p.server.Conns(); conns < len(crowd) && time.Since(began) < 2600*time.Millisecond {
+		if conns := r.p.server.ConnCount(); conns < len(crowd) && time.Since(began) < 2600*time.Millisecond {
 			t.Fatalf("round %d: %d connections of %d are left", round, conns, len(crowd))
 		}
 	}
@@ -432,7 +432,7 @@
 
 // Bricks, clients and ids that come and go leave nothing behind.
 func TestNothingGrows(t *testing.T) {
-	r := newRig(t, Guards{})
+	r := newRig(t, DisabledGuards{})
 	defer r.p.Stop(context.Background())
 	r.served()
 	goroutines := runtime.NumGoroutine()
@@ -474,12 +474,12 @@
 	}
 	defer b.Stop()
 	known := fmt.Sprintf(`"endpoints":[{"name":"known","address":%q,"zone":"a","group":0,"status":"active","since_ms":0}]`, b.Addr())
-	cfg, err := Parse([]byte(configText(`"endpoints":[]`, known, "127.0.0.1:1", "127.0.0.1:0")), none)
+	cfg, err := ParseConfig([]byte(configText(`"endpoints":[]`, known, "127.0.0.1:1", "127.0.0.1:0")), none)
 	if err != nil {
 		t.Fatal(err)
 	}
 	cfg.Discovery = "127.0.0.1:1" // nobody listens there
-	p, err := Start(cfg, slog.New(slog.DiscardHandler), Guards{})
+	p, err := Start(cfg, slog.New(slog.DiscardHandler), DisabledGuards{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -496,7 +496,7 @@
 
 // A new configuration moves the watch; a drained brick gets nothing new.
 func TestReload(t *testing.T) {
-	r := newRig(t, Guards{})
+	r := newRig(t, DisabledGuards{})
 	defer r.p.Stop(context.Background())
 	r.served()
 	other, err := standin.NewAgent(r.book)
@@ -504,7 +504,7 @@
 		t.Fatal(err)
 	}
 	defer other.Stop()
-	next, err := Parse([]byte(configText("127.0.0.1:2", other.Addr())), none)
+	next, err := ParseConfig([]byte(configText("127.0.0.1:2", other.Addr())), none)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -529,7 +529,7 @@
 
 // A refused request's answer arrives though its sender still sends.
 func TestAnswerArrivesUnderAFlood(t *testing.T) {
-	r := newRig(t, Guards{})
+	r := newRig(t, DisabledGuards{})
 	defer r.p.Stop(context.Background())
 	for range 5 {
 		nc, err := net.Dial("tcp", r.p.Addr())
@@ -555,7 +555,7 @@
 	f.Add([]byte(configText()))
 	f.Add([]byte(`{"limits":{},"settings":[]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if cfg, err := Parse(text, none); err == nil {
+		if cfg, err := ParseConfig(text, none); err == nil {
 			if b := share(cfg.Limits); b.clients <= 0 || b.bricks <= 0 {
 				t.Errorf("%+v of %+v", b, cfg.Limits)
 			}
--- a/internal/platform/start_test.go
+++ b/internal/platform/start_test.go
@@ -11,13 +11,13 @@
 )
 
 // startAt starts a host whose agent and listener are given.
-func startAt(t *testing.T, agent string) *Platform {
+func startAt(t *testing.T, agent string) *Instance {
 	t.Helper()
-	cfg, err := Parse([]byte(configText("127.0.0.1:2", agent, "127.0.0.1:1", "127.0.0.1:0")), none)
+	cfg, err := ParseConfig([]byte(configText("127.0.0.1:2", agent, "127.0.0.1:1", "127.0.0.1:0")), none)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := Start(cfg, slog.New(slog.DiscardHandler), Guards{})
+	p, err := Start(cfg, slog.New(slog.DiscardHandler), DisabledGuards{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/exit/body.go
+++ b/internal/platform/upstream/body.go
@@ -1,11 +1,11 @@
-package exit
+package upstream
 
 import (
 	"errors"
 	"io"
 	"sync"
 
-	"arrowwalk/internal/conns"
+	"arrowwalk/internal/connpool"
 	"arrowwalk/internal/http1"
 )
 
@@ -25,22 +25,22 @@
 // blocks are buffers of blockMin bytes for reuse.
 var blocks = sync.Pool{New: func() any { return make([]byte, 0, blockMin) }}
 
-// Free gives the memory of the answer back; its bytes are not to be used any
+// ReleaseResponse gives the memory of the answer back; its bytes are not to be used any
 // more.
-func (c *Call) Free() {
-	if n := cap(c.Answer); n > 0 {
-		c.sender.memory.Free(int64(n))
+func (c *Call) ReleaseResponse() {
+	if n := cap(c.ResponseBody); n > 0 {
+		c.sender.memory.Release(int64(n))
 		if n == blockMin {
-			blocks.Put(c.Answer[:0])
+			blocks.Put(c.ResponseBody[:0])
 		}
 	}
-	c.Answer = nil
+	c.ResponseBody = nil
 }
 
 // grow gives the answer room for more, within want bytes in all.
 func (c *Call) grow(want int64) error {
-	n := min(max(2*cap(c.Answer), blockMin), int(max(want, blockMin)))
-	if !c.sender.memory.Hold(int64(n)) {
+	n := min(max(2*cap(c.ResponseBody), blockMin), int(max(want, blockMin)))
+	if !c.sender.memory.Acquire(int64(n)) {
 		return errMemory
 	}
 	var next []byte
@@ -49,35 +49,35 @@
 	} else {
 		next = make([]byte, 0, n)
 	}
-	next = append(next, c.Answer...)
-	c.Free()
-	c.Answer = next
+	next = append(next, c.ResponseBody...)
+	c.ReleaseResponse()
+	c.ResponseBody = next
 	return nil
 }
 
 // readBody reads the answer's body whole into c.Answer.
-func (c *Call) readBody(nc *conns.Conn, head *http1.Response) error {
-	c.Free() // of an attempt before
+func (c *Call) readBody(nc *connpool.Conn, head *http1.Response) error {
+	c.ReleaseResponse() // of an attempt before
 	if head.Length > answerMax {
 		return errOver
 	}
 	var body http1.Body
-	body.Reset(nc.In, head.Framing)
+	body.Reset(nc.Reader, head.Framing)
 	want := int64(answerMax)
 	if !head.Chunked {
 		want = head.Length
 	}
 	for !body.Done() {
-		if len(c.Answer) == cap(c.Answer) {
-			if len(c.Answer) >= answerMax {
+		if len(c.ResponseBody) == cap(c.ResponseBody) {
+			if len(c.ResponseBody) >= answerMax {
 				return errOver
 			}
 			if err := c.grow(want); err != nil {
 				return err
 			}
 		}
-		n, err := body.Read(c.Answer[len(c.Answer):cap(c.Answer)])
-		c.Answer = c.Answer[:len(c.Answer)+n]
+		n, err := body.Read(c.ResponseBody[len(c.ResponseBody):cap(c.ResponseBody)])
+		c.ResponseBody = c.ResponseBody[:len(c.ResponseBody)+n]
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
--- a/internal/platform/exit/exit.go
+++ b/internal/platform/upstream/exit.go
@@ -1,6 +1,6 @@
 // Package exit speaks the platform's protocol to bricks: one attempt is one
 // request on one connection, and every way it can end is told as what it was.
-package exit
+package upstream
 
 import (
 	"errors"
@@ -11,69 +11,69 @@
 	"time"
 
 	"arrowwalk"
-	"arrowwalk/internal/conns"
+	"arrowwalk/internal/connpool"
 	"arrowwalk/internal/host"
 	"arrowwalk/internal/http1"
-	"arrowwalk/internal/platform/giveway"
+	"arrowwalk/internal/platform/eviction"
 )
 
 // Header fields of the platform that both of its sides use.
 const (
-	HeaderID        = "X-Request-ID"
-	HeaderKey       = "Idempotency-Key"
-	HeaderTimeout   = "X-Timeout"
-	headerNotRun    = "X-Not-Processed"
-	headerUse       = "X-Volume-Use"
-	headerElsewhere = "X-Served-Elsewhere"
-	headerLoad      = "X-Server-Load"
+	HeaderRequestID      = "X-Request-ID"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderTimeout        = "X-Timeout"
+	headerNotRun         = "X-Not-Processed"
+	headerUse            = "X-Volume-Use"
+	headerElsewhere      = "X-Served-Elsewhere"
+	headerLoad           = "X-Server-Load"
 )
 
 // Bounds of what is taken from clients and bricks.
 const (
-	BodyMax     = 64 << 10 // of a client, as the protocol has it
-	informMax   = 8        // 1xx answers ahead of the answer
-	figureMax   = 1e9
-	reportItems = 32
+	MaxRequestBodyBytes = 64 << 10 // of a client, as the protocol has it
+	informMax           = 8        // 1xx answers ahead of the answer
+	figureMax           = 1e9
+	reportItems         = 32
 )
 
 // idleMax is how many idle connections are kept to a brick.
 const idleMax = 8
 
 // limits of a brick's heads. Its heads are small; what is longer never ends.
-var limits = http1.Limits{LineBytes: 4 << 10, HeadBytes: 16 << 10, Fields: 64}
+var limits = http1.Limits{MaxLineBytes: 4 << 10, MaxHeadBytes: 16 << 10, MaxFields: 64}
 
 // Options of a Sender.
 type Options struct {
-	Host        *host.Host
-	Reports     []string      // names of the values in a load report, in order
-	DialTimeout time.Duration // as the settings have it
-	Dial        conns.Dial    // nil: TCP
-	IdleFor     time.Duration // for how long a connection is kept for reuse
-	Rest        time.Duration // after an answer, before its connection carries another request
-	Max         int           // connections open at once
-	Longest     time.Duration // that a client waits
-	Bytes       int64         // of answers held at once
-	KeepDirty   bool          // keeps connections with bytes behind an answer; for proofs that must fail
+	Host             *host.Host
+	LoadFields       []string          // names of the values in a load report, in order
+	DialTimeout      time.Duration     // as the settings have it
+	Dial             connpool.DialFunc // nil: TCP
+	IdleTimeout      time.Duration     // for how long a connection is kept for reuse
+	ReuseDelay       time.Duration     // after an answer, before its connection carries another request
+	MaxConns         int               // connections open at once
+	MaxClientWait    time.Duration     // that a client waits
+	MaxResponseBytes int64             // of answers held at once
+	ReuseDirtyConns  bool              // keeps connections with bytes behind an answer; for proofs that must fail
 }
 
 // Sender is what all calls share.
 type Sender struct {
 	opt    Options
-	pool   *conns.Pool
-	memory giveway.Bytes
+	pool   *connpool.Pool
+	memory eviction.ByteBudget
 }
 
 // NewSender returns a Sender without connections.
 func NewSender(opt Options) *Sender {
-	return &Sender{opt: opt, memory: giveway.Bytes{Max: opt.Bytes}, pool: conns.NewPool(conns.Options{IdleEach: min(idleMax, opt.Max), IdleFor: opt.IdleFor,
-		Rest: opt.Rest, DialTimeout: opt.DialTimeout, Dial: opt.Dial, Buffer: 2 << 10, Max: opt.Max, Limits: limits, Blind: opt.KeepDirty})}
+	return &Sender{opt: opt, memory: eviction.ByteBudget{Max: opt.MaxResponseBytes}, pool: connpool.NewPool(connpool.Options{MaxIdlePerAddress: min(idleMax, opt.MaxConns), IdleTimeout: opt.IdleTimeout,
+		ReuseDelay: opt.ReuseDelay, DialTimeout: opt.DialTimeout, Dial: opt.Dial, ReadBufferBytes: 2 << 10, MaxConns: opt.MaxConns, HeadLimits: limits, SkipIdleCheck: opt.ReuseDirtyConns})}
 }
 
-// Keep closes the idle connections to all addresses but those given.
-func (s *Sender) Keep(addresses []string) { s.pool.Keep(addresses) }
+// CloseIdleExcept closes the idle connections to all addresses but those given.
+func (s *Sender) CloseIdleExcept(addresses []string) { s.pool.CloseIdleExcept(addresses) }
 
-// Sweep closes the connections that were idle for too long.
-func (s *Sender) Sweep() { s.pool.Sweep(time.Now()) }
+// CloseExpired closes the connections that were idle for too long.
+func (s *Sender) CloseExpired() { s.pool.CloseExpired(time.Now()) }
 
 // Close closes the idle connections.
 func (s *Sender) Close() { s.pool.Close() }
@@ -86,23 +86,23 @@
 type Call struct {
 	Method, Target, ID, Key string // passed on unchanged; Key "": there is none
 	Body                    []byte
-	Answer                  []byte // body of the answer that counted, until Free
-	// Left tells whether the client has gone; it is asked before each attempt's
+	ResponseBody            []byte // body of the answer that counted, until Free
+	// ClientGone tells whether the client has gone; it is asked before each attempt's
 	// first byte. nil: nobody can tell.
-	Left func() bool
+	ClientGone func() bool
 
 	sender  *Sender
-	attempt conns.Numbered
+	attempt connpool.NumberedAttempt
 }
 
-// Ready makes c ready for attempts.
-func (c *Call) Ready(s *Sender) { c.sender = s }
+// Init makes c ready for attempts.
+func (c *Call) Init(s *Sender) { c.sender = s }
 
 // Abort ends the attempt of that number (host.Runner).
 func (c *Call) Abort(number int) { c.attempt.Abort(number) }
 
-// Cut ends the attempt that runs; no more begin.
-func (c *Call) Cut() { c.attempt.Cut() }
+// AbortAll ends the attempt that runs; no more begin.
+func (c *Call) AbortAll() { c.attempt.AbortAll() }
 
 // Try makes an attempt (host.Runner).
 func (c *Call) Try(t *host.Try) host.Result {
@@ -111,36 +111,36 @@
 	}
 	s, at := c.sender, &c.attempt.Attempt
 	began := time.Now()
-	nc, err := s.pool.Take(at, t.Member.Address, t.Until)
+	nc, err := s.pool.Get(at, t.Member.Address, t.Until)
 	if err != nil {
 		return host.Result{Status: arrowwalk.Unreachable}
 	}
-	if !at.Hold(nc.Conn, t.Until) {
+	if !at.Attach(nc.Conn, t.Until) {
 		s.pool.Put(nc)
 		return host.Result{Status: arrowwalk.NotSent}
 	}
-	if c.Left != nil && c.Left() { // perhaps while the connection came up
-		at.Release()
+	if c.ClientGone != nil && c.ClientGone() { // perhaps while the connection came up
+		at.Detach()
 		nc.SetDeadline(time.Time{})
 		s.pool.Put(nc)
 		return host.Result{Status: arrowwalk.NotSent}
 	}
 	r, clean := c.exchange(nc, t.Until, began)
-	if at.Release() && clean {
+	if at.Detach() && clean {
 		nc.SetDeadline(time.Time{})
 		s.pool.Put(nc)
 	} else {
-		s.pool.Drop(nc)
+		s.pool.Discard(nc)
 	}
 	return r
 }
 
 // exchange sends the request and reads its answer; clean: the connection may
 // carry another.
-func (c *Call) exchange(nc *conns.Conn, until, began time.Time) (r host.Result, clean bool) {
-	nc.Out = c.append(nc.Out[:0], time.Until(until))
-	if n, err := nc.Write(nc.Out); err != nil {
-		if n < len(nc.Out) { // a brick begins a request when its last byte has come
+func (c *Call) exchange(nc *connpool.Conn, until, began time.Time) (r host.Result, clean bool) {
+	nc.WriteBuf = c.append(nc.WriteBuf[:0], time.Until(until))
+	if n, err := nc.Write(nc.WriteBuf); err != nil {
+		if n < len(nc.WriteBuf) { // a brick begins a request when its last byte has come
 			return host.Result{Status: arrowwalk.Unreachable}, false
 		}
 		return host.Result{Status: c.broken(err)}, false
@@ -150,17 +150,17 @@
 		return host.Result{Status: c.broken(err)}, false
 	}
 	if err := c.readBody(nc, &head); err != nil {
-		c.Free()
+		c.ReleaseResponse()
 		return host.Result{Status: c.broken(err)}, false
 	}
 	r = c.told(&head)
-	r.Lay = c.sender.opt.Host.Lay(nc.Raw, began, c.sender.opt.Longest)
+	r.Lay = c.sender.opt.Host.Lay(nc.RawConn, began, c.sender.opt.MaxClientWait)
 	if r.Status == arrowwalk.OK {
 		r.Closed = true
 	} else {
-		c.Free()
+		c.ReleaseResponse()
 	}
-	return r, !head.Close && (nc.In.Buffered() == 0 || c.sender.opt.KeepDirty)
+	return r, !head.Close && (nc.Reader.Buffered() == 0 || c.sender.opt.ReuseDirtyConns)
 }
 
 // broken returns what an attempt whose request was written whole came to.
@@ -183,26 +183,26 @@
 	b = append(b, ' ')
 	b = append(b, c.Target...)
 	b = append(b, " HTTP/1.1\r\nHost: brick\r\n"...)
-	b = http1.AppendField(b, HeaderID, c.ID)
+	b = http1.AppendField(b, HeaderRequestID, c.ID)
 	if c.Key != "" {
-		b = http1.AppendField(b, HeaderKey, c.Key)
+		b = http1.AppendField(b, HeaderIdempotencyKey, c.Key)
 	}
 	b = append(b, HeaderTimeout+": "...)
 	b = strconv.AppendFloat(b, max(0, left.Truncate(time.Millisecond).Seconds()), 'f', 3, 64) // never more than is left
 	b = append(b, "\r\n"...)
 	if len(c.Body) > 0 || c.Method != "GET" {
-		b = http1.AppendInt(b, "Content-Length", int64(len(c.Body)))
+		b = http1.AppendIntField(b, "Content-Length", int64(len(c.Body)))
 	}
 	return append(append(b, "\r\n"...), c.Body...)
 }
 
 // readHead reads the answer's head, past what informs of it.
-func readHead(nc *conns.Conn, head *http1.Response, method string) error {
+func readHead(nc *connpool.Conn, head *http1.Response, method string) error {
 	for range informMax + 1 {
 		if err := begins(nc); err != nil {
 			return err
 		}
-		if err := nc.Heads.ReadResponse(head, method); err != nil {
+		if err := nc.HeadReader.ReadResponse(head, method); err != nil {
 			return err
 		}
 		if head.Status >= 200 {
@@ -217,10 +217,10 @@
 
 // begins looks whether what comes begins as an answer does: noise without a
 // line's end would be waited for until the client's time is up.
-func begins(nc *conns.Conn) error {
+func begins(nc *connpool.Conn) error {
 	const start = "HTTP/1."
 	for i := range len(start) {
-		b, err := nc.In.Peek(i + 1)
+		b, err := nc.Reader.Peek(i + 1)
 		if err != nil {
 			if i > 0 && errors.Is(err, io.EOF) {
 				return io.ErrUnexpectedEOF
@@ -249,7 +249,7 @@
 				r.OthersUnits = units
 			}
 		case strings.EqualFold(name, headerLoad):
-			r.Load = report(value, c.sender.opt.Reports)
+			r.Load = report(value, c.sender.opt.LoadFields)
 		}
 	}
 	return r
--- a/internal/platform/exit/exit_test.go
+++ b/internal/platform/upstream/exit_test.go
@@ -1,4 +1,4 @@
-package exit
+package upstream
 
 import (
 	"fmt"
@@ -43,7 +43,7 @@
 
 func newCall(s *Sender) *Call {
 	c := &Call{Method: "PUT", Target: "/save-paper/1/2?x=%20", ID: "9b1f", Key: "a key", Body: []byte("body")}
-	c.Ready(s)
+	c.Init(s)
 	return c
 }
 
@@ -61,7 +61,7 @@
 	}
 	dead := closed.Addr().String()
 	closed.Close()
-	s := NewSender(Options{Host: newHost(t), DialTimeout: time.Second, IdleFor: time.Minute, Max: 4, Longest: time.Second, Bytes: 8 << 20})
+	s := NewSender(Options{Host: newHost(t), DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 4, MaxClientWait: time.Second, MaxResponseBytes: 8 << 20})
 	defer s.Close()
 	for _, c := range []struct {
 		name, text string
@@ -99,14 +99,14 @@
 			wait = 50 * time.Millisecond
 		}
 		r := try(call, addr, wait)
-		defer call.Free()
-		if r.Status != c.status || r.Closed != (c.status == arrowwalk.OK) || r.Closed != (string(call.Answer) == "ok") {
-			t.Errorf("%s: %+v with %q", c.name, r, call.Answer)
+		defer call.ReleaseResponse()
+		if r.Status != c.status || r.Closed != (c.status == arrowwalk.OK) || r.Closed != (string(call.ResponseBody) == "ok") {
+			t.Errorf("%s: %+v with %q", c.name, r, call.ResponseBody)
 		}
-		if kept := s.pool.Pop(addr); (kept != nil) != c.kept {
+		if kept := s.pool.PopIdle(addr); (kept != nil) != c.kept {
 			t.Errorf("%s: connection kept: %v", c.name, kept != nil)
 		} else if kept != nil {
-			s.pool.Drop(kept)
+			s.pool.Discard(kept)
 		}
 		q := <-seen
 		if q.Method != "PUT" || q.Target != call.Target || q.Fields.Get("X-Request-ID") != "9b1f" || q.Fields.Get("Idempotency-Key") != "a key" || q.Length != 4 {
@@ -127,7 +127,7 @@
 // A connection with bytes behind its answer, or one that its brick closed,
 // carries nothing more; a clean one does.
 func TestWhatIsReused(t *testing.T) {
-	s := NewSender(Options{Host: newHost(t), DialTimeout: time.Second, IdleFor: time.Minute, Max: 4, Longest: time.Second, Bytes: 8 << 20})
+	s := NewSender(Options{Host: newHost(t), DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 4, MaxClientWait: time.Second, MaxResponseBytes: 8 << 20})
 	defer s.Close()
 	for _, c := range []struct {
 		first  string
@@ -142,12 +142,12 @@
 		_, _, before := s.Counts()
 		for i := range 2 {
 			if i == 1 && c.hangUp { // until the close has come over
-				for idle := s.pool.Pop(addr); idle != nil && idle.Quiet(); time.Sleep(time.Millisecond) {
+				for idle := s.pool.PopIdle(addr); idle != nil && idle.IsReusable(); time.Sleep(time.Millisecond) {
 				}
 			}
 			call := newCall(s)
-			if r := try(call, addr, 5*time.Second); r.Status != arrowwalk.OK || string(call.Answer) != "ok" {
-				t.Errorf("%q, request %d: %+v %q", c.first, i, r, call.Answer)
+			if r := try(call, addr, 5*time.Second); r.Status != arrowwalk.OK || string(call.ResponseBody) != "ok" {
+				t.Errorf("%q, request %d: %+v %q", c.first, i, r, call.ResponseBody)
 			}
 		}
 		if _, _, after := s.Counts(); after-before != c.dials {
@@ -158,7 +158,7 @@
 
 // An abort, before and during an attempt, ends that attempt and no other.
 func TestAbort(t *testing.T) {
-	s := NewSender(Options{Host: newHost(t), DialTimeout: time.Second, IdleFor: time.Minute, Max: 4, Longest: time.Second, Bytes: 8 << 20})
+	s := NewSender(Options{Host: newHost(t), DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 4, MaxClientWait: time.Second, MaxResponseBytes: 8 << 20})
 	defer s.Close()
 	addr, seen := brick(t, false, "", good)
 	call := newCall(s)
@@ -182,7 +182,7 @@
 // What an answer tells reaches the module in its units, and what can't be read
 // costs nothing.
 func TestTold(t *testing.T) {
-	s := NewSender(Options{Host: newHost(t), Reports: []string{"util", "queue"}, DialTimeout: time.Second, IdleFor: time.Minute, Max: 4, Longest: time.Second, Bytes: 8 << 20})
+	s := NewSender(Options{Host: newHost(t), LoadFields: []string{"util", "queue"}, DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 4, MaxClientWait: time.Second, MaxResponseBytes: 8 << 20})
 	defer s.Close()
 	for _, c := range []struct {
 		fields     string
@@ -205,17 +205,17 @@
 // An answer longer than the protocol's page says is served whole; what is held
 // is bounded, and given back.
 func TestLongAnswers(t *testing.T) {
-	s := NewSender(Options{Host: newHost(t), DialTimeout: time.Second, IdleFor: time.Minute, Max: 4, Longest: time.Second, Bytes: 2 << 20})
+	s := NewSender(Options{Host: newHost(t), DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 4, MaxClientWait: time.Second, MaxResponseBytes: 2 << 20})
 	defer s.Close()
 	long := strings.Repeat("0123456789", 40_000)
 	for i, text := range []string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long),
 		fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(long), long)} {
 		addr, _ := brick(t, false, text)
 		call := newCall(s)
-		if r := try(call, addr, 5*time.Second); r.Status != arrowwalk.OK || string(call.Answer) != long {
-			t.Errorf("%d: %+v, %d bytes", i, r, len(call.Answer))
+		if r := try(call, addr, 5*time.Second); r.Status != arrowwalk.OK || string(call.ResponseBody) != long {
+			t.Errorf("%d: %+v, %d bytes", i, r, len(call.ResponseBody))
 		}
-		if held := s.memory.Held(); held < int64(len(long)) || held > 2<<20 {
+		if held := s.memory.InUse(); held < int64(len(long)) || held > 2<<20 {
 			t.Errorf("%d: %d bytes held", i, held)
 		}
 		s.memory.Max = 450_000 // too little for one more
@@ -224,8 +224,8 @@
 			t.Errorf("%d: with no memory left: %+v", i, r)
 		}
 		s.memory.Max = 2 << 20
-		call.Free()
-		if held := s.memory.Held(); held != 0 {
+		call.ReleaseResponse()
+		if held := s.memory.InUse(); held != 0 {
 			t.Errorf("%d: %d bytes are held after all", i, held)
 		}
 	}
--- a/internal/platform/exit/race_test.go
+++ b/internal/platform/upstream/race_test.go
@@ -1,4 +1,4 @@
-package exit
+package upstream
 
 import (
 	"bufio"
@@ -82,7 +82,7 @@
 
 func sender(t *testing.T, change func(*Options)) *Sender {
 	t.Helper()
-	opt := Options{Host: newHost(t), DialTimeout: 10 * time.Second, IdleFor: time.Minute, Max: 4, Longest: time.Second, Bytes: 8 << 20}
+	opt := Options{Host: newHost(t), DialTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxConns: 4, MaxClientWait: time.Second, MaxResponseBytes: 8 << 20}
 	change(&opt)
 	s := NewSender(opt)
 	t.Cleanup(s.Close)
@@ -93,7 +93,7 @@
 // the connection lies for a while before it carries another.
 func TestSecondAnswerComesLate(t *testing.T) {
 	b := newHeld(t)
-	s := sender(t, func(o *Options) { o.Rest = time.Minute })
+	s := sender(t, func(o *Options) { o.ReuseDelay = time.Minute })
 	var first net.Conn
 	for n := range 2 {
 		call := newCall(s)
@@ -106,15 +106,15 @@
 			io.WriteString(first, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
 		}
 		io.WriteString(nc, good)
-		if r := <-done; r.Status != arrowwalk.OK || string(call.Answer) != "ok" {
-			t.Errorf("request %d: %+v %q", n, r, call.Answer)
+		if r := <-done; r.Status != arrowwalk.OK || string(call.ResponseBody) != "ok" {
+			t.Errorf("request %d: %+v %q", n, r, call.ResponseBody)
 		}
-		call.Free()
+		call.ReleaseResponse()
 	}
-	if rested := s.pool.Pop(b.addr()); rested == nil {
+	if rested := s.pool.PopIdle(b.addr()); rested == nil {
 		t.Error("nothing is kept")
 	} else {
-		s.pool.Drop(rested)
+		s.pool.Discard(rested)
 	}
 }
 
@@ -155,7 +155,7 @@
 	d.goOn <- struct{}{}
 	io.WriteString(<-b.asked, good)
 	<-done
-	call.Free()
+	call.ReleaseResponse()
 	var told float64
 	if _, err := fmt.Sscan((<-b.heads).Fields.Get(HeaderTimeout), &told); err != nil || told > left.Seconds() {
 		t.Errorf("told %g s of %s: %v", told, left, err)
--- a/internal/peek/peek.go
+++ b/internal/sockstate/peek.go
@@ -1,5 +1,5 @@
 // Package peek looks at a socket without taking anything from it.
-package peek
+package sockstate
 
 import (
 	"io"
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Raw returns the descriptor of a connection; nil: it has none.
-func Raw(nc net.Conn) syscall.RawConn {
+// RawConn returns the descriptor of a connection; nil: it has none.
+func RawConn(nc net.Conn) syscall.RawConn {
 	if sc, ok := nc.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
 			return raw
@@ -39,9 +39,9 @@
 	return err != nil || ready
 }
 
-// Gone tells whether the peer has closed or broken the connection, and all
+// AtEOF tells whether the peer has closed or broken the connection, and all
 // that it sent before was read.
-func Gone(raw syscall.RawConn) bool {
+func AtEOF(raw syscall.RawConn) bool {
 	if raw == nil {
 		return false
 	}
@@ -53,9 +53,9 @@
 	return err != nil || gone
 }
 
-// Left tells whether the peer has closed or broken the connection, also where
+// PeerClosed tells whether the peer has closed or broken the connection, also where
 // bytes that it sent before were not read yet.
-func Left(raw syscall.RawConn) bool {
+func PeerClosed(raw syscall.RawConn) bool {
 	if raw == nil {
 		return false
 	}
@@ -70,9 +70,9 @@
 	return err != nil || left
 }
 
-// Pending tells whether a listener has a connection to accept; where the kernel
+// HasPendingConn tells whether a listener has a connection to accept; where the kernel
 // does not tell, it has none.
-func Pending(ln net.Listener) bool {
+func HasPendingConn(ln net.Listener) bool {
 	sc, ok := ln.(syscall.Conn)
 	if !ok {
 		return false
@@ -99,9 +99,9 @@
 	return err == nil && n == 1 && ask[0].Revents&events != 0
 }
 
-// Await waits, without a buffer, until there is a byte to read. io.EOF means
+// WaitReadable waits, without a buffer, until there is a byte to read. io.EOF means
 // that the peer closed; the connection's read deadline holds.
-func Await(raw syscall.RawConn) error {
+func WaitReadable(raw syscall.RawConn) error {
 	var failed error
 	err := raw.Read(func(fd uintptr) bool {
 		n, err := look(fd)
--- a/internal/peek/rdhup_linux.go
+++ b/internal/sockstate/rdhup_linux.go
@@ -1,4 +1,4 @@
-package peek
+package sockstate
 
 import "golang.org/x/sys/unix"
 
--- a/internal/peek/rdhup_other.go
+++ b/internal/sockstate/rdhup_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package peek
+package sockstate
 
 // rdHup is an event that only Linux has; elsewhere a close behind unread bytes
 // is seen when they have been read.
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -7,8 +7,8 @@
 
 // Stall is a span in which the process did nothing that was seen.
 type Stall struct {
-	From int64 // the last beat before
-	To   int64 // the first sign of life after
+	Start int64 // the last beat before
+	End   int64 // the first sign of life after
 }
 
 // kept is how many stalls are remembered.
@@ -36,27 +36,27 @@
 // stands still all the time, each time is to be told.
 const boundMost = 16
 
-// Bound is how late a beat may be that is still usual, microseconds: a beat's
+// MaxLateness is how late a beat may be that is still usual, microseconds: a beat's
 // own span at least, and four mean deviations over the mean.
-func (d *Detector) Bound() int64 {
+func (d *Detector) MaxLateness() int64 {
 	return min(max(d.every, int64(d.mean+4*d.dev)), boundMost*d.every)
 }
 
-// Still tells whether the process has stood still since its last beat.
-func (d *Detector) Still(now int64) bool { return now-d.last > d.every+d.Bound() }
+// IsStalled tells whether the process has stood still since its last beat.
+func (d *Detector) IsStalled(now int64) bool { return now-d.last > d.every+d.MaxLateness() }
 
-// Limit returns the time from which on Still is true, unless a beat comes.
-func (d *Detector) Limit() int64 { return d.last + d.every + d.Bound() }
+// StallDeadline returns the time from which on Still is true, unless a beat comes.
+func (d *Detector) StallDeadline() int64 { return d.last + d.every + d.MaxLateness() }
 
-// Beat takes a sign of life. It returns the stall that it ends, if any. What is
+// Heartbeat takes a sign of life. It returns the stall that it ends, if any. What is
 // learned of a stall is its bound alone: a machine that gets busy moves the
 // bound by and by, one long stall does not.
-func (d *Detector) Beat(now int64) (Stall, bool) {
+func (d *Detector) Heartbeat(now int64) (Stall, bool) {
 	if now <= d.last {
 		return Stall{}, false
 	}
 	late := max(0, now-d.last-d.every)
-	still, bound := d.Still(now), d.Bound()
+	still, bound := d.IsStalled(now), d.MaxLateness()
 	s := Stall{d.last, now}
 	d.last = now
 	d.learn(float64(min(late, bound)))
@@ -64,7 +64,7 @@
 		return Stall{}, false
 	}
 	d.count++
-	d.most = max(d.most, s.To-s.From)
+	d.most = max(d.most, s.End-s.Start)
 	if len(d.past) == kept {
 		d.past = append(d.past[:0], d.past[1:]...)
 	}
@@ -79,56 +79,56 @@
 	d.dev += (max(off, -off) - d.dev) / 4
 }
 
-// Since returns the start of the first of the stalls that ended less than span
+// EarliestRecentStall returns the start of the first of the stalls that ended less than span
 // before now; false: there was none. What was found at a time before that
 // start did not lie there during a stall.
-func (d *Detector) Since(now, span int64) (int64, bool) {
+func (d *Detector) EarliestRecentStall(now, span int64) (int64, bool) {
 	for _, s := range d.past {
-		if now-s.To < span {
-			return s.From, true
+		if now-s.End < span {
+			return s.Start, true
 		}
 	}
-	if d.Still(now) {
+	if d.IsStalled(now) {
 		return d.last, true
 	}
 	return 0, false
 }
 
-// Within returns for how much of a span the process stood still: what it
+// StalledTime returns for how much of a span the process stood still: what it
 // waited for in that time it did not see.
-func (d *Detector) Within(from, to int64) int64 {
+func (d *Detector) StalledTime(from, to int64) int64 {
 	var sum int64
 	for _, s := range d.past {
-		sum += s.Within(from, to)
+		sum += s.Overlap(from, to)
 	}
 	return sum
 }
 
-// Within returns how much of a span lies in s.
-func (s Stall) Within(from, to int64) int64 { return max(0, min(to, s.To)-max(from, s.From)) }
+// Overlap returns how much of a span lies in s.
+func (s Stall) Overlap(from, to int64) int64 { return max(0, min(to, s.End)-max(from, s.Start)) }
 
-// Count returns how many stalls there were, and how long the longest was.
-func (d *Detector) Count() (n uint64, longest int64) { return d.count, d.most }
+// Totals returns how many stalls there were, and how long the longest was.
+func (d *Detector) Totals() (n uint64, longest int64) { return d.count, d.most }
 
-// Found is what is known of bytes that a process finds in a socket.
-type Found struct {
-	Now   int64 // they are looked at
-	Empty int64 // the socket was last seen empty; 0: not known
-	Age   int64 // since bytes last came in, as the kernel tells
-	Told  bool  // the kernel tells it
-	Part  bool  // more of the request is to come: a full window may have held it back
+// UnreadData is what is known of bytes that a process finds in a socket.
+type UnreadData struct {
+	ObservedAt int64 // they are looked at
+	LastEmpty  int64 // the socket was last seen empty; 0: not known
+	Age        int64 // since bytes last came in, as the kernel tells
+	AgeKnown   bool  // the kernel tells it
+	Partial    bool  // more of the request is to come: a full window may have held it back
 }
 
-// Came returns since when a client may have waited whose request was found by
+// ArrivalTime returns since when a client may have waited whose request was found by
 // a process that stood still from a time on. Where the kernel does not tell
 // when its last byte came in, or that byte may lie in the client's own buffers
 // since the process's were full, the stall itself is the bound: the client may
 // have sent all of it at its start, but not before the socket was seen empty.
-func (f *Found) Came(stillFrom int64) int64 {
-	if f.Told && !f.Part {
-		return f.Now - max(0, f.Age)
+func (f *UnreadData) ArrivalTime(stillFrom int64) int64 {
+	if f.AgeKnown && !f.Partial {
+		return f.ObservedAt - max(0, f.Age)
 	}
-	return min(f.Now, max(f.Empty, stillFrom))
+	return min(f.ObservedAt, max(f.LastEmpty, stillFrom))
 }
 
 // CatchUp is what a process owes when it goes on after a stall: the final
@@ -146,33 +146,33 @@
 // who waited for the stall can wait for a tenth more.
 const (
 	catchUpPart = 10
-	// CatchUpMost bounds it, microseconds: no answer may be held for longer on
+	// MaxCatchUpMicros bounds it, microseconds: no answer may be held for longer on
 	// account of others.
-	CatchUpMost = 100_000
+	MaxCatchUpMicros = 100_000
 )
 
 // Begin starts to count after a stall of span that ended at now.
 func (c *CatchUp) Begin(now, span int64) {
-	*c = CatchUp{until: now + min(span/catchUpPart, CatchUpMost), deciding: true}
+	*c = CatchUp{until: now + min(span/catchUpPart, MaxCatchUpMicros), deciding: true}
 }
 
-// Decided tells that all words which the stall made due are counted.
-func (c *CatchUp) Decided() { c.deciding = false }
+// FinishDeciding tells that all words which the stall made due are counted.
+func (c *CatchUp) FinishDeciding() { c.deciding = false }
 
-// Deciding tells whether more words may be counted yet.
-func (c *CatchUp) Deciding() bool { return c.deciding }
+// IsDeciding tells whether more words may be counted yet.
+func (c *CatchUp) IsDeciding() bool { return c.deciding }
 
-// Owe counts a final word that has been decided and not yet been written.
-func (c *CatchUp) Owe() { c.owed++; c.words++ }
+// AddPendingReply counts a final word that has been decided and not yet been written.
+func (c *CatchUp) AddPendingReply() { c.owed++; c.words++ }
 
-// Paid counts one that has been written.
-func (c *CatchUp) Paid() { c.owed = max(0, c.owed-1) }
+// MarkReplySent counts one that has been written.
+func (c *CatchUp) MarkReplySent() { c.owed = max(0, c.owed-1) }
 
-// Open tells whether the new may go on.
-func (c *CatchUp) Open(now int64) bool { return c.owed == 0 && !c.deciding || now >= c.until }
+// AllowsNew tells whether the new may go on.
+func (c *CatchUp) AllowsNew(now int64) bool { return c.owed == 0 && !c.deciding || now >= c.until }
 
-// Until returns when the new may go on at the latest.
-func (c *CatchUp) Until() int64 { return c.until }
+// Deadline returns when the new may go on at the latest.
+func (c *CatchUp) Deadline() int64 { return c.until }
 
-// Words returns how many final words were owed since the stall.
-func (c *CatchUp) Words() int { return c.words }
+// Replies returns how many final words were owed since the stall.
+func (c *CatchUp) Replies() int { return c.words }
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -18,7 +18,7 @@
 		d, now, false1 := NewDetector(20*ms, 0), int64(0), 0
 		for i := range 5000 {
 			now += 20*ms + rnd.Int64N(c.jitter)
-			if _, ok := d.Beat(now); ok && i > 50 {
+			if _, ok := d.Heartbeat(now); ok && i > 50 {
 				false1++
 			}
 		}
@@ -26,66 +26,66 @@
 			t.Errorf("%s: %d stalls told, there were none", c.name, false1)
 		}
 		from := now
-		if d.Still(now + d.Bound() + 20*ms) {
+		if d.IsStalled(now + d.MaxLateness() + 20*ms) {
 			t.Errorf("%s: still at the bound", c.name)
 		}
-		if d.Still(d.Limit()) || !d.Still(d.Limit()+1) {
-			t.Errorf("%s: the limit is %d", c.name, d.Limit())
+		if d.IsStalled(d.StallDeadline()) || !d.IsStalled(d.StallDeadline()+1) {
+			t.Errorf("%s: the limit is %d", c.name, d.StallDeadline())
 		}
 		now += 1200 * ms
-		if !d.Still(now) {
+		if !d.IsStalled(now) {
 			t.Errorf("%s: a gap of 1.2 s is nothing", c.name)
 		}
-		before, _ := d.Count()
-		s, ok := d.Beat(now)
+		before, _ := d.Totals()
+		s, ok := d.Heartbeat(now)
 		if !ok || s != (Stall{from, now}) {
 			t.Errorf("%s: %+v %v, want %d to %d", c.name, s, ok, from, now)
 		}
-		if n, most := d.Count(); n != before+1 || most != 1200*ms {
+		if n, most := d.Totals(); n != before+1 || most != 1200*ms {
 			t.Errorf("%s: counted %d, longest %d", c.name, n, most)
 		}
-		if d.Bound() > boundMost*20*ms {
-			t.Errorf("%s: one stall moved the bound to %d", c.name, d.Bound())
+		if d.MaxLateness() > boundMost*20*ms {
+			t.Errorf("%s: one stall moved the bound to %d", c.name, d.MaxLateness())
 		}
 	}
 }
 
 func TestSince(t *testing.T) {
 	d := NewDetector(20*ms, 0)
-	if _, ok := d.Since(30*ms, 1000*ms); ok {
+	if _, ok := d.EarliestRecentStall(30*ms, 1000*ms); ok {
 		t.Error("a stall before there was one")
 	}
-	if from, ok := d.Since(500*ms, 1000*ms); !ok || from != 0 {
+	if from, ok := d.EarliestRecentStall(500*ms, 1000*ms); !ok || from != 0 {
 		t.Errorf("inside a stall: %d %v", from, ok)
 	}
-	d.Beat(500 * ms)
-	d.Beat(520 * ms)
-	d.Beat(900 * ms)
-	if from, ok := d.Since(910*ms, 1000*ms); !ok || from != 0 {
+	d.Heartbeat(500 * ms)
+	d.Heartbeat(520 * ms)
+	d.Heartbeat(900 * ms)
+	if from, ok := d.EarliestRecentStall(910*ms, 1000*ms); !ok || from != 0 {
 		t.Errorf("after two: %d %v, want the first one's start", from, ok)
 	}
-	if from, ok := d.Since(910*ms, 100*ms); !ok || from != 520*ms {
+	if from, ok := d.EarliestRecentStall(910*ms, 100*ms); !ok || from != 520*ms {
 		t.Errorf("the second alone: %d %v", from, ok)
 	}
 	for _, c := range [][3]int64{{0, 2000, 880}, {100, 400, 300}, {510, 515, 0}, {505, 600, 80}, {900, 950, 0}} {
-		if got := d.Within(c[0]*ms, c[1]*ms); got != c[2]*ms {
+		if got := d.StalledTime(c[0]*ms, c[1]*ms); got != c[2]*ms {
 			t.Errorf("from %d to %d ms: still for %d us", c[0], c[1], got)
 		}
 	}
 	now := int64(900 * ms)
 	for range 100 {
 		now += 20 * ms
-		d.Beat(now)
+		d.Heartbeat(now)
 	}
-	if _, ok := d.Since(now, 1000*ms); ok {
+	if _, ok := d.EarliestRecentStall(now, 1000*ms); ok {
 		t.Error("a stall is kept for longer than was asked")
 	}
-	if _, ok := d.Beat(now - 5); ok || d.Still(now) {
+	if _, ok := d.Heartbeat(now - 5); ok || d.IsStalled(now) {
 		t.Error("a clock that goes back moves the detector")
 	}
 	for range 3 * kept {
 		now += 5000 * ms
-		d.Beat(now)
+		d.Heartbeat(now)
 	}
 	if len(d.past) != kept {
 		t.Errorf("%d stalls are kept", len(d.past))
@@ -95,20 +95,20 @@
 func TestFound(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		f    Found
+		f    UnreadData
 		from int64
 		want int64
 	}{
-		{"told", Found{Now: 1000, Age: 300, Told: true}, 100, 700},
-		{"told older than the stall", Found{Now: 1000, Age: 950, Told: true}, 100, 50},
-		{"told before now", Found{Now: 1000, Age: -4, Told: true}, 100, 1000},
-		{"told of a part", Found{Now: 1000, Age: 3, Told: true, Part: true, Empty: 200}, 100, 200},
-		{"not told", Found{Now: 1000}, 100, 100},
-		{"seen empty in the meantime", Found{Now: 1000, Empty: 600}, 100, 600},
-		{"seen empty before", Found{Now: 1000, Empty: 20}, 100, 100},
-		{"no later than now", Found{Now: 1000, Empty: 2000}, 100, 1000},
+		{"told", UnreadData{ObservedAt: 1000, Age: 300, AgeKnown: true}, 100, 700},
+		{"told older than the stall", UnreadData{ObservedAt: 1000, Age: 950, AgeKnown: true}, 100, 50},
+		{"told before now", UnreadData{ObservedAt: 1000, Age: -4, AgeKnown: true}, 100, 1000},
+		{"told of a part", UnreadData{ObservedAt: 1000, Age: 3, AgeKnown: true, Partial: true, LastEmpty: 200}, 100, 200},
+		{"not told", UnreadData{ObservedAt: 1000}, 100, 100},
+		{"seen empty in the meantime", UnreadData{ObservedAt: 1000, LastEmpty: 600}, 100, 600},
+		{"seen empty before", UnreadData{ObservedAt: 1000, LastEmpty: 20}, 100, 100},
+		{"no later than now", UnreadData{ObservedAt: 1000, LastEmpty: 2000}, 100, 1000},
 	} {
-		if got := c.f.Came(c.from); got != c.want {
+		if got := c.f.ArrivalTime(c.from); got != c.want {
 			t.Errorf("%s: came at %d, want %d", c.name, got, c.want)
 		}
 	}
@@ -116,30 +116,30 @@
 
 func TestCatchUpIsBounded(t *testing.T) {
 	var c CatchUp
-	if !c.Open(0) {
+	if !c.AllowsNew(0) {
 		t.Error("shut though nothing happened")
 	}
 	c.Begin(1000, 500*ms)
-	if c.Open(1000) {
+	if c.AllowsNew(1000) {
 		t.Error("open before it is known what is owed")
 	}
-	c.Decided()
-	if !c.Open(1000) {
+	c.FinishDeciding()
+	if !c.AllowsNew(1000) {
 		t.Error("shut though nothing is owed")
 	}
-	c.Owe()
-	c.Owe()
-	c.Paid()
-	if c.Open(1000) || c.Open(c.Until()-1) || !c.Open(c.Until()) || c.Until() != 1000+50*ms {
-		t.Errorf("with one owed, until %d", c.Until())
+	c.AddPendingReply()
+	c.AddPendingReply()
+	c.MarkReplySent()
+	if c.AllowsNew(1000) || c.AllowsNew(c.Deadline()-1) || !c.AllowsNew(c.Deadline()) || c.Deadline() != 1000+50*ms {
+		t.Errorf("with one owed, until %d", c.Deadline())
 	}
-	c.Paid()
-	c.Paid() // a second front may not count as it should
-	if !c.Open(1000) || c.Words() != 2 {
-		t.Errorf("all is paid, %d words", c.Words())
+	c.MarkReplySent()
+	c.MarkReplySent() // a second front may not count as it should
+	if !c.AllowsNew(1000) || c.Replies() != 2 {
+		t.Errorf("all is paid, %d words", c.Replies())
 	}
 	c.Begin(0, 30_000*ms)
-	if c.Until() != CatchUpMost {
-		t.Errorf("a long stall holds the new for %d", c.Until())
+	if c.Deadline() != MaxCatchUpMicros {
+		t.Errorf("a long stall holds the new for %d", c.Deadline())
 	}
 }
--- a/internal/standin/clients/client.go
+++ b/internal/standin/clients/client.go
@@ -19,7 +19,7 @@
 	"arrowwalk/internal/http1"
 	"arrowwalk/internal/rules"
 	"arrowwalk/internal/rules/trail"
-	"arrowwalk/internal/stall/sockage"
+	"arrowwalk/internal/tcpinfo"
 )
 
 // Log collects the calls of many clients in a file; its zero value keeps none.
@@ -189,7 +189,7 @@
 func (c *Client) came() rules.Micros {
 	if sc, ok := c.nc.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
-			if age, ok := sockage.Age(raw); ok && age >= sockage.Coarse {
+			if age, ok := tcpinfo.LastReceiveAge(raw); ok && age >= tcpinfo.MinReliableAge {
 				return time.Now().Add(-age).UnixMicro()
 			}
 		}
@@ -213,8 +213,8 @@
 	for _, f := range append(fields, added...) {
 		b = http1.AppendField(b, f.Name, f.Value)
 	}
-	b = http1.AppendInt(b, headerWait, r.Wait.Milliseconds())
-	b = http1.AppendInt(b, "Content-Length", int64(len(r.Body)))
+	b = http1.AppendIntField(b, headerWait, r.Wait.Milliseconds())
+	b = http1.AppendIntField(b, "Content-Length", int64(len(r.Body)))
 	c.out = append(b, "\r\n"...)
 	return c.out
 }
--- a/internal/stall/sockage/sockage_linux.go
+++ b/internal/tcpinfo/sockage_linux.go
@@ -1,6 +1,6 @@
 // Package sockage asks the kernel how long ago bytes last came in on a
 // connection.
-package sockage
+package tcpinfo
 
 import (
 	"syscall"
@@ -9,10 +9,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Age returns the time since bytes last came in on a TCP connection
+// LastReceiveAge returns the time since bytes last came in on a TCP connection
 // (tcpi_last_data_recv of TCP_INFO, tcp(7), in milliseconds by the kernel's
 // tick); false: the kernel does not tell.
-func Age(raw syscall.RawConn) (time.Duration, bool) {
+func LastReceiveAge(raw syscall.RawConn) (time.Duration, bool) {
 	if raw == nil {
 		return 0, false
 	}
@@ -27,9 +27,9 @@
 	return age, ok && err == nil
 }
 
-// Unread returns how many bytes lie in a TCP connection's receive buffer
+// UnreadBytes returns how many bytes lie in a TCP connection's receive buffer
 // (SIOCINQ, tcp(7)); false: the kernel does not tell.
-func Unread(raw syscall.RawConn) (int, bool) {
+func UnreadBytes(raw syscall.RawConn) (int, bool) {
 	if raw == nil {
 		return 0, false
 	}
--- a/internal/stall/sockage/sockage_other.go
+++ b/internal/tcpinfo/sockage_other.go
@@ -2,7 +2,7 @@
 
 // Package sockage asks the kernel how long ago bytes last came in on a
 // connection.
-package sockage
+package tcpinfo
 
 import (
 	"syscall"
--- a/internal/stall/sockage/sockage_test.go
+++ b/internal/tcpinfo/sockage_test.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package sockage
+package tcpinfo
 
 import (
 	"net"
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := Age(nil); ok {
+	if _, ok := LastReceiveAge(nil); ok {
 		t.Error("no connection has an age")
 	}
 	const tick = 15 * time.Millisecond // of the kernel, at 100 Hz and some more
@@ -46,16 +46,16 @@
 		a.Write([]byte("x"))
 		after := time.Now()
 		var one [1]byte
-		for n := 0; n == 0; n, _ = Unread(raw) { // it is on its way
+		for n := 0; n == 0; n, _ = UnreadBytes(raw) { // it is on its way
 		}
 		b.Read(one[:])
-		if n, ok := Unread(raw); n != 0 || !ok {
+		if n, ok := UnreadBytes(raw); n != 0 || !ok {
 			t.Errorf("%d bytes are left of one, %v", n, ok)
 		}
 		for time.Since(before) < 80*time.Millisecond { // the clock itself is what is tested
 			time.Sleep(5 * time.Millisecond)
 			low := time.Since(after) - tick
-			age, ok := Age(raw)
+			age, ok := LastReceiveAge(raw)
 			if high := time.Since(before) + tick; !ok || age < low || age > high {
 				t.Fatalf("age %s, %v; between %s and %s", age, ok, low, high)
 			}
@@ -66,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if age, ok := Age(raw); ok {
+	if age, ok := LastReceiveAge(raw); ok {
 		t.Errorf("a Unix socket's age is told: %s", age)
 	}
 }
