--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -6,35 +6,37 @@
 	"io"
 )
 
-// Bounds of the chunked coding's own lines.
+// Limits of the lines that the chunked coding adds.
 const (
-	chunkLineMost  = 256 // bytes of a chunk's size line, extensions included
-	trailerMost    = 8 << 10
-	trailerFields  = 32
-	chunkDigitMost = 15 // hexadecimal digits: sizes stay under 2^60
+	maxChunkLineBytes  = 256 // size line, extensions included
+	maxTrailerBytes    = 8 << 10
+	maxTrailerFields   = 32
+	maxChunkSizeDigits = 15 // hexadecimal; keeps sizes under 2^60
 )
 
-// Body reads one message's body and no byte more.
+// Body reads the body of one message and never reads past its end. It is not
+// safe for concurrent use.
 type Body struct {
-	in      *bufio.Reader
-	left    int64 // of the fixed length, or of the chunk
-	chunked bool
-	begun   bool
-	done    bool
-	err     error
-	Trailer Fields // after the end of a chunked body
+	in        *bufio.Reader
+	remaining int64 // bytes left of the fixed length or of the current chunk
+	chunked   bool
+	inChunks  bool // the first chunk-size line has been reached
+	done      bool
+	err       error
+	Trailer   Fields // set at the end of a chunked body
 }
 
-// Reset makes b the body that f frames on in.
+// Reset prepares b to read the body that f frames from in.
 func (b *Body) Reset(in *bufio.Reader, f Framing) {
-	*b = Body{in: in, left: f.Length, chunked: f.Chunked}
+	*b = Body{in: in, remaining: f.Length, chunked: f.Chunked}
 	b.done = !f.Chunked && f.Length == 0
 }
 
-// Done tells whether the whole body was read.
+// Done reports whether the whole body has been read.
 func (b *Body) Done() bool { return b.done }
 
-// Remaining returns the bytes to come, or -1 where the coding does not tell.
+// Remaining returns the number of bytes still to be read, or -1 for a chunked
+// body that has not ended.
 func (b *Body) Remaining() int64 {
 	if b.chunked {
 		if b.done {
@@ -42,21 +44,21 @@
 		}
 		return -1
 	}
-	return b.left
+	return b.remaining
 }
 
-// Advance tells the body that n of its bytes were read past it, straight from
-// the connection; only a body of fixed length can be read so.
+// Advance records that n bytes of the body were read directly from the
+// connection, bypassing Read. It applies to bodies of fixed length only.
 func (b *Body) Advance(n int64) {
-	b.left -= n
-	b.done = b.left == 0
+	b.remaining -= n
+	b.done = b.remaining == 0
 }
 
-// Buffered returns how many of the body's bytes wait in the reader's buffer.
-func (b *Body) Buffered() int64 { return min(int64(b.in.Buffered()), b.left) }
+// Buffered returns the number of body bytes held in the reader's buffer.
+func (b *Body) Buffered() int64 { return min(int64(b.in.Buffered()), b.remaining) }
 
-// Read reads from the body. A body cut short gives io.ErrUnexpectedEOF, a bad
-// chunk an *Error.
+// Read implements io.Reader. It returns io.ErrUnexpectedEOF for a truncated
+// body and an *Error for a malformed chunk.
 func (b *Body) Read(p []byte) (int, error) {
 	if b.err != nil {
 		return 0, b.err
@@ -67,7 +69,7 @@
 	if len(p) == 0 {
 		return 0, nil
 	}
-	if b.chunked && b.left == 0 {
+	if b.chunked && b.remaining == 0 {
 		if b.err = b.nextChunk(); b.err != nil {
 			return 0, b.err
 		}
@@ -75,8 +77,8 @@
 			return 0, io.EOF
 		}
 	}
-	n, err := b.in.Read(p[:min(int64(len(p)), b.left)])
-	b.left -= int64(n)
+	n, err := b.in.Read(p[:min(int64(len(p)), b.remaining)])
+	b.remaining -= int64(n)
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
@@ -84,28 +86,29 @@
 		b.err = err
 		return n, err
 	}
-	if b.left == 0 && !b.chunked {
+	if b.remaining == 0 && !b.chunked {
 		b.done = true
 	}
 	return n, nil
 }
 
-// nextChunk reads a chunk's size line, and the trailer after the last.
+// nextChunk reads the next chunk-size line, and the trailer after the last
+// chunk.
 func (b *Body) nextChunk() error {
-	if b.begun {
-		if err := b.crlf(); err != nil {
+	if b.inChunks {
+		if err := b.readCRLF(); err != nil {
 			return err
 		}
 	}
-	b.begun = true
-	line, err := readLine(b.in, chunkLineMost)
+	b.inChunks = true
+	line, err := readLine(b.in, maxChunkLineBytes)
 	if err != nil {
 		return err
 	}
-	if b.left, err = parseChunkSize(line); err != nil {
+	if b.remaining, err = parseChunkSize(line); err != nil {
 		return err
 	}
-	if b.left > 0 {
+	if b.remaining > 0 {
 		return nil
 	}
 	if err := b.readTrailer(); err != nil {
@@ -115,79 +118,84 @@
 	return nil
 }
 
-func (b *Body) crlf() error {
+// readCRLF consumes the CRLF that ends a chunk.
+func (b *Body) readCRLF() error {
 	for _, want := range "\r\n" {
 		c, err := b.in.ReadByte()
 		if err != nil {
-			return unexpected(err)
+			return unexpectedEOF(err)
 		}
 		if rune(c) != want {
-			return refuse(400, "chunk does not end in CRLF")
+			return newError(400, "chunk does not end in CRLF")
 		}
 	}
 	return nil
 }
 
+// readTrailer reads the trailer section into b.Trailer.
 func (b *Body) readTrailer() error {
 	var text []byte
 	for {
-		line, err := readLine(b.in, trailerMost)
+		line, err := readLine(b.in, maxTrailerBytes)
 		if err != nil {
 			return err
 		}
 		if len(line) == 0 {
 			break
 		}
-		if len(text)+len(line) > trailerMost {
-			return refuse(431, "trailer over %d bytes", trailerMost)
+		if len(text)+len(line) > maxTrailerBytes {
+			return newError(431, "trailer exceeds %d bytes", maxTrailerBytes)
 		}
 		text = append(append(text, line...), "\r\n"...)
 	}
 	var err error
-	b.Trailer, err = parseFields(string(text), nil, trailerFields)
+	b.Trailer, err = parseFields(string(text), nil, maxTrailerFields)
 	return err
 }
 
-// Drain reads at most most bytes to the body's end and tells whether it got
-// there, so that the connection may carry another message.
-func (b *Body) Drain(most int64) bool {
+// Drain discards the rest of the body if that takes at most maxBytes. It
+// reports whether the end was reached, so that the connection can carry
+// another message.
+func (b *Body) Drain(maxBytes int64) bool {
 	if b.done {
 		return true
 	}
-	if b.left > most {
+	if b.remaining > maxBytes {
 		return false
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(b, most+1))
-	return err == nil && n <= most && b.done
+	n, err := io.Copy(io.Discard, io.LimitReader(b, maxBytes+1))
+	return err == nil && n <= maxBytes && b.done
 }
 
-// readLine reads a CRLF line of at most most bytes; the result is valid until
-// the next read.
-func readLine(in *bufio.Reader, most int) ([]byte, error) {
+// readLine reads a line that ends in CRLF and has at most maxBytes bytes, CRLF
+// included. It returns the line without CRLF; the result is valid until the
+// next read from in.
+func readLine(in *bufio.Reader, maxBytes int) ([]byte, error) {
 	var long []byte
 	for {
 		part, err := in.ReadSlice('\n')
-		if len(long)+len(part) > most {
-			return nil, refuse(400, "line over %d bytes in a chunked body", most)
+		if len(long)+len(part) > maxBytes {
+			return nil, newError(400, "line in a chunked body exceeds %d bytes", maxBytes)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			long = append(long, part...)
 			continue
 		}
 		if err != nil {
-			return nil, unexpected(err)
+			return nil, unexpectedEOF(err)
 		}
 		if long != nil {
 			part = append(long, part...)
 		}
 		if len(part) < 2 || part[len(part)-2] != '\r' {
-			return nil, refuse(400, "line in a chunked body ends in a bare LF")
+			return nil, newError(400, "line in a chunked body ends in a bare LF")
 		}
 		return part[:len(part)-2], nil
 	}
 }
 
-// parseChunkSize reads the hexadecimal size before any extension.
+// parseChunkSize parses the hexadecimal size of a chunk-size line and ignores
+// chunk extensions.
 func parseChunkSize(line []byte) (int64, error) {
 	var size int64
 	digits := 0
@@ -203,20 +211,21 @@
 		case c == ';' && digits > 0:
 			return size, nil
 		default:
-			return 0, refuse(400, "bad chunk size %q", clip(line))
+			return 0, newError(400, "invalid chunk size %q", clip(line))
 		}
-		if digits++; digits > chunkDigitMost {
-			return 0, refuse(400, "chunk size %q too large", clip(line))
+		if digits++; digits > maxChunkSizeDigits {
+			return 0, newError(400, "chunk size %q is too large", clip(line))
 		}
 		size = size<<4 | int64(d)
 	}
 	if digits == 0 {
-		return 0, refuse(400, "chunk without a size")
+		return 0, newError(400, "chunk-size line has no size")
 	}
 	return size, nil
 }
 
-func unexpected(err error) error {
+// unexpectedEOF converts io.EOF inside a message to io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/http1/doc.go
+++ b/internal/http1/doc.go
@@ -1,8 +1,9 @@
-// Package http1 reads and writes HTTP/1.1 messages (RFC 9110, RFC 9112) for
-// both of arrowwalk's sides: clients of the object API and bricks.
+// Package http1 reads and writes HTTP/1.1 messages (RFC 9110, RFC 9112). It is
+// used on connections from clients and on connections to bricks.
 //
-// It is strict where leniency lets two parsers disagree about where a message
-// ends: bare LF, obs-fold, white space before a colon, two lengths, a length
-// beside a transfer coding, and any transfer coding but chunked are refused.
-// Everything that a peer sends is bounded by Limits before it is kept.
+// The parser is strict wherever leniency could let two parsers disagree about
+// the end of a message: it rejects a bare LF, obs-fold, white space before a
+// colon, repeated Content-Length fields, Content-Length together with
+// Transfer-Encoding, and any transfer coding but chunked. Everything that a
+// peer sends is checked against Limits before it is stored.
 package http1
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -9,7 +9,9 @@
 	"testing"
 )
 
-func readOne(text string, limits Limits) (*Request, []byte, *Body, error) {
+// readMessage reads one request with its body, through a small buffer so that
+// lines are longer than it.
+func readMessage(text string, limits Limits) (*Request, []byte, *Body, error) {
 	in := bufio.NewReaderSize(strings.NewReader(text), 64)
 	q := &Request{}
 	if err := NewReader(in, limits).ReadRequest(q); err != nil {
@@ -26,7 +28,7 @@
 	limits := Limits{MaxLineBytes: 200, MaxHeadBytes: 1000, MaxFields: 8}
 	for _, c := range []struct {
 		name, text string
-		status     int // 0: good
+		status     int // 0: accepted
 		body       string
 	}{
 		{"plain", "GET /a?b HTTP/1.1\r\nHost: h\r\n\r\n", 0, ""},
@@ -62,7 +64,7 @@
 		{"chunk without CRLF", "PUT / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n", 400, ""},
 		{"bare LF in a chunk", "PUT / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\na\r\n0\r\n\r\n", 400, ""},
 	} {
-		q, body, _, err := readOne(c.text, limits)
+		q, body, _, err := readMessage(c.text, limits)
 		if c.status != StatusOf(err) || c.status == 0 && err != nil {
 			t.Errorf("%s: %v, want status %d", c.name, err, c.status)
 		}
@@ -76,7 +78,7 @@
 		if cut == 0 {
 			want = io.EOF
 		}
-		if _, _, _, err := readOne(text, limits); !errors.Is(err, want) {
+		if _, _, _, err := readMessage(text, limits); !errors.Is(err, want) {
 			t.Errorf("cut at %d: %v, want %v", cut, err, want)
 		}
 	}
@@ -113,6 +115,7 @@
 	}
 }
 
+// Control bytes in a value must not start a new field.
 func TestFieldsCannotBeInjected(t *testing.T) {
 	b := AppendField(AppendStatusLine(nil, 200), "X", "a\r\nSet: b\x00\x7f")
 	if want := "HTTP/1.1 200 OK\r\nX: aSet: b\r\n"; string(b) != want {
@@ -120,8 +123,8 @@
 	}
 }
 
-// Two readers with different buffers agree on every message: what one takes
-// for a body, the other does not take for a head.
+// Readers with different buffer sizes must agree on where every message ends, so
+// that neither takes for a head what the other takes for a body.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
 	f.Add([]byte("PUT / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\nGET / HTTP/1.1\r\nHost: h\r\n\r\n"))
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// AppendStatusLine appends a status line.
+// AppendStatusLine appends an HTTP/1.1 status line to b.
 func AppendStatusLine(b []byte, status int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -11,8 +11,8 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendField appends a header field. Bytes of the value that would end the
-// line are left out, so that no value can add a field.
+// AppendField appends a header field to b. Control bytes of the value, which
+// could end the line, are left out so that a value cannot inject a field.
 func AppendField(b []byte, name, value string) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
@@ -24,7 +24,7 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendIntField appends a header field with a number.
+// AppendIntField appends a header field with a decimal value to b.
 func AppendIntField(b []byte, name string, value int64) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
@@ -32,7 +32,8 @@
 	return append(b, "\r\n"...)
 }
 
-// StatusText names the statuses that arrowwalk sends (RFC 9110 section 15).
+// StatusText returns the reason phrase of a status that arrowwalk sends
+// (RFC 9110 section 15), or "Status" for any other.
 func StatusText(status int) string {
 	switch status {
 	case 100:
