--- a/internal/connpool/attempt.go
+++ b/internal/connpool/attempt.go
@@ -9,47 +9,50 @@
 	"time"
 )
 
-var errFull = errors.New("all connections that may be open are in use")
+var errPoolFull = errors.New("connection limit reached and no connection is idle")
 
-// Attempt is one exchange, which another goroutine may abort. Its zero value
-// is ready; it serves one exchange at a time and may be reused after Reset.
+// Attempt is one exchange on a connection that another goroutine may abort. The
+// zero value is ready to use. An Attempt serves one exchange at a time and can
+// be reused after Reset. It is safe for concurrent use.
 type Attempt struct {
 	mu      sync.Mutex
-	nc      net.Conn
-	cancel  context.CancelFunc
+	nc      net.Conn           // nil while no connection is attached
+	cancel  context.CancelFunc // of the dial in progress
 	aborted bool
 }
 
-// Reset makes a ready for another exchange.
+// Reset prepares a for another exchange.
 func (a *Attempt) Reset() {
 	a.mu.Lock()
 	a.nc, a.cancel, a.aborted = nil, nil, false
 	a.mu.Unlock()
 }
 
-// Abort ends the attempt's I/O: what waits returns an error at once. It may
-// come before, during or after the exchange.
+// Abort makes the attempt's dial or I/O fail at once. It may be called before,
+// during or after the exchange.
 func (a *Attempt) Abort() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.aborted = true
 	if a.nc != nil {
-		a.nc.SetDeadline(time.Unix(1, 0))
+		a.nc.SetDeadline(time.Unix(1, 0)) // in the past: pending I/O fails at once
 	}
 	if a.cancel != nil {
 		a.cancel()
 	}
 }
 
-// dialing lets Abort end a dial; false: it came before.
-func (a *Attempt) dialing(cancel context.CancelFunc) bool {
+// beginDial registers the function with which Abort cancels the dial. It
+// returns false if the attempt is already aborted.
+func (a *Attempt) beginDial(cancel context.CancelFunc) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cancel = cancel
 	return !a.aborted
 }
 
-// Attach takes the connection into the attempt; false: it was aborted before.
+// Attach gives the attempt its connection and sets the connection's deadline.
+// It returns false if the attempt is already aborted.
 func (a *Attempt) Attach(nc net.Conn, deadline time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -63,7 +66,7 @@
 	return true
 }
 
-// ExtendDeadline moves the connection's deadline, unless the attempt was aborted.
+// ExtendDeadline sets the connection's deadline, unless the attempt is aborted.
 func (a *Attempt) ExtendDeadline(deadline time.Time) {
 	a.mu.Lock()
 	if !a.aborted && a.nc != nil {
@@ -72,7 +75,8 @@
 	a.mu.Unlock()
 }
 
-// Detach lets go of the connection and tells whether it may be used again.
+// Detach takes the connection from the attempt. It returns false if the attempt
+// was aborted, in which case the connection must not be reused.
 func (a *Attempt) Detach() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -80,29 +84,29 @@
 	return !a.aborted
 }
 
-// Aborted tells whether Abort was called.
+// Aborted reports whether Abort was called since the last Reset.
 func (a *Attempt) Aborted() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.aborted
 }
 
-// NumberedAttempt is an Attempt that is made again and again: an Abort of one number
-// ends no other.
+// NumberedAttempt runs a sequence of attempts, numbered from 0. Aborting one
+// number does not affect later ones. It is safe for concurrent use.
 type NumberedAttempt struct {
 	Attempt
-	turn    sync.Mutex
-	begun   bool
-	number  int // of the attempt that runs
-	aborted int // attempts below this number are aborted
+	numberMu     sync.Mutex
+	begun        bool
+	number       int // current attempt
+	abortedBelow int // attempts below this number are aborted
 }
 
-// Begin readies n for the attempt of a number, from 0 on; false: it was
-// aborted before it began.
+// Begin starts the attempt with the given number. It returns false if that
+// attempt is already aborted.
 func (n *NumberedAttempt) Begin(number int) bool {
-	n.turn.Lock()
-	defer n.turn.Unlock()
-	if n.aborted > number {
+	n.numberMu.Lock()
+	defer n.numberMu.Unlock()
+	if n.abortedBelow > number {
 		return false
 	}
 	n.number, n.begun = number, true
@@ -110,27 +114,28 @@
 	return true
 }
 
-// Abort ends the attempt of that number: before, during or after it runs.
+// Abort aborts the attempt with the given number and all earlier ones. It may be
+// called before, during or after the attempt.
 func (n *NumberedAttempt) Abort(number int) {
-	n.turn.Lock()
-	defer n.turn.Unlock()
-	n.aborted = max(n.aborted, number+1) // a Cut stays
+	n.numberMu.Lock()
+	defer n.numberMu.Unlock()
+	n.abortedBelow = max(n.abortedBelow, number+1) // keeps the effect of AbortAll
 	if n.begun && n.number == number {
 		n.Attempt.Abort()
 	}
 }
 
-// AbortAll ends the attempt that runs, and lets none begin any more.
+// AbortAll aborts the current attempt and prevents further ones.
 func (n *NumberedAttempt) AbortAll() {
-	n.turn.Lock()
-	defer n.turn.Unlock()
-	n.aborted = math.MaxInt
+	n.numberMu.Lock()
+	defer n.numberMu.Unlock()
+	n.abortedBelow = math.MaxInt
 	n.Attempt.Abort()
 }
 
-// Number returns the number of the attempt that runs.
+// Number returns the number of the current attempt.
 func (n *NumberedAttempt) Number() int {
-	n.turn.Lock()
-	defer n.turn.Unlock()
+	n.numberMu.Lock()
+	defer n.numberMu.Unlock()
 	return n.number
 }
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -1,6 +1,6 @@
-// Package conns keeps TCP connections to servers for reuse, one exchange at a
-// time on each. It never sends anything and never retries: what is said on a
-// connection, and what an error means, is its caller's.
+// Package connpool keeps TCP connections to servers for reuse, with one exchange
+// at a time on each. It sends nothing itself and never retries: the protocol and
+// the handling of errors are left to the caller.
 package connpool
 
 import (
@@ -21,31 +21,34 @@
 
 // Options bounds the connections of a Pool.
 type Options struct {
-	MaxIdlePerAddress int           // connections kept for reuse at each address
-	IdleTimeout       time.Duration // and for how long
-	ReuseDelay        time.Duration // before a connection is used again: what is behind an answer may come late
+	MaxIdlePerAddress int           // idle connections kept for each address
+	IdleTimeout       time.Duration // after which an idle connection is closed
+	ReuseDelay        time.Duration // idle time before reuse, since excess bytes may follow a response late
 	DialTimeout       time.Duration // longest wait for a new connection
 	Dial              DialFunc      // nil: TCP
-	ReadBufferBytes   int           // bytes of a connection's read buffer; 0: 16 KiB
-	MaxConns          int           // connections open at once, idle ones that give way included; 0: any number
-	HeadLimits        http1.Limits  // of heads that are read
-	SkipIdleCheck     bool          // idle connections are used without a look; for proofs that must fail
+	ReadBufferBytes   int           // size of a connection's read buffer; 0: 16 KiB
+	MaxConns          int           // open connections; at the limit an idle one is evicted; 0: unlimited
+	HeadLimits        http1.Limits  // for heads that are read
+	SkipIdleCheck     bool          // reuse idle connections without IsReusable; for negative tests only
 }
 
-// Pool keeps connections. It is safe for concurrent use.
+// defaultReadBufferBytes is the read buffer's size if Options sets none.
+const defaultReadBufferBytes = 16 << 10
+
+// Pool keeps idle connections by address. It is safe for concurrent use.
 type Pool struct {
 	opt    Options
 	mu     sync.Mutex
-	idle   map[string][]*Conn // by address, the latest used last
-	open   int
+	idle   map[string][]*Conn // by address, most recently used last
+	open   int                // connections, idle ones included
 	closed bool
-	dialed int64
+	dialed int64 // connections opened so far
 }
 
 // NewPool returns an empty pool.
 func NewPool(opt Options) *Pool {
 	if opt.ReadBufferBytes == 0 {
-		opt.ReadBufferBytes = 16 << 10
+		opt.ReadBufferBytes = defaultReadBufferBytes
 	}
 	if opt.Dial == nil {
 		opt.Dial = func(ctx context.Context, address string) (net.Conn, error) {
@@ -55,22 +58,22 @@
 	return &Pool{opt: opt, idle: map[string][]*Conn{}}
 }
 
-// Conn is a connection with what reads heads on it. It is closed by Drop or
-// kept by Put, never by its caller.
+// Conn is a pooled connection with its readers. The caller that got it returns
+// it with Put or closes it with Discard, and never calls Close.
 type Conn struct {
 	net.Conn
-	RawConn    syscall.RawConn // nil: it has none
+	RawConn    syscall.RawConn // nil if the connection has no descriptor
 	Reader     *bufio.Reader
-	HeadReader *http1.Reader
-	WriteBuf   []byte // to be reused for what is written
+	HeadReader *http1.Reader // reads from Reader
+	WriteBuf   []byte        // scratch buffer for requests, kept between exchanges
 	address    string
-	used       time.Time
+	lastUsed   time.Time
 }
 
-// DialError tells that no connection came about.
+// DialError reports that a connection could not be established.
 type DialError struct {
-	Aborted  bool // the attempt was given up
-	TimedOut bool
+	Aborted  bool // the attempt was aborted
+	TimedOut bool // the dial timeout or the attempt's deadline passed
 	Err      error
 }
 
@@ -78,26 +81,29 @@
 
 func (e *DialError) Unwrap() error { return e.Err }
 
-// Close closes the idle connections; those in use close when they come back.
+// Close closes the idle connections. Connections in use are closed when they
+// are returned.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
 	for _, list := range p.idle {
-		p.shut(list)
+		p.closeConns(list)
 	}
 	p.idle = nil
 }
 
-// shut closes connections; the caller holds p.mu.
-func (p *Pool) shut(list []*Conn) {
-	for _, c := range list {
+// closeConns closes connections that were removed from the pool. The caller
+// holds p.mu.
+func (p *Pool) closeConns(conns []*Conn) {
+	for _, c := range conns {
 		p.open--
 		c.Conn.Close()
 	}
 }
 
-// CloseIdleExcept closes the idle connections to all addresses but those given.
+// CloseIdleExcept closes the idle connections to all addresses that are not
+// listed.
 func (p *Pool) CloseIdleExcept(addresses []string) {
 	known := make(map[string]bool, len(addresses))
 	for _, a := range addresses {
@@ -107,32 +113,32 @@
 	defer p.mu.Unlock()
 	for address, list := range p.idle {
 		if !known[address] {
-			p.shut(list)
+			p.closeConns(list)
 			delete(p.idle, address)
 		}
 	}
 }
 
-// CloseExpired closes what was idle for too long at a time.
+// CloseExpired closes the connections whose idle timeout has passed at now.
 func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, list := range p.idle {
-		n := 0
-		for n < len(list) && now.Sub(list[n].used) >= p.opt.IdleTimeout {
-			n++
+		expired := 0
+		for expired < len(list) && now.Sub(list[expired].lastUsed) >= p.opt.IdleTimeout {
+			expired++
 		}
-		p.shut(list[:n])
-		if n == len(list) {
+		p.closeConns(list[:expired])
+		if expired == len(list) {
 			delete(p.idle, address)
-		} else if n > 0 {
-			p.idle[address] = append([]*Conn(nil), list[n:]...)
+		} else if expired > 0 {
+			p.idle[address] = append([]*Conn(nil), list[expired:]...)
 		}
 	}
 }
 
-// Counts returns how many connections are open, how many of them idle, and how
-// many were opened so far.
+// Counts returns the number of open connections, how many of them are idle, and
+// how many were dialed since the pool was created.
 func (p *Pool) Counts() (open, idle int, dialed int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,40 +148,42 @@
 	return p.open, idle, p.dialed
 }
 
-// Get returns an idle connection to address that is still open, or dials one;
-// any error is a *DialError. The attempt holds the connection, with a deadline.
-func (p *Pool) Get(at *Attempt, address string, deadline time.Time) (*Conn, error) {
+// Get returns a reusable idle connection to address, or dials a new one. The
+// attempt can abort the dial; the caller attaches the connection to it. Any
+// error is a *DialError.
+func (p *Pool) Get(attempt *Attempt, address string, deadline time.Time) (*Conn, error) {
 	for {
-		c := p.pop(address, time.Now().Add(-p.opt.ReuseDelay))
+		c := p.popIdleBefore(address, time.Now().Add(-p.opt.ReuseDelay))
 		if c == nil {
 			break
 		}
-		if time.Since(c.used) < p.opt.IdleTimeout && (p.opt.SkipIdleCheck || c.IsReusable()) {
+		if time.Since(c.lastUsed) < p.opt.IdleTimeout && (p.opt.SkipIdleCheck || c.IsReusable()) {
 			return c, nil
 		}
 		p.Discard(c)
 	}
-	return p.dial(at, address, deadline)
+	return p.dial(attempt, address, deadline)
 }
 
-// PopIdle takes the idle connection that was used last; nil: there is none.
-func (p *Pool) PopIdle(address string) *Conn { return p.pop(address, time.Now()) }
+// PopIdle removes and returns the most recently used idle connection to
+// address, or nil if there is none.
+func (p *Pool) PopIdle(address string) *Conn { return p.popIdleBefore(address, time.Now()) }
 
-// pop takes the idle connection that was used last, but not after a time; nil:
-// there is none.
-func (p *Pool) pop(address string, before time.Time) *Conn {
+// popIdleBefore removes and returns the most recently used idle connection to
+// address that was not used after before, or nil if there is none.
+func (p *Pool) popIdleBefore(address string, before time.Time) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
-	at := len(list) - 1
-	for at >= 0 && list[at].used.After(before) {
-		at--
+	i := len(list) - 1
+	for i >= 0 && list[i].lastUsed.After(before) {
+		i--
 	}
-	if at < 0 {
+	if i < 0 {
 		return nil
 	}
-	c := list[at]
-	if list = slices.Delete(list, at, at+1); len(list) == 0 {
+	c := list[i]
+	if list = slices.Delete(list, i, i+1); len(list) == 0 {
 		delete(p.idle, address)
 	} else {
 		p.idle[address] = list
@@ -183,9 +191,11 @@
 	return c
 }
 
-// Put keeps a connection on which nothing is under way.
+// Put returns a connection without an exchange in progress to the pool. The pool
+// closes it if it is closed itself or has enough idle connections to the
+// address.
 func (p *Pool) Put(c *Conn) {
-	c.used = time.Now()
+	c.lastUsed = time.Now()
 	p.mu.Lock()
 	list := p.idle[c.address]
 	keep := !p.closed && len(list) < p.opt.MaxIdlePerAddress
@@ -198,7 +208,7 @@
 	}
 }
 
-// Discard closes a connection that was taken.
+// Discard closes a connection that Get or PopIdle returned.
 func (p *Pool) Discard(c *Conn) {
 	p.mu.Lock()
 	p.open--
@@ -206,22 +216,24 @@
 	c.Conn.Close()
 }
 
-// room makes room for one more connection; false: all that may be are in use.
-func (p *Pool) room() bool {
+// reserveSlot counts one more open connection and evicts an idle one at the
+// limit. It returns false if all allowed connections are in use.
+func (p *Pool) reserveSlot() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.opt.MaxConns > 0 && p.open >= p.opt.MaxConns && !p.evict() {
+	if p.opt.MaxConns > 0 && p.open >= p.opt.MaxConns && !p.evictOldestIdle() {
 		return false
 	}
 	p.open++
 	return true
 }
 
-// evict closes the connection that was idle for longest; false: there is none.
-func (p *Pool) evict() bool {
+// evictOldestIdle closes the connection that has been idle for longest. It
+// returns false if none is idle. The caller holds p.mu.
+func (p *Pool) evictOldestIdle() bool {
 	var oldest *Conn
 	for _, list := range p.idle {
-		if c := list[0]; oldest == nil || c.used.Before(oldest.used) {
+		if c := list[0]; oldest == nil || c.lastUsed.Before(oldest.lastUsed) {
 			oldest = c
 		}
 	}
@@ -229,7 +241,7 @@
 		return false
 	}
 	list := p.idle[oldest.address]
-	p.shut(list[:1])
+	p.closeConns(list[:1])
 	if len(list) == 1 {
 		delete(p.idle, oldest.address)
 	} else {
@@ -238,25 +250,26 @@
 	return true
 }
 
-func (p *Pool) dial(at *Attempt, address string, deadline time.Time) (*Conn, error) {
-	until := time.Now().Add(p.opt.DialTimeout)
-	if deadline.Before(until) {
-		until = deadline
+// dial opens a connection to address. Any error is a *DialError.
+func (p *Pool) dial(attempt *Attempt, address string, deadline time.Time) (*Conn, error) {
+	dialDeadline := time.Now().Add(p.opt.DialTimeout)
+	if deadline.Before(dialDeadline) {
+		dialDeadline = deadline
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), until)
+	ctx, cancel := context.WithDeadline(context.Background(), dialDeadline)
 	defer cancel()
-	if !at.dialing(cancel) {
+	if !attempt.beginDial(cancel) {
 		return nil, &DialError{Aborted: true, Err: context.Canceled}
 	}
-	if !p.room() {
-		return nil, &DialError{Err: errFull}
+	if !p.reserveSlot() {
+		return nil, &DialError{Err: errPoolFull}
 	}
 	nc, err := p.opt.Dial(ctx, address)
 	if err != nil {
 		p.mu.Lock()
 		p.open--
 		p.mu.Unlock()
-		return nil, &DialError{Aborted: at.Aborted(), TimedOut: ctx.Err() != nil, Err: err}
+		return nil, &DialError{Aborted: attempt.Aborted(), TimedOut: ctx.Err() != nil, Err: err}
 	}
 	p.mu.Lock()
 	p.dialed++
@@ -266,8 +279,8 @@
 	return c, nil
 }
 
-// IsReusable looks whether an idle connection is still there: a server that closed
-// it, or said something unasked, is not asked on it.
+// IsReusable reports whether an idle connection can carry another exchange: it
+// cannot if the server has closed it or has sent unsolicited bytes.
 func (c *Conn) IsReusable() bool {
 	if c.Reader.Buffered() > 0 {
 		return false
