--- a/internal/sockstate/rdhup_linux.go
+++ b/internal/sockstate/rdhup_linux.go
@@ -2,5 +2,6 @@
 
 import "golang.org/x/sys/unix"
 
-// rdHup is poll's event of a peer that has shut its side (poll(2)).
-const rdHup = unix.POLLRDHUP
+// pollRdHup is the event for a peer that has shut down its sending side
+// (poll(2)).
+const pollRdHup = unix.POLLRDHUP
--- a/internal/sockstate/rdhup_other.go
+++ b/internal/sockstate/rdhup_other.go
@@ -2,6 +2,6 @@
 
 package sockstate
 
-// rdHup is an event that only Linux has; elsewhere a close behind unread bytes
-// is seen when they have been read.
-const rdHup = 0
+// pollRdHup is 0, since only Linux has the event. On other systems a close
+// behind unread data is noticed only after the data has been read.
+const pollRdHup = 0
--- a/internal/sockstate/sockstate.go
+++ b/internal/sockstate/sockstate.go
@@ -1,4 +1,6 @@
-// Package peek looks at a socket without taking anything from it.
+// Package sockstate queries the state of a socket without consuming any data:
+// whether it is readable, whether the peer has closed it, and whether a listener
+// has a connection to accept.
 package sockstate
 
 import (
@@ -9,7 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// RawConn returns the descriptor of a connection; nil: it has none.
+// RawConn returns access to the descriptor of a connection, or nil if it has
+// none.
 func RawConn(nc net.Conn) syscall.RawConn {
 	if sc, ok := nc.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
@@ -19,59 +22,62 @@
 	return nil
 }
 
-// look returns what a read of one byte on fd would say now.
-func look(fd uintptr) (int, error) {
-	var one [1]byte
-	n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+// peekByte returns the result that a non-blocking read of one byte on fd would
+// have, without consuming the byte.
+func peekByte(fd uintptr) (int, error) {
+	var buf [1]byte
+	n, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n, err
 }
 
-func later(err error) bool { return err == syscall.EAGAIN || err == syscall.EINTR }
+// isRetryable reports whether err only means that there is nothing to read yet.
+func isRetryable(err error) bool { return err == syscall.EAGAIN || err == syscall.EINTR }
 
-// Readable tells whether a read on the socket would return at once: bytes
-// have come, or the peer has closed or broken the connection.
+// Readable reports whether a read on the socket would return at once, because
+// there is data or because the peer has closed or reset the connection.
 func Readable(raw syscall.RawConn) bool {
 	ready := true
 	err := raw.Control(func(fd uintptr) {
-		_, err := look(fd)
-		ready = !later(err)
+		_, err := peekByte(fd)
+		ready = !isRetryable(err)
 	})
 	return err != nil || ready
 }
 
-// AtEOF tells whether the peer has closed or broken the connection, and all
-// that it sent before was read.
+// AtEOF reports whether the peer has closed or reset the connection and all data
+// that it sent has been read. It returns false for a nil raw.
 func AtEOF(raw syscall.RawConn) bool {
 	if raw == nil {
 		return false
 	}
-	gone := false
+	atEOF := false
 	err := raw.Control(func(fd uintptr) {
-		n, err := look(fd)
-		gone = err == nil && n == 0 || err != nil && !later(err)
+		n, err := peekByte(fd)
+		atEOF = err == nil && n == 0 || err != nil && !isRetryable(err)
 	})
-	return err != nil || gone
+	return err != nil || atEOF
 }
 
-// PeerClosed tells whether the peer has closed or broken the connection, also where
-// bytes that it sent before were not read yet.
+// PeerClosed reports whether the peer has closed or reset the connection, even
+// if data that it sent before has not been read yet. It returns false for a nil
+// raw.
 func PeerClosed(raw syscall.RawConn) bool {
 	if raw == nil {
 		return false
 	}
-	left := false
+	closed := false
 	err := raw.Control(func(fd uintptr) {
-		n, err := look(fd)
-		left = err == nil && n == 0 || err != nil && !later(err)
+		n, err := peekByte(fd)
+		closed = err == nil && n == 0 || err != nil && !isRetryable(err)
 		if err == nil && n > 0 {
-			left = hungUp(fd)
+			closed = isHungUp(fd)
 		}
 	})
-	return err != nil || left
+	return err != nil || closed
 }
 
-// HasPendingConn tells whether a listener has a connection to accept; where the kernel
-// does not tell, it has none.
+// HasPendingConn reports whether a listener has a connection to accept. It
+// returns false if the listener has no descriptor to query.
 func HasPendingConn(ln net.Listener) bool {
 	sc, ok := ln.(syscall.Conn)
 	if !ok {
@@ -82,41 +88,42 @@
 		return false
 	}
 	pending := false
-	raw.Control(func(fd uintptr) { pending = polled(fd, unix.POLLIN) })
+	raw.Control(func(fd uintptr) { pending = pollNow(fd, unix.POLLIN) })
 	return pending
 }
 
-// hungUp asks for the end of what the peer sends behind bytes that lie unread;
-// where the kernel does not tell, there is none.
-func hungUp(fd uintptr) bool {
-	return polled(fd, rdHup|unix.POLLHUP|unix.POLLERR)
+// isHungUp reports whether the peer has ended its side of the connection, even
+// behind unread data. It returns false if the kernel cannot tell.
+func isHungUp(fd uintptr) bool {
+	return pollNow(fd, pollRdHup|unix.POLLHUP|unix.POLLERR)
 }
 
-// polled tells whether poll(2) has one of the events now.
-func polled(fd uintptr, events int16) bool {
-	ask := []unix.PollFd{{Fd: int32(fd), Events: events}}
-	n, err := unix.Poll(ask, 0)
-	return err == nil && n == 1 && ask[0].Revents&events != 0
+// pollNow reports whether poll(2) returns one of the events without waiting.
+func pollNow(fd uintptr, events int16) bool {
+	fds := []unix.PollFd{{Fd: int32(fd), Events: events}}
+	n, err := unix.Poll(fds, 0)
+	return err == nil && n == 1 && fds[0].Revents&events != 0
 }
 
-// WaitReadable waits, without a buffer, until there is a byte to read. io.EOF means
-// that the peer closed; the connection's read deadline holds.
+// WaitReadable waits until there is a byte to read. It needs no read buffer, so
+// an idle connection holds no memory for one. It returns io.EOF if the peer has
+// closed the connection, and respects the connection's read deadline.
 func WaitReadable(raw syscall.RawConn) error {
-	var failed error
+	var readErr error
 	err := raw.Read(func(fd uintptr) bool {
-		n, err := look(fd)
+		n, err := peekByte(fd)
 		switch {
-		case later(err):
+		case isRetryable(err):
 			return false
 		case err != nil:
-			failed = err
+			readErr = err
 		case n == 0:
-			failed = io.EOF
+			readErr = io.EOF
 		}
 		return true
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return readErr
 }
--- a/internal/tcpinfo/tcpinfo.go
+++ b/internal/tcpinfo/tcpinfo.go
@@ -2,6 +2,6 @@
 
 import "time"
 
-// MinReliableAge is the least age that tells anything beside the kernel's tick, which
-// may be as long as 10 ms.
+// MinReliableAge is the smallest age that is meaningful beside the resolution of
+// the kernel's tick, which may be as coarse as 10 ms.
 const MinReliableAge = 20 * time.Millisecond
--- a/internal/tcpinfo/tcpinfo_linux.go
+++ b/internal/tcpinfo/tcpinfo_linux.go
@@ -1,5 +1,5 @@
-// Package sockage asks the kernel how long ago bytes last came in on a
-// connection.
+// Package tcpinfo queries the kernel for the receive state of a TCP connection:
+// how long ago data last arrived and how much of it is unread.
 package tcpinfo
 
 import (
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// LastReceiveAge returns the time since bytes last came in on a TCP connection
-// (tcpi_last_data_recv of TCP_INFO, tcp(7), in milliseconds by the kernel's
-// tick); false: the kernel does not tell.
+// LastReceiveAge returns the time since data last arrived on a TCP connection
+// (tcpi_last_data_recv of TCP_INFO, tcp(7)). Its unit is 1 ms and its resolution
+// is the kernel's tick. It returns false if the kernel does not provide it.
 func LastReceiveAge(raw syscall.RawConn) (time.Duration, bool) {
 	if raw == nil {
 		return 0, false
@@ -27,8 +27,8 @@
 	return age, ok && err == nil
 }
 
-// UnreadBytes returns how many bytes lie in a TCP connection's receive buffer
-// (SIOCINQ, tcp(7)); false: the kernel does not tell.
+// UnreadBytes returns the number of bytes in a TCP connection's receive buffer
+// (SIOCINQ, tcp(7)). It returns false if the kernel does not provide it.
 func UnreadBytes(raw syscall.RawConn) (int, bool) {
 	if raw == nil {
 		return 0, false
--- a/internal/tcpinfo/tcpinfo_other.go
+++ b/internal/tcpinfo/tcpinfo_other.go
@@ -1,7 +1,7 @@
 //go:build !linux
 
-// Package sockage asks the kernel how long ago bytes last came in on a
-// connection.
+// Package tcpinfo queries the kernel for the receive state of a TCP connection:
+// how long ago data last arrived and how much of it is unread.
 package tcpinfo
 
 import (
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Age returns false: this system does not tell.
-func Age(syscall.RawConn) (time.Duration, bool) { return 0, false }
+// LastReceiveAge returns false, since this system does not provide it.
+func LastReceiveAge(syscall.RawConn) (time.Duration, bool) { return 0, false }
 
-// Unread returns false: this system does not tell.
-func Unread(syscall.RawConn) (int, bool) { return 0, false }
+// UnreadBytes returns false, since this system does not provide it.
+func UnreadBytes(syscall.RawConn) (int, bool) { return 0, false }
--- a/internal/tcpinfo/tcpinfo_test.go
+++ b/internal/tcpinfo/tcpinfo_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-func pair(t *testing.T, network, addr string) (net.Conn, net.Conn) {
+// connPair returns both ends of a connection.
+func connPair(t *testing.T, network, addr string) (net.Conn, net.Conn) {
 	t.Helper()
 	ln, err := net.Listen(network, addr)
 	if err != nil {
@@ -29,44 +30,44 @@
 	return a, b
 }
 
-// The age grows from when bytes came, not from when they are read, and starts
-// anew with the next bytes.
+// The age counts from the arrival of data, not from its reading, and restarts
+// when more data arrives.
 func TestAgeIsOfTheLastBytes(t *testing.T) {
-	a, b := pair(t, "tcp", "127.0.0.1:0")
+	a, b := connPair(t, "tcp", "127.0.0.1:0")
 	raw, err := b.(syscall.Conn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := LastReceiveAge(nil); ok {
-		t.Error("no connection has an age")
+		t.Error("an age is returned without a connection")
 	}
-	const tick = 15 * time.Millisecond // of the kernel, at 100 Hz and some more
+	const tick = 15 * time.Millisecond // the kernel's tick of 10 ms at 100 Hz, and a margin
 	for range 2 {
 		before := time.Now()
 		a.Write([]byte("x"))
 		after := time.Now()
-		var one [1]byte
-		for n := 0; n == 0; n, _ = UnreadBytes(raw) { // it is on its way
+		var buf [1]byte
+		for n := 0; n == 0; n, _ = UnreadBytes(raw) { // until the byte has arrived
 		}
-		b.Read(one[:])
+		b.Read(buf[:])
 		if n, ok := UnreadBytes(raw); n != 0 || !ok {
-			t.Errorf("%d bytes are left of one, %v", n, ok)
+			t.Errorf("%d unread bytes after the only one was read, %v", n, ok)
 		}
-		for time.Since(before) < 80*time.Millisecond { // the clock itself is what is tested
+		for time.Since(before) < 80*time.Millisecond { // real time: the test compares it with the kernel's clock
 			time.Sleep(5 * time.Millisecond)
-			low := time.Since(after) - tick
+			minAge := time.Since(after) - tick
 			age, ok := LastReceiveAge(raw)
-			if high := time.Since(before) + tick; !ok || age < low || age > high {
-				t.Fatalf("age %s, %v; between %s and %s", age, ok, low, high)
+			if maxAge := time.Since(before) + tick; !ok || age < minAge || age > maxAge {
+				t.Fatalf("age %s, %v; want between %s and %s", age, ok, minAge, maxAge)
 			}
 		}
 	}
-	_, u := pair(t, "unix", filepath.Join(t.TempDir(), "s"))
+	_, u := connPair(t, "unix", filepath.Join(t.TempDir(), "s"))
 	raw, err = u.(syscall.Conn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if age, ok := LastReceiveAge(raw); ok {
-		t.Errorf("a Unix socket's age is told: %s", age)
+		t.Errorf("an age is returned for a Unix socket: %s", age)
 	}
 }
