--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,89 +1,96 @@
-// Package stall tells that a process stood still, and since when. It goes by
-// the process's own beat on a monotonic clock and has no clock of its own:
-// times are microseconds of its caller's. What counts as still is learned from
-// how late beats usually are, as RFC 6298 learns a retransmission's time-out,
-// so that no figure of one machine is in it.
+// Package stall detects that the process was not running for a while, and since
+// when: for instance because it was stopped or its machine was overloaded. It
+// works from the process's own heartbeats on a monotonic clock. It has no clock
+// of its own: all times are microseconds that the caller supplies. The lateness
+// that counts as a stall is learned from the usual lateness of heartbeats, in the
+// way in which RFC 6298 derives a retransmission timeout, so that no constant
+// depends on the machine.
 package stall
 
-// Stall is a span in which the process did nothing that was seen.
+// Stall is a span of time in which the process was not running.
 type Stall struct {
-	Start int64 // the last beat before
-	End   int64 // the first sign of life after
+	Start int64 // last heartbeat before the stall
+	End   int64 // first heartbeat after it
 }
 
-// kept is how many stalls are remembered.
-const kept = 16
+// maxRecentStalls is the number of stalls that a Detector remembers.
+const maxRecentStalls = 16
 
-// Detector learns how late beats are. Its zero value is not ready; it is not
-// safe for concurrent use.
+// Detector learns how late heartbeats usually are and detects stalls. Its zero
+// value is not usable; it is not safe for concurrent use.
 type Detector struct {
-	every int64
-	last  int64
-	mean  float64 // of the lateness
-	dev   float64 // its mean deviation
-	past  []Stall // the latest last
-	count uint64
-	most  int64
+	interval     int64 // between heartbeats
+	last         int64 // heartbeat
+	meanLateness float64
+	meanDev      float64 // mean deviation of the lateness
+	recent       []Stall // oldest first
+	count        uint64
+	longest      int64
 }
 
-// NewDetector returns a Detector whose process will beat each every
-// microseconds from now on.
-func NewDetector(every, now int64) *Detector {
-	return &Detector{every: max(every, 1), last: now}
+// NewDetector returns a Detector for a process that sends a heartbeat every
+// interval microseconds from now on.
+func NewDetector(interval, now int64) *Detector {
+	return &Detector{interval: max(interval, 1), last: now}
 }
 
-// boundMost is the most beats that a usual beat may be late: on a machine that
-// stands still all the time, each time is to be told.
-const boundMost = 16
+// maxLatenessIntervals bounds the learned lateness, in heartbeat intervals.
+// Without the bound a machine that stalls all the time would teach the detector
+// to ignore its stalls.
+const maxLatenessIntervals = 16
 
-// MaxLateness is how late a beat may be that is still usual, microseconds: a beat's
-// own span at least, and four mean deviations over the mean.
+// MaxLateness returns how late a heartbeat may be without counting as a stall, in
+// microseconds: the mean plus four mean deviations, but at least one interval.
 func (d *Detector) MaxLateness() int64 {
-	return min(max(d.every, int64(d.mean+4*d.dev)), boundMost*d.every)
+	return min(max(d.interval, int64(d.meanLateness+4*d.meanDev)), maxLatenessIntervals*d.interval)
 }
 
-// IsStalled tells whether the process has stood still since its last beat.
-func (d *Detector) IsStalled(now int64) bool { return now-d.last > d.every+d.MaxLateness() }
+// IsStalled reports whether the process has been stalled since its last
+// heartbeat.
+func (d *Detector) IsStalled(now int64) bool { return now-d.last > d.interval+d.MaxLateness() }
 
-// StallDeadline returns the time from which on Still is true, unless a beat comes.
-func (d *Detector) StallDeadline() int64 { return d.last + d.every + d.MaxLateness() }
+// StallDeadline returns the time after which IsStalled is true unless another
+// heartbeat comes.
+func (d *Detector) StallDeadline() int64 { return d.last + d.interval + d.MaxLateness() }
 
-// Heartbeat takes a sign of life. It returns the stall that it ends, if any. What is
-// learned of a stall is its bound alone: a machine that gets busy moves the
-// bound by and by, one long stall does not.
+// Heartbeat records a heartbeat. It returns the stall that the heartbeat ends, if
+// any. A stall contributes no more than MaxLateness to the learned lateness, so
+// that a machine that becomes busy raises it gradually and one long stall does
+// not.
 func (d *Detector) Heartbeat(now int64) (Stall, bool) {
 	if now <= d.last {
 		return Stall{}, false
 	}
-	late := max(0, now-d.last-d.every)
-	still, bound := d.IsStalled(now), d.MaxLateness()
+	late := max(0, now-d.last-d.interval)
+	stalled, maxLateness := d.IsStalled(now), d.MaxLateness()
 	s := Stall{d.last, now}
 	d.last = now
-	d.learn(float64(min(late, bound)))
-	if !still {
+	d.learn(float64(min(late, maxLateness)))
+	if !stalled {
 		return Stall{}, false
 	}
 	d.count++
-	d.most = max(d.most, s.End-s.Start)
-	if len(d.past) == kept {
-		d.past = append(d.past[:0], d.past[1:]...)
+	d.longest = max(d.longest, s.End-s.Start)
+	if len(d.recent) == maxRecentStalls {
+		d.recent = append(d.recent[:0], d.recent[1:]...)
 	}
-	d.past = append(d.past, s)
+	d.recent = append(d.recent, s)
 	return s, true
 }
 
-// learn is RFC 6298's smoothing, section 2: an eighth and a quarter.
+// learn updates the smoothed lateness with the gains of RFC 6298 section 2: 1/8
+// for the mean and 1/4 for the deviation.
 func (d *Detector) learn(late float64) {
-	off := late - d.mean
-	d.mean += off / 8
-	d.dev += (max(off, -off) - d.dev) / 4
+	diff := late - d.meanLateness
+	d.meanLateness += diff / 8
+	d.meanDev += (max(diff, -diff) - d.meanDev) / 4
 }
 
-// EarliestRecentStall returns the start of the first of the stalls that ended less than span
-// before now; false: there was none. What was found at a time before that
-// start did not lie there during a stall.
+// EarliestRecentStall returns the start of the first stall that ended less than
+// span before now, a stall in progress included. It returns false if there is
+// none. An observation made before that start is not affected by a recent stall.
 func (d *Detector) EarliestRecentStall(now, span int64) (int64, bool) {
-	for _, s := range d.past {
+	for _, s := range d.recent {
 		if now-s.End < span {
 			return s.Start, true
 		}
@@ -94,85 +101,88 @@
 	return 0, false
 }
 
-// StalledTime returns for how much of a span the process stood still: what it
-// waited for in that time it did not see.
+// StalledTime returns how much of the span from..to the process was stalled and
+// could not observe the events that it waited for.
 func (d *Detector) StalledTime(from, to int64) int64 {
 	var sum int64
-	for _, s := range d.past {
+	for _, s := range d.recent {
 		sum += s.Overlap(from, to)
 	}
 	return sum
 }
 
-// Overlap returns how much of a span lies in s.
+// Overlap returns how much of the span from..to lies within s.
 func (s Stall) Overlap(from, to int64) int64 { return max(0, min(to, s.End)-max(from, s.Start)) }
 
-// Totals returns how many stalls there were, and how long the longest was.
-func (d *Detector) Totals() (n uint64, longest int64) { return d.count, d.most }
+// Totals returns the number of stalls and the length of the longest.
+func (d *Detector) Totals() (n uint64, longest int64) { return d.count, d.longest }
 
-// UnreadData is what is known of bytes that a process finds in a socket.
+// UnreadData describes data that the process finds in a socket. Times are
+// microseconds.
 type UnreadData struct {
-	ObservedAt int64 // they are looked at
-	LastEmpty  int64 // the socket was last seen empty; 0: not known
-	Age        int64 // since bytes last came in, as the kernel tells
-	AgeKnown   bool  // the kernel tells it
-	Partial    bool  // more of the request is to come: a full window may have held it back
+	ObservedAt int64 // when the socket is examined
+	LastEmpty  int64 // when the socket was last seen empty; 0: unknown
+	Age        int64 // since data last arrived, as reported by the kernel
+	AgeKnown   bool  // the kernel reports Age
+	Partial    bool  // more of the request is to come; a full receive window may hold it back
 }
 
-// ArrivalTime returns since when a client may have waited whose request was found by
-// a process that stood still from a time on. Where the kernel does not tell
-// when its last byte came in, or that byte may lie in the client's own buffers
-// since the process's were full, the stall itself is the bound: the client may
-// have sent all of it at its start, but not before the socket was seen empty.
-func (f *UnreadData) ArrivalTime(stillFrom int64) int64 {
-	if f.AgeKnown && !f.Partial {
-		return f.ObservedAt - max(0, f.Age)
+// ArrivalTime returns the time from which the client of a request may have been
+// waiting, for a process that has been stalled since stalledSince. If the kernel
+// does not report when the last byte arrived, or if that byte may still lie in
+// the client's send buffer because the receive buffer was full, the stall bounds
+// the time: the client may have sent the whole request when the stall began, but
+// not before the socket was seen empty.
+func (u *UnreadData) ArrivalTime(stalledSince int64) int64 {
+	if u.AgeKnown && !u.Partial {
+		return u.ObservedAt - max(0, u.Age)
 	}
-	return min(f.ObservedAt, max(f.LastEmpty, stillFrom))
+	return min(u.ObservedAt, max(u.LastEmpty, stalledSince))
 }
 
-// CatchUp is what a process owes when it goes on after a stall: the final
-// words of requests whose time was up come first, and nothing new is read or
-// sent before they are out, for a bounded time. It is not safe for concurrent
-// use.
+// CatchUp orders the work after a stall. The final replies to requests whose time
+// ran out go first: until they are written, nothing new is read or sent, for a
+// bounded time. It is not safe for concurrent use.
 type CatchUp struct {
-	owed     int
+	pending  int // replies that are decided and not yet written
 	deciding bool
-	until    int64
-	words    int // final words owed since the stall
+	deadline int64
+	replies  int // final replies due since the stall
 }
 
-// catchUpPart is the part of a stall for which the new waits for the old:
-// who waited for the stall can wait for a tenth more.
 const (
-	catchUpPart = 10
-	// MaxCatchUpMicros bounds it, microseconds: no answer may be held for longer on
-	// account of others.
+	// catchUpDivisor sets the longest time for which new work waits, as a fraction
+	// of the stall: clients that waited for the stall can wait for a tenth more.
+	catchUpDivisor = 10
+	// MaxCatchUpMicros bounds that time in microseconds, since no reply may be held
+	// back for longer because of others.
 	MaxCatchUpMicros = 100_000
 )
 
-// Begin starts to count after a stall of span that ended at now.
+// Begin starts catching up after a stall of span microseconds that ended at now.
 func (c *CatchUp) Begin(now, span int64) {
-	*c = CatchUp{until: now + min(span/catchUpPart, MaxCatchUpMicros), deciding: true}
+	*c = CatchUp{deadline: now + min(span/catchUpDivisor, MaxCatchUpMicros), deciding: true}
 }
 
-// FinishDeciding tells that all words which the stall made due are counted.
+// FinishDeciding records that all replies made due by the stall are counted.
 func (c *CatchUp) FinishDeciding() { c.deciding = false }
 
-// IsDeciding tells whether more words may be counted yet.
+// IsDeciding reports whether more replies may still be counted.
 func (c *CatchUp) IsDeciding() bool { return c.deciding }
 
-// AddPendingReply counts a final word that has been decided and not yet been written.
-func (c *CatchUp) AddPendingReply() { c.owed++; c.words++ }
+// AddPendingReply counts a final reply that is decided and not yet written.
+func (c *CatchUp) AddPendingReply() { c.pending++; c.replies++ }
 
-// MarkReplySent counts one that has been written.
-func (c *CatchUp) MarkReplySent() { c.owed = max(0, c.owed-1) }
+// MarkReplySent records that a pending reply was written.
+func (c *CatchUp) MarkReplySent() { c.pending = max(0, c.pending-1) }
 
-// AllowsNew tells whether the new may go on.
-func (c *CatchUp) AllowsNew(now int64) bool { return c.owed == 0 && !c.deciding || now >= c.until }
+// AllowsNew reports whether new work may proceed.
+func (c *CatchUp) AllowsNew(now int64) bool {
+	return c.pending == 0 && !c.deciding || now >= c.deadline
+}
 
-// Deadline returns when the new may go on at the latest.
-func (c *CatchUp) Deadline() int64 { return c.until }
+// Deadline returns the time from which new work may proceed in any case.
+func (c *CatchUp) Deadline() int64 { return c.deadline }
 
-// Replies returns how many final words were owed since the stall.
-func (c *CatchUp) Replies() int { return c.words }
+// Replies returns the number of final replies due since the stall.
+func (c *CatchUp) Replies() int { return c.replies }
