--- a/internal/platform/eviction/byte_budget.go
+++ b/internal/platform/eviction/byte_budget.go
@@ -2,24 +2,24 @@
 
 import "sync/atomic"
 
-// ByteBudget is memory that bodies share. Who finds none gives way: nothing that is
-// held is taken back. It is safe for concurrent use.
+// ByteBudget bounds the memory that bodies share. Acquire fails when the budget
+// is used up; memory in use is never reclaimed. It is safe for concurrent use.
 type ByteBudget struct {
-	Max  int64
-	held atomic.Int64
+	Max   int64 // bytes
+	inUse atomic.Int64
 }
 
-// Acquire takes n bytes; false: there is no room for them.
+// Acquire takes n bytes. It returns false, and takes none, if they do not fit.
 func (b *ByteBudget) Acquire(n int64) bool {
-	if b.held.Add(n) <= b.Max {
+	if b.inUse.Add(n) <= b.Max {
 		return true
 	}
-	b.held.Add(-n)
+	b.inUse.Add(-n)
 	return false
 }
 
-// Release gives n bytes back.
-func (b *ByteBudget) Release(n int64) { b.held.Add(-n) }
+// Release returns n acquired bytes to the budget.
+func (b *ByteBudget) Release(n int64) { b.inUse.Add(-n) }
 
-// InUse returns how many bytes are taken.
-func (b *ByteBudget) InUse() int64 { return b.held.Load() }
+// InUse returns the number of bytes acquired and not yet released.
+func (b *ByteBudget) InUse() int64 { return b.inUse.Load() }
--- a/internal/platform/eviction/table.go
+++ b/internal/platform/eviction/table.go
@@ -1,113 +1,115 @@
-// Package giveway decides which client's connection gives way when descriptors
-// run short, and whether there is memory for one more body. It is free of I/O
-// and clock: times are its caller's, in microseconds.
+// Package eviction decides which client connections are closed when descriptors
+// run short, and whether there is memory for one more body. It does no I/O and
+// reads no clock: the caller supplies the times, in microseconds.
 package eviction
 
 import "container/list"
 
-// State is what a connection is doing.
+// State is the state of a client connection.
 type State int
 
 const (
-	// StateNew connections have not sent anything yet.
+	// StateNew is a connection on which nothing has been received yet.
 	StateNew State = iota
-	// StateFirstRequest connections are inside their first request.
+	// StateFirstRequest is a connection whose first request is being received.
 	StateFirstRequest
-	// StateIdle connections had an answer and are between requests.
+	// StateIdle is a connection between requests, after at least one response.
 	StateIdle
-	// StateReading connections are inside a request that is not their first.
+	// StateReading is a connection that is receiving a request other than its
+	// first.
 	StateReading
-	// StateWaiting connections have a request that was read and is owed its answer:
-	// they never give way.
+	// StateWaiting is a connection whose request has been received and not yet
+	// answered. It is never evicted.
 	StateWaiting
-	// StateClosing connections had their last answer and are being closed.
+	// StateClosing is a connection that had its last response and is being closed.
 	StateClosing
-	stages
+	numStates
 )
 
-// MinIdleMicros is how long a connection must have been without a request before
-// it may be closed, microseconds (the platform's page of days).
+// MinIdleMicros is how long a connection must have been idle before it may be
+// closed, in microseconds. The platform's rules prescribe it.
 const MinIdleMicros = 2_000_000
 
-// Table holds the connections by stage, each list by how long they have been
-// in it. It is not safe for concurrent use.
+// Table keeps the connections in one list for each state, ordered by the time at
+// which they entered it. It is not safe for concurrent use.
 type Table[C any] struct {
-	most  int // connections
-	easy  int // from this number on idle ones give way
-	lists [stages]list.List
-	count int
+	maxConns      int
+	idleThreshold int // number of connections from which idle ones are evicted
+	lists         [numStates]list.List
+	count         int
 }
 
-// Entry is a connection's place in a Table.
+// Entry is a connection's entry in a Table.
 type Entry[C any] struct {
-	Conn  C
-	stage State
-	since int64
-	place *list.Element
+	Conn    C
+	state   State
+	since   int64         // when the connection entered the state
+	element *list.Element // in the state's list; nil after removal
 }
 
-// NewTable returns a Table of at most most connections, of which idle ones give
-// way from easy on.
-func NewTable[C any](most, easy int) *Table[C] {
-	return &Table[C]{most: most, easy: easy}
+// NewTable returns a Table for at most maxConns connections, which evicts idle
+// ones when there are idleThreshold or more.
+func NewTable[C any](maxConns, idleThreshold int) *Table[C] {
+	return &Table[C]{maxConns: maxConns, idleThreshold: idleThreshold}
 }
 
-// Add takes a new connection in.
+// Add adds a connection in StateNew.
 func (t *Table[C]) Add(c C, now int64) *Entry[C] {
-	e := &Entry[C]{Conn: c, stage: StateNew, since: now}
-	e.place = t.lists[StateNew].PushBack(e)
+	e := &Entry[C]{Conn: c, state: StateNew, since: now}
+	e.element = t.lists[StateNew].PushBack(e)
 	t.count++
 	return e
 }
 
-// SetState changes a connection's stage.
+// SetState changes a connection's state, unless it was removed.
 func (t *Table[C]) SetState(e *Entry[C], to State, now int64) {
-	if e.place == nil {
+	if e.element == nil {
 		return
 	}
-	t.lists[e.stage].Remove(e.place)
-	e.stage, e.since = to, now
-	e.place = t.lists[to].PushBack(e)
+	t.lists[e.state].Remove(e.element)
+	e.state, e.since = to, now
+	e.element = t.lists[to].PushBack(e)
 }
 
-// Remove forgets a connection; it may be called twice.
+// Remove removes a connection; removing it again has no effect.
 func (t *Table[C]) Remove(e *Entry[C]) {
-	if e.place == nil {
+	if e.element == nil {
 		return
 	}
-	t.lists[e.stage].Remove(e.place)
-	e.place = nil
+	t.lists[e.state].Remove(e.element)
+	e.element = nil
 	t.count--
 }
 
-// State returns what a connection is doing; false: it was removed.
-func (t *Table[C]) State(e *Entry[C]) (State, bool) { return e.stage, e.place != nil }
+// State returns a connection's state, and false if it was removed.
+func (t *Table[C]) State(e *Entry[C]) (State, bool) { return e.state, e.element != nil }
 
-// Count returns how many connections there are.
+// Count returns the number of connections.
 func (t *Table[C]) Count() int { return t.count }
 
-// CountIn returns how many connections are in a stage.
+// CountIn returns the number of connections in a state.
 func (t *Table[C]) CountIn(s State) int { return t.lists[s].Len() }
 
-// EachVictim calls yield with the connections that should give way for one more,
-// the first choice first, until it returns false. Below the easy bound there are
-// none; from there on, those idle for long; at the bound, also
-// those that are being closed, and, oldest first, those that never sent
-// anything, those inside their first request, then those inside a later one. One with an open request never
-// gives way.
+// EachVictim calls yield with the connections to evict for one more connection,
+// best candidates first, until yield returns false. Below the idle threshold
+// there are none. From the threshold on they are the connections that have been
+// idle for MinIdleMicros. At the limit they are, oldest first within each state:
+// connections being closed, idle ones, new ones, those receiving their first
+// request and those receiving a later one. A connection with an unanswered
+// request is never a victim. yield may remove or move the entry.
 func (t *Table[C]) EachVictim(now int64, yield func(*Entry[C]) bool) {
-	if t.count < t.easy {
+	if t.count < t.idleThreshold {
 		return
 	}
 	order := []State{StateIdle}
-	if t.count >= t.most {
+	if t.count >= t.maxConns {
 		order = []State{StateClosing, StateIdle, StateNew, StateFirstRequest, StateReading}
 	}
-	for _, stage := range order {
-		for at := t.lists[stage].Front(); at != nil; {
-			e := at.Value.(*Entry[C])
-			at = at.Next() // yield may remove e
-			if stage == StateIdle && now-e.since < MinIdleMicros {
+	for _, state := range order {
+		for element := t.lists[state].Front(); element != nil; {
+			e := element.Value.(*Entry[C])
+			element = element.Next() // before yield, which may remove e
+			if state == StateIdle && now-e.since < MinIdleMicros {
 				break
 			}
 			if !yield(e) {
@@ -117,23 +119,24 @@
 	}
 }
 
-// ShouldKeep tells whether a connection is kept after an answer, or its client told
-// to connect anew: it may not be closed between requests for a while, and most
-// of what clients hold would be idle. From the easy bound on those that had
-// their first answer are not kept, as nothing shows that they will ask again;
-// from half as many more on, none is.
+// ShouldKeep reports whether a connection is kept open after a response instead
+// of asking its client to reconnect. An idle connection may not be closed before
+// MinIdleMicros, so keeping all of them would leave most connections idle. From
+// the idle threshold on a connection is closed after its first response, since
+// nothing shows that its client will send another request; from one and a half
+// times the threshold on, every connection is.
 func (t *Table[C]) ShouldKeep(first bool) bool {
-	return t.count < t.easy || !first && t.count < t.easy+t.easy/2
+	return t.count < t.idleThreshold || !first && t.count < t.idleThreshold+t.idleThreshold/2
 }
 
-// IsFull tells whether no more connections may be held.
-func (t *Table[C]) IsFull() bool { return t.count >= t.most }
+// IsFull reports whether the limit of connections is reached.
+func (t *Table[C]) IsFull() bool { return t.count >= t.maxConns }
 
-// ForEach calls do with every connection in a stage; do may move or remove it.
-func (t *Table[C]) ForEach(s State, do func(*Entry[C])) {
-	for at := t.lists[s].Front(); at != nil; {
-		e := at.Value.(*Entry[C])
-		at = at.Next()
-		do(e)
+// ForEach calls fn with every connection in a state; fn may move or remove it.
+func (t *Table[C]) ForEach(s State, fn func(*Entry[C])) {
+	for element := t.lists[s].Front(); element != nil; {
+		e := element.Value.(*Entry[C])
+		element = element.Next()
+		fn(e)
 	}
 }
