--- a/internal/platform/upstream/race_test.go
+++ b/internal/platform/upstream/race_test.go
@@ -15,21 +15,21 @@
 	"arrowwalk/internal/http1"
 )
 
-// held is a brick whose requests the test answers.
-type held struct {
-	ln    net.Listener
-	asked chan net.Conn // the connection of each whole request
-	heads chan http1.Request
-	wg    sync.WaitGroup
+// manualBrick is a brick whose requests the test answers itself.
+type manualBrick struct {
+	ln       net.Listener
+	requests chan net.Conn // the connection of each complete request
+	heads    chan http1.Request
+	wg       sync.WaitGroup
 }
 
-func newHeld(t *testing.T) *held {
+func newManualBrick(t *testing.T) *manualBrick {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &held{ln: ln, asked: make(chan net.Conn, 10), heads: make(chan http1.Request, 10)}
+	b := &manualBrick{ln: ln, requests: make(chan net.Conn, 10), heads: make(chan http1.Request, 10)}
 	b.wg.Go(func() {
 		for {
 			nc, err := ln.Accept()
@@ -46,7 +46,7 @@
 	return b
 }
 
-func (b *held) serve(nc net.Conn) {
+func (b *manualBrick) serve(nc net.Conn) {
 	defer nc.Close()
 	in := bufio.NewReader(nc)
 	heads := http1.NewReader(in, http1.DefaultLimits)
@@ -60,27 +60,28 @@
 			return
 		}
 		b.heads <- q
-		b.asked <- nc
+		b.requests <- nc
 	}
 }
 
-func (b *held) addr() string { return b.ln.Addr().String() }
+func (b *manualBrick) addr() string { return b.ln.Addr().String() }
 
-// heldDial waits after each dial until the test lets it go on.
-type heldDial struct{ up, goOn chan struct{} }
+// pausedDialer pauses after each dial until the test continues it.
+type pausedDialer struct{ dialed, proceed chan struct{} }
 
-func newHeldDial() *heldDial {
-	return &heldDial{make(chan struct{}, 10), make(chan struct{}, 10)}
+func newPausedDialer() *pausedDialer {
+	return &pausedDialer{make(chan struct{}, 10), make(chan struct{}, 10)}
 }
 
-func (d *heldDial) dial(_ context.Context, address string) (net.Conn, error) {
+func (d *pausedDialer) dial(_ context.Context, address string) (net.Conn, error) {
 	nc, err := net.Dial("tcp", address)
-	d.up <- struct{}{}
-	<-d.goOn
+	d.dialed <- struct{}{}
+	<-d.proceed
 	return nc, err
 }
 
-func sender(t *testing.T, change func(*Options)) *Sender {
+// newTestSender returns a Sender with default options that change may alter.
+func newTestSender(t *testing.T, change func(*Options)) *Sender {
 	t.Helper()
 	opt := Options{Host: newHost(t), DialTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxConns: 4, MaxClientWait: time.Second, MaxResponseBytes: 8 << 20}
 	change(&opt)
@@ -89,89 +90,90 @@
 	return s
 }
 
-// A second answer that comes only when the next request is out reaches nobody:
-// the connection lies for a while before it carries another.
+// A brick may send a duplicate response late, when the next request is already
+// out. It must not be taken for that request's response: a connection rests for
+// the reuse delay before it carries another request.
 func TestSecondAnswerComesLate(t *testing.T) {
-	b := newHeld(t)
-	s := sender(t, func(o *Options) { o.ReuseDelay = time.Minute })
+	b := newManualBrick(t)
+	s := newTestSender(t, func(o *Options) { o.ReuseDelay = time.Minute })
 	var first net.Conn
 	for n := range 2 {
 		call := newCall(s)
 		done := make(chan host.Result, 1)
 		go func() { done <- try(call, b.addr(), 10*time.Second) }()
-		nc := <-b.asked
+		nc := <-b.requests
 		if n == 0 {
 			first = nc
-		} else { // the late one first, where the next request is
+		} else { // the late duplicate arrives before the second response
 			io.WriteString(first, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
 		}
-		io.WriteString(nc, good)
+		io.WriteString(nc, goodResponse)
 		if r := <-done; r.Status != arrowwalk.OK || string(call.ResponseBody) != "ok" {
 			t.Errorf("request %d: %+v %q", n, r, call.ResponseBody)
 		}
 		call.ReleaseResponse()
 	}
-	if rested := s.pool.PopIdle(b.addr()); rested == nil {
-		t.Error("nothing is kept")
+	if idle := s.pool.PopIdle(b.addr()); idle == nil {
+		t.Error("no connection is kept")
 	} else {
-		s.pool.Discard(rested)
+		s.pool.Discard(idle)
 	}
 }
 
-// An attempt that was given up while its connection came up writes nothing.
+// An attempt that is aborted during its dial sends nothing.
 func TestAbortDuringADial(t *testing.T) {
-	b, d := newHeld(t), newHeldDial()
-	s := sender(t, func(o *Options) { o.Dial = d.dial })
+	b, d := newManualBrick(t), newPausedDialer()
+	s := newTestSender(t, func(o *Options) { o.Dial = d.dial })
 	call := newCall(s)
 	done := make(chan host.Result, 1)
 	go func() { done <- try(call, b.addr(), 10*time.Second) }()
-	<-d.up
+	<-d.dialed
 	call.Abort(0)
-	d.goOn <- struct{}{}
+	d.proceed <- struct{}{}
 	if r := <-done; !r.Status.NeverRan() {
 		t.Errorf("%+v", r)
 	}
 	if open, idle, _ := s.Counts(); open != idle {
 		t.Errorf("%d connections open, %d idle", open, idle)
 	}
-	if len(b.asked) > 0 {
-		t.Error("the brick got the request")
+	if len(b.requests) > 0 {
+		t.Error("the brick received the request")
 	}
 }
 
-// A brick is told what is left when the request is written, not when the
-// attempt began.
+// The timeout sent to a brick is the time left when the request is written, not
+// when the attempt began.
 func TestTimeToldBehindALateDial(t *testing.T) {
-	b, d := newHeld(t), newHeldDial()
-	s := sender(t, func(o *Options) { o.Dial = d.dial })
-	call, until := newCall(s), time.Now().Add(10*time.Second)
+	b, d := newManualBrick(t), newPausedDialer()
+	s := newTestSender(t, func(o *Options) { o.Dial = d.dial })
+	call, deadline := newCall(s), time.Now().Add(10*time.Second)
 	done := make(chan host.Result, 1)
-	go func() { done <- call.Try(&host.Try{Member: host.Member{Address: b.addr()}, Until: until}) }()
-	<-d.up
-	for time.Until(until) > 9900*time.Millisecond { // the connection comes up late
+	go func() { done <- call.Try(&host.Try{Member: host.Member{Address: b.addr()}, Until: deadline}) }()
+	<-d.dialed
+	for time.Until(deadline) > 9900*time.Millisecond { // the dial takes 100 ms
 		<-time.After(time.Millisecond)
 	}
-	left := time.Until(until)
-	d.goOn <- struct{}{}
-	io.WriteString(<-b.asked, good)
+	left := time.Until(deadline)
+	d.proceed <- struct{}{}
+	io.WriteString(<-b.requests, goodResponse)
 	<-done
 	call.ReleaseResponse()
-	var told float64
-	if _, err := fmt.Sscan((<-b.heads).Fields.Get(HeaderTimeout), &told); err != nil || told > left.Seconds() {
-		t.Errorf("told %g s of %s: %v", told, left, err)
+	var timeout float64
+	if _, err := fmt.Sscan((<-b.heads).Fields.Get(HeaderTimeout), &timeout); err != nil || timeout > left.Seconds() {
+		t.Errorf("timeout of %g s with %s left: %v", timeout, left, err)
 	}
 }
 
-// An answer without a length that ends by a reset is no answer, and one whose
-// brick goes inside it may have run.
+// A response that ends by a reset is not a success, and the brick may have run
+// the request.
 func TestResetInsideAnAnswer(t *testing.T) {
 	for _, text := range []string{"HTTP/1.1 200 OK\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nok", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", "HTTP/1.1 2"} {
-		b := newHeld(t)
-		s := sender(t, func(*Options) {})
+		b := newManualBrick(t)
+		s := newTestSender(t, func(*Options) {})
 		call := newCall(s)
 		done := make(chan host.Result, 1)
 		go func() { done <- try(call, b.addr(), 10*time.Second) }()
-		nc := <-b.asked
+		nc := <-b.requests
 		io.WriteString(nc, text)
 		nc.(*net.TCPConn).SetLinger(0)
 		nc.Close()
--- a/internal/platform/upstream/response_body.go
+++ b/internal/platform/upstream/response_body.go
@@ -9,43 +9,45 @@
 	"arrowwalk/internal/http1"
 )
 
-// answerMax is the longest answer that is taken, bytes. The protocol's page
-// says 64 KiB; bricks send some 400 KB, and what they spoil declares 3 GB.
-const answerMax = 4 << 20
+// maxResponseBodyBytes is the longest response body that is accepted. The
+// protocol says 64 KiB, but bricks send some 400 KB, and corrupted responses
+// declare 3 GB.
+const maxResponseBodyBytes = 4 << 20
 
-// blockMin is the memory that a first read of an answer is given, bytes: what
-// is declared is believed only as it comes.
-const blockMin = 64 << 10
+// minBufferBytes is the size of the first buffer for a response body. The buffer
+// grows as data arrives, since the declared length cannot be trusted.
+const minBufferBytes = 64 << 10
 
-var errOver = &http1.Error{Status: 502, Reason: "an answer over the bound"}
+var errTooLong = &http1.Error{Status: 502, Reason: "response body is longer than the limit"}
 
-// errMemory tells that there is no memory to hold one more answer.
-var errMemory = errors.New("no memory for an answer")
+// errNoMemory reports that the memory for response bodies is used up.
+var errNoMemory = errors.New("no memory for another response body")
 
-// blocks are buffers of blockMin bytes for reuse.
-var blocks = sync.Pool{New: func() any { return make([]byte, 0, blockMin) }}
+// buffers holds buffers of minBufferBytes for reuse.
+var buffers = sync.Pool{New: func() any { return make([]byte, 0, minBufferBytes) }}
 
-// ReleaseResponse gives the memory of the answer back; its bytes are not to be used any
-// more.
+// ReleaseResponse releases the memory of ResponseBody, which must not be used
+// afterwards.
 func (c *Call) ReleaseResponse() {
 	if n := cap(c.ResponseBody); n > 0 {
 		c.sender.memory.Release(int64(n))
-		if n == blockMin {
-			blocks.Put(c.ResponseBody[:0])
+		if n == minBufferBytes {
+			buffers.Put(c.ResponseBody[:0])
 		}
 	}
 	c.ResponseBody = nil
 }
 
-// grow gives the answer room for more, within want bytes in all.
-func (c *Call) grow(want int64) error {
-	n := min(max(2*cap(c.ResponseBody), blockMin), int(max(want, blockMin)))
+// grow enlarges the buffer of the response body, but not beyond maxBytes unless
+// that is less than minBufferBytes.
+func (c *Call) grow(maxBytes int64) error {
+	n := min(max(2*cap(c.ResponseBody), minBufferBytes), int(max(maxBytes, minBufferBytes)))
 	if !c.sender.memory.Acquire(int64(n)) {
-		return errMemory
+		return errNoMemory
 	}
 	var next []byte
-	if n == blockMin {
-		next = blocks.Get().([]byte)
+	if n == minBufferBytes {
+		next = buffers.Get().([]byte)
 	} else {
 		next = make([]byte, 0, n)
 	}
@@ -55,24 +57,24 @@
 	return nil
 }
 
-// readBody reads the answer's body whole into c.Answer.
+// readBody reads the whole response body into c.ResponseBody.
 func (c *Call) readBody(nc *connpool.Conn, head *http1.Response) error {
-	c.ReleaseResponse() // of an attempt before
-	if head.Length > answerMax {
-		return errOver
+	c.ReleaseResponse() // of an earlier attempt
+	if head.Length > maxResponseBodyBytes {
+		return errTooLong
 	}
 	var body http1.Body
 	body.Reset(nc.Reader, head.Framing)
-	want := int64(answerMax)
+	maxBytes := int64(maxResponseBodyBytes)
 	if !head.Chunked {
-		want = head.Length
+		maxBytes = head.Length
 	}
 	for !body.Done() {
 		if len(c.ResponseBody) == cap(c.ResponseBody) {
-			if len(c.ResponseBody) >= answerMax {
-				return errOver
+			if len(c.ResponseBody) >= maxResponseBodyBytes {
+				return errTooLong
 			}
-			if err := c.grow(want); err != nil {
+			if err := c.grow(maxBytes); err != nil {
 				return err
 			}
 		}
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -1,5 +1,6 @@
-// Package exit speaks the platform's protocol to bricks: one attempt is one
-// request on one connection, and every way it can end is told as what it was.
+// Package upstream sends requests to bricks in the platform's protocol. One
+// attempt is one request on one connection. Every way in which it can end is
+// mapped to the status that describes whether the brick may have run it.
 package upstream
 
 import (
@@ -17,116 +18,122 @@
 	"arrowwalk/internal/platform/eviction"
 )
 
-// Header fields of the platform that both of its sides use.
+// Header fields of the platform's protocol. The exported ones are used on client
+// connections too.
 const (
-	HeaderRequestID      = "X-Request-ID"
-	HeaderIdempotencyKey = "Idempotency-Key"
-	HeaderTimeout        = "X-Timeout"
-	headerNotRun         = "X-Not-Processed"
-	headerUse            = "X-Volume-Use"
-	headerElsewhere      = "X-Served-Elsewhere"
-	headerLoad           = "X-Server-Load"
+	HeaderRequestID       = "X-Request-ID"
+	HeaderIdempotencyKey  = "Idempotency-Key"
+	HeaderTimeout         = "X-Timeout"
+	headerNotProcessed    = "X-Not-Processed"
+	headerVolumeUse       = "X-Volume-Use"
+	headerServedElsewhere = "X-Served-Elsewhere"
+	headerServerLoad      = "X-Server-Load"
 )
 
-// Bounds of what is taken from clients and bricks.
+// Limits of what is accepted from clients and bricks.
 const (
-	MaxRequestBodyBytes = 64 << 10 // of a client, as the protocol has it
-	informMax           = 8        // 1xx answers ahead of the answer
-	figureMax           = 1e9
-	reportItems         = 32
+	MaxRequestBodyBytes = 64 << 10 // of a client's request; set by the protocol
+	maxInterimResponses = 8        // 1xx responses before the final one
+	maxAmount           = 1e9      // value in a header field or load report
+	maxLoadReportItems  = 32
 )
 
-// idleMax is how many idle connections are kept to a brick.
-const idleMax = 8
+// maxIdlePerBrick is the number of idle connections kept to each brick.
+const maxIdlePerBrick = 8
 
-// limits of a brick's heads. Its heads are small; what is longer never ends.
-var limits = http1.Limits{MaxLineBytes: 4 << 10, MaxHeadBytes: 16 << 10, MaxFields: 64}
+// headLimits bound a brick's response heads. Real heads are small; a longer one
+// comes from a faulty brick and may never end.
+var headLimits = http1.Limits{MaxLineBytes: 4 << 10, MaxHeadBytes: 16 << 10, MaxFields: 64}
 
-// Options of a Sender.
+// Options configures a Sender.
 type Options struct {
 	Host             *host.Host
-	LoadFields       []string          // names of the values in a load report, in order
-	DialTimeout      time.Duration     // as the settings have it
+	LoadFields       []string          // values to take from a load report, in order
+	DialTimeout      time.Duration     // longest wait for a new connection
 	Dial             connpool.DialFunc // nil: TCP
-	IdleTimeout      time.Duration     // for how long a connection is kept for reuse
-	ReuseDelay       time.Duration     // after an answer, before its connection carries another request
-	MaxConns         int               // connections open at once
-	MaxClientWait    time.Duration     // that a client waits
-	MaxResponseBytes int64             // of answers held at once
-	ReuseDirtyConns  bool              // keeps connections with bytes behind an answer; for proofs that must fail
+	IdleTimeout      time.Duration     // after which an idle connection is closed
+	ReuseDelay       time.Duration     // after a response, before its connection carries another request
+	MaxConns         int               // open connections
+	MaxClientWait    time.Duration     // longest deadline of a client's request
+	MaxResponseBytes int64             // response bodies held in memory at once
+	ReuseDirtyConns  bool              // reuse connections with bytes after a response; for negative tests only
 }
 
-// Sender is what all calls share.
+// Sender holds the connections and the memory that all calls share. It is safe
+// for concurrent use.
 type Sender struct {
 	opt    Options
 	pool   *connpool.Pool
 	memory eviction.ByteBudget
 }
 
-// NewSender returns a Sender without connections.
+// NewSender returns a Sender without open connections.
 func NewSender(opt Options) *Sender {
-	return &Sender{opt: opt, memory: eviction.ByteBudget{Max: opt.MaxResponseBytes}, pool: connpool.NewPool(connpool.Options{MaxIdlePerAddress: min(idleMax, opt.MaxConns), IdleTimeout: opt.IdleTimeout,
-		ReuseDelay: opt.ReuseDelay, DialTimeout: opt.DialTimeout, Dial: opt.Dial, ReadBufferBytes: 2 << 10, MaxConns: opt.MaxConns, HeadLimits: limits, SkipIdleCheck: opt.ReuseDirtyConns})}
+	return &Sender{opt: opt, memory: eviction.ByteBudget{Max: opt.MaxResponseBytes}, pool: connpool.NewPool(connpool.Options{MaxIdlePerAddress: min(maxIdlePerBrick, opt.MaxConns), IdleTimeout: opt.IdleTimeout,
+		ReuseDelay: opt.ReuseDelay, DialTimeout: opt.DialTimeout, Dial: opt.Dial, ReadBufferBytes: 2 << 10, MaxConns: opt.MaxConns, HeadLimits: headLimits, SkipIdleCheck: opt.ReuseDirtyConns})}
 }
 
-// CloseIdleExcept closes the idle connections to all addresses but those given.
+// CloseIdleExcept closes the idle connections to all addresses that are not
+// listed.
 func (s *Sender) CloseIdleExcept(addresses []string) { s.pool.CloseIdleExcept(addresses) }
 
-// CloseExpired closes the connections that were idle for too long.
+// CloseExpired closes the connections whose idle timeout has passed.
 func (s *Sender) CloseExpired() { s.pool.CloseExpired(time.Now()) }
 
 // Close closes the idle connections.
 func (s *Sender) Close() { s.pool.Close() }
 
-// Counts returns how many connections are open, how many of them idle, and how
-// many were opened so far.
+// Counts returns the number of open connections, how many of them are idle, and
+// how many were dialed so far.
 func (s *Sender) Counts() (open, idle int, dialed int64) { return s.pool.Counts() }
 
-// Call is a client's request on its way to bricks; it is a task's Runner.
+// Call is a client's request that is sent to bricks, one attempt at a time. It
+// implements host.Runner.
 type Call struct {
-	Method, Target, ID, Key string // passed on unchanged; Key "": there is none
+	Method, Target, ID, Key string // forwarded unchanged; Key is "" if there is none
 	Body                    []byte
-	ResponseBody            []byte // body of the answer that counted, until Free
-	// ClientGone tells whether the client has gone; it is asked before each attempt's
-	// first byte. nil: nobody can tell.
+	ResponseBody            []byte // of the successful attempt; valid until ReleaseResponse
+	// ClientGone reports whether the client has disconnected. It is called before
+	// the first byte of each attempt is sent. nil: never checked.
 	ClientGone func() bool
 
 	sender  *Sender
 	attempt connpool.NumberedAttempt
 }
 
-// Init makes c ready for attempts.
+// Init prepares c for attempts through s.
 func (c *Call) Init(s *Sender) { c.sender = s }
 
-// Abort ends the attempt of that number (host.Runner).
+// Abort implements host.Runner: it aborts the attempt with the given number and
+// all earlier ones.
 func (c *Call) Abort(number int) { c.attempt.Abort(number) }
 
-// AbortAll ends the attempt that runs; no more begin.
+// AbortAll aborts the current attempt and prevents further ones.
 func (c *Call) AbortAll() { c.attempt.AbortAll() }
 
-// Try makes an attempt (host.Runner).
+// Try implements host.Runner: it makes one attempt and returns its result.
 func (c *Call) Try(t *host.Try) host.Result {
 	if !c.attempt.Begin(t.Number) || t.Member.Address == "" {
 		return host.Result{Status: arrowwalk.NotSent}
 	}
-	s, at := c.sender, &c.attempt.Attempt
-	began := time.Now()
-	nc, err := s.pool.Get(at, t.Member.Address, t.Until)
+	s, attempt := c.sender, &c.attempt.Attempt
+	started := time.Now()
+	nc, err := s.pool.Get(attempt, t.Member.Address, t.Until)
 	if err != nil {
 		return host.Result{Status: arrowwalk.Unreachable}
 	}
-	if !at.Attach(nc.Conn, t.Until) {
+	if !attempt.Attach(nc.Conn, t.Until) {
 		s.pool.Put(nc)
 		return host.Result{Status: arrowwalk.NotSent}
 	}
-	if c.ClientGone != nil && c.ClientGone() { // perhaps while the connection came up
-		at.Detach()
+	if c.ClientGone != nil && c.ClientGone() { // it may have left during the dial
+		attempt.Detach()
 		nc.SetDeadline(time.Time{})
 		s.pool.Put(nc)
 		return host.Result{Status: arrowwalk.NotSent}
 	}
-	r, clean := c.exchange(nc, t.Until, began)
-	if at.Detach() && clean {
+	r, reusable := c.exchange(nc, t.Until, started)
+	if attempt.Detach() && reusable {
 		nc.SetDeadline(time.Time{})
 		s.pool.Put(nc)
 	} else {
@@ -135,26 +142,26 @@
 	return r
 }
 
-// exchange sends the request and reads its answer; clean: the connection may
-// carry another.
-func (c *Call) exchange(nc *connpool.Conn, until, began time.Time) (r host.Result, clean bool) {
-	nc.WriteBuf = c.append(nc.WriteBuf[:0], time.Until(until))
+// exchange sends the request and reads the response. reusable reports whether
+// the connection may carry another request.
+func (c *Call) exchange(nc *connpool.Conn, deadline, started time.Time) (r host.Result, reusable bool) {
+	nc.WriteBuf = c.appendRequest(nc.WriteBuf[:0], time.Until(deadline))
 	if n, err := nc.Write(nc.WriteBuf); err != nil {
-		if n < len(nc.WriteBuf) { // a brick begins a request when its last byte has come
+		if n < len(nc.WriteBuf) { // a brick starts a request only after its last byte
 			return host.Result{Status: arrowwalk.Unreachable}, false
 		}
-		return host.Result{Status: c.broken(err)}, false
+		return host.Result{Status: c.failureStatus(err)}, false
 	}
 	var head http1.Response
 	if err := readHead(nc, &head, c.Method); err != nil {
-		return host.Result{Status: c.broken(err)}, false
+		return host.Result{Status: c.failureStatus(err)}, false
 	}
 	if err := c.readBody(nc, &head); err != nil {
 		c.ReleaseResponse()
-		return host.Result{Status: c.broken(err)}, false
+		return host.Result{Status: c.failureStatus(err)}, false
 	}
-	r = c.told(&head)
-	r.Lay = c.sender.opt.Host.Lay(nc.RawConn, began, c.sender.opt.MaxClientWait)
+	r = c.parseResult(&head)
+	r.Lay = c.sender.opt.Host.Lay(nc.RawConn, started, c.sender.opt.MaxClientWait)
 	if r.Status == arrowwalk.OK {
 		r.Closed = true
 	} else {
@@ -163,13 +170,14 @@
 	return r, !head.Close && (nc.Reader.Buffered() == 0 || c.sender.opt.ReuseDirtyConns)
 }
 
-// broken returns what an attempt whose request was written whole came to.
-func (c *Call) broken(err error) arrowwalk.Status {
-	var bad *http1.Error
+// failureStatus returns the status of an attempt that failed with err after its
+// request was written completely.
+func (c *Call) failureStatus(err error) arrowwalk.Status {
+	var malformed *http1.Error
 	switch {
 	case c.attempt.Aborted():
 		return arrowwalk.Cancelled
-	case errors.As(err, &bad), errors.Is(err, errMemory): // spoilt, or not held: it has run
+	case errors.As(err, &malformed), errors.Is(err, errNoMemory): // the brick answered, so it has run the request
 		return arrowwalk.Failed
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return arrowwalk.TimedOut
@@ -177,8 +185,9 @@
 	return arrowwalk.Reset
 }
 
-// append writes the request.
-func (c *Call) append(b []byte, left time.Duration) []byte {
+// appendRequest appends the request to b. timeLeft is the time that the brick has
+// for it.
+func (c *Call) appendRequest(b []byte, timeLeft time.Duration) []byte {
 	b = append(b, c.Method...)
 	b = append(b, ' ')
 	b = append(b, c.Target...)
@@ -188,7 +197,7 @@
 		b = http1.AppendField(b, HeaderIdempotencyKey, c.Key)
 	}
 	b = append(b, HeaderTimeout+": "...)
-	b = strconv.AppendFloat(b, max(0, left.Truncate(time.Millisecond).Seconds()), 'f', 3, 64) // never more than is left
+	b = strconv.AppendFloat(b, max(0, timeLeft.Truncate(time.Millisecond).Seconds()), 'f', 3, 64) // rounded down, never more than the time left
 	b = append(b, "\r\n"...)
 	if len(c.Body) > 0 || c.Method != "GET" {
 		b = http1.AppendIntField(b, "Content-Length", int64(len(c.Body)))
@@ -196,10 +205,11 @@
 	return append(append(b, "\r\n"...), c.Body...)
 }
 
-// readHead reads the answer's head, past what informs of it.
+// readHead reads the head of the final response and skips interim (1xx)
+// responses.
 func readHead(nc *connpool.Conn, head *http1.Response, method string) error {
-	for range informMax + 1 {
-		if err := begins(nc); err != nil {
+	for range maxInterimResponses + 1 {
+		if err := checkPrefix(nc); err != nil {
 			return err
 		}
 		if err := nc.HeadReader.ReadResponse(head, method); err != nil {
@@ -212,14 +222,14 @@
 			break
 		}
 	}
-	return &http1.Error{Status: 502, Reason: "only 1xx answers"}
+	return &http1.Error{Status: 502, Reason: "no final response after the 1xx responses"}
 }
 
-// begins looks whether what comes begins as an answer does: noise without a
-// line's end would be waited for until the client's time is up.
-func begins(nc *connpool.Conn) error {
-	const start = "HTTP/1."
-	for i := range len(start) {
+// checkPrefix checks that the received bytes begin as an HTTP/1 response does.
+// Otherwise garbage without a line end would be read until the client's deadline.
+func checkPrefix(nc *connpool.Conn) error {
+	const prefix = "HTTP/1."
+	for i := range len(prefix) {
 		b, err := nc.Reader.Peek(i + 1)
 		if err != nil {
 			if i > 0 && errors.Is(err, io.EOF) {
@@ -227,65 +237,68 @@
 			}
 			return err
 		}
-		if b[i] != start[i] {
-			return &http1.Error{Status: 502, Reason: "an answer that is no HTTP"}
+		if b[i] != prefix[i] {
+			return &http1.Error{Status: 502, Reason: "response is not HTTP/1"}
 		}
 	}
 	return nil
 }
 
-// told returns what a whole answer tells the module.
-func (c *Call) told(head *http1.Response) host.Result {
+// parseResult returns the result that the head of a complete response carries.
+// Header fields that cannot be parsed are ignored.
+func (c *Call) parseResult(head *http1.Response) host.Result {
 	r := host.Result{Status: statusOf(head)}
 	for i := range head.Fields {
 		name, value := head.Fields[i].Name, head.Fields[i].Value
 		switch {
-		case strings.EqualFold(name, headerUse):
-			if use, ok := figure(value); ok {
+		case strings.EqualFold(name, headerVolumeUse):
+			if use, ok := parseAmount(value); ok {
 				r.FleetUse = 1 + use
 			}
-		case strings.EqualFold(name, headerElsewhere):
-			if units, ok := figure(value); ok {
+		case strings.EqualFold(name, headerServedElsewhere):
+			if units, ok := parseAmount(value); ok {
 				r.OthersUnits = units
 			}
-		case strings.EqualFold(name, headerLoad):
-			r.Load = report(value, c.sender.opt.LoadFields)
+		case strings.EqualFold(name, headerServerLoad):
+			r.Load = parseLoadReport(value, c.sender.opt.LoadFields)
 		}
 	}
 	return r
 }
 
-// statusOf maps an answer as the protocol's table has it.
+// statusOf maps a response to a status as the protocol defines it.
 func statusOf(head *http1.Response) arrowwalk.Status {
 	switch head.Status {
 	case 200:
 		return arrowwalk.OK
 	case 503, 504:
-		if head.Fields.Get(headerNotRun) == "1" {
+		if head.Fields.Get(headerNotProcessed) == "1" {
 			return arrowwalk.Overloaded
 		}
 	}
 	return arrowwalk.Failed
 }
 
-// figure reads an amount; false: it can't be one.
-func figure(s string) (float64, bool) {
+// parseAmount parses a number from 0 to maxAmount. It returns false for anything
+// else.
+func parseAmount(s string) (float64, bool) {
 	v, err := strconv.ParseFloat(s, 64)
-	return v, err == nil && v >= 0 && v <= figureMax
+	return v, err == nil && v >= 0 && v <= maxAmount
 }
 
-// report reads a load report, NAME=VALUE,..., into the order of names; nil: it
-// can't be read, or lacks one of them.
-func report(s string, names []string) []float64 {
+// parseLoadReport parses a load report NAME=VALUE,... and returns its values in
+// the order of names. It returns nil if the report is malformed or lacks one of
+// the names.
+func parseLoadReport(s string, names []string) []float64 {
 	if len(names) == 0 {
 		return nil
 	}
 	values, found := make([]float64, len(names)), 0
-	for range reportItems {
-		one, rest, more := strings.Cut(s, ",")
-		name, text, ok := strings.Cut(strings.TrimSpace(one), "=")
-		v, good := figure(text)
-		if !ok || !good {
+	for range maxLoadReportItems {
+		item, rest, more := strings.Cut(s, ",")
+		name, text, hasValue := strings.Cut(strings.TrimSpace(item), "=")
+		v, valid := parseAmount(text)
+		if !hasValue || !valid {
 			return nil
 		}
 		for i := range names {
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -29,11 +29,12 @@
 	return h
 }
 
-// brick answers the requests of each connection with the texts. It returns its
-// address, and the heads that it saw.
-func brick(t *testing.T, hangUp bool, says ...string) (string, chan http1.Request) {
+// startBrick starts a brick that answers the requests of each connection with the
+// given responses; with hangUp it closes the connection after the last. It
+// returns the brick's address and the request heads that it received.
+func startBrick(t *testing.T, hangUp bool, responses ...string) (string, chan http1.Request) {
 	t.Helper()
-	s, err := texts.Start(hangUp, says...)
+	s, err := texts.Start(hangUp, responses...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,20 +48,22 @@
 	return c
 }
 
-func try(c *Call, address string, wait time.Duration) host.Result {
-	return c.Try(&host.Try{Member: host.Member{Address: address}, Until: time.Now().Add(wait)})
+// try makes attempt 0 of c with the given timeout.
+func try(c *Call, address string, timeout time.Duration) host.Result {
+	return c.Try(&host.Try{Member: host.Member{Address: address}, Until: time.Now().Add(timeout)})
 }
 
-const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const goodResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// Each way an attempt can end is told as what it was.
+// Every way in which an attempt can end is mapped to its status, and the
+// connection is kept only after a complete, well-formed response.
 func TestOutcomes(t *testing.T) {
-	closed, err := net.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead := closed.Addr().String()
-	closed.Close()
+	unusedAddr := ln.Addr().String()
+	ln.Close()
 	s := NewSender(Options{Host: newHost(t), DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 4, MaxClientWait: time.Second, MaxResponseBytes: 8 << 20})
 	defer s.Close()
 	for _, c := range []struct {
@@ -69,36 +72,36 @@
 		status     arrowwalk.Status
 		kept       bool
 	}{
-		{"served", good, false, arrowwalk.OK, true},
+		{"served", goodResponse, false, arrowwalk.OK, true},
 		{"served in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", false, arrowwalk.OK, true},
-		{"the last of its connection", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false, arrowwalk.OK, false},
-		{"informed first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n" + good, false, arrowwalk.OK, true},
-		{"informed for ever", strings.Repeat("HTTP/1.1 103 Hints\r\n\r\n", 50) + good, false, arrowwalk.Failed, false},
-		{"a second copy", good + good, false, arrowwalk.OK, false},
-		{"noise behind", good + "noise", false, arrowwalk.OK, false},
+		{"Connection: close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", false, arrowwalk.OK, false},
+		{"interim responses", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n" + goodResponse, false, arrowwalk.OK, true},
+		{"endless interim responses", strings.Repeat("HTTP/1.1 103 Hints\r\n\r\n", 50) + goodResponse, false, arrowwalk.Failed, false},
+		{"duplicate response", goodResponse + goodResponse, false, arrowwalk.OK, false},
+		{"garbage after the response", goodResponse + "noise", false, arrowwalk.OK, false},
 		{"error", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Failed, true},
-		{"turned away", "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Overloaded, true},
-		{"over already", "HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Overloaded, true},
+		{"503 not processed", "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Overloaded, true},
+		{"504 not processed", "HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Overloaded, true},
 		{"503 that may have run", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Failed, true},
-		{"noise", "\x16\x03\x01", false, arrowwalk.Failed, false},
-		{"no head", "HTTP/1.1 200 OK\r\n\x00\x01\r\n\r\nok", false, arrowwalk.Failed, false},
-		{"an endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 4000), false, arrowwalk.Failed, false},
-		{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 100), false, arrowwalk.Failed, false},
+		{"garbage", "\x16\x03\x01", false, arrowwalk.Failed, false},
+		{"malformed head", "HTTP/1.1 200 OK\r\n\x00\x01\r\n\r\nok", false, arrowwalk.Failed, false},
+		{"endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 4000), false, arrowwalk.Failed, false},
+		{"declared length of 3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 100), false, arrowwalk.Failed, false},
 		{"no length", "HTTP/1.1 200 OK\r\n\r\nok", true, arrowwalk.Failed, false},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", false, arrowwalk.Failed, false},
-		{"closed", "", true, arrowwalk.Reset, false},
-		{"half a head", "HTTP/1.1 200 OK\r\nConte", true, arrowwalk.Reset, false},
-		{"half a body", "HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\nok", true, arrowwalk.Reset, false},
-		{"a body that does not come", "HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\nok", false, arrowwalk.TimedOut, false},
-		{"silent", "", false, arrowwalk.TimedOut, false},
+		{"repeated Content-Length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", false, arrowwalk.Failed, false},
+		{"closed without a response", "", true, arrowwalk.Reset, false},
+		{"truncated head", "HTTP/1.1 200 OK\r\nConte", true, arrowwalk.Reset, false},
+		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\nok", true, arrowwalk.Reset, false},
+		{"stalled body", "HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\nok", false, arrowwalk.TimedOut, false},
+		{"no response", "", false, arrowwalk.TimedOut, false},
 	} {
-		addr, seen := brick(t, c.hangUp, c.text)
+		addr, seen := startBrick(t, c.hangUp, c.text)
 		call := newCall(s)
-		wait := 5 * time.Second
+		timeout := 5 * time.Second
 		if c.status == arrowwalk.TimedOut {
-			wait = 50 * time.Millisecond
+			timeout = 50 * time.Millisecond
 		}
-		r := try(call, addr, wait)
+		r := try(call, addr, timeout)
 		defer call.ReleaseResponse()
 		if r.Status != c.status || r.Closed != (c.status == arrowwalk.OK) || r.Closed != (string(call.ResponseBody) == "ok") {
 			t.Errorf("%s: %+v with %q", c.name, r, call.ResponseBody)
@@ -110,11 +113,11 @@
 		}
 		q := <-seen
 		if q.Method != "PUT" || q.Target != call.Target || q.Fields.Get("X-Request-ID") != "9b1f" || q.Fields.Get("Idempotency-Key") != "a key" || q.Length != 4 {
-			t.Errorf("%s: the brick got %+v", c.name, q)
+			t.Errorf("%s: the brick received %+v", c.name, q)
 		}
 	}
-	if r := try(newCall(s), dead, time.Second); r.Status != arrowwalk.Unreachable {
-		t.Errorf("nobody listens: %+v", r)
+	if r := try(newCall(s), unusedAddr, time.Second); r.Status != arrowwalk.Unreachable {
+		t.Errorf("connection refused: %+v", r)
 	}
 	if r := try(newCall(s), "", time.Second); r.Status != arrowwalk.NotSent {
 		t.Errorf("no address: %+v", r)
@@ -124,8 +127,8 @@
 	}
 }
 
-// A connection with bytes behind its answer, or one that its brick closed,
-// carries nothing more; a clean one does.
+// A connection with excess bytes after its response, or one that the brick
+// closed, is not reused; any other is.
 func TestWhatIsReused(t *testing.T) {
 	s := NewSender(Options{Host: newHost(t), DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 4, MaxClientWait: time.Second, MaxResponseBytes: 8 << 20})
 	defer s.Close()
@@ -133,15 +136,15 @@
 		first  string
 		hangUp bool
 		dials  int64
-	}{{good, false, 1}, {good + "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad", false, 2}, {good, true, 2}} {
-		says := []string{c.first, good}
+	}{{goodResponse, false, 1}, {goodResponse + "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad", false, 2}, {goodResponse, true, 2}} {
+		responses := []string{c.first, goodResponse}
 		if c.hangUp {
-			says = says[:1]
+			responses = responses[:1]
 		}
-		addr, _ := brick(t, c.hangUp, says...)
+		addr, _ := startBrick(t, c.hangUp, responses...)
 		_, _, before := s.Counts()
 		for i := range 2 {
-			if i == 1 && c.hangUp { // until the close has come over
+			if i == 1 && c.hangUp { // wait until the close has arrived
 				for idle := s.pool.PopIdle(addr); idle != nil && idle.IsReusable(); time.Sleep(time.Millisecond) {
 				}
 			}
@@ -156,31 +159,31 @@
 	}
 }
 
-// An abort, before and during an attempt, ends that attempt and no other.
+// Abort, before or during an attempt, ends that attempt and no other.
 func TestAbort(t *testing.T) {
 	s := NewSender(Options{Host: newHost(t), DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 4, MaxClientWait: time.Second, MaxResponseBytes: 8 << 20})
 	defer s.Close()
-	addr, seen := brick(t, false, "", good)
+	addr, seen := startBrick(t, false, "", goodResponse)
 	call := newCall(s)
 	go func() {
 		<-seen
 		call.Abort(0)
 	}()
 	if r := try(call, addr, 10*time.Second); r.Status != arrowwalk.Cancelled {
-		t.Errorf("aborted while it waits: %+v", r)
+		t.Errorf("aborted while it waits for the response: %+v", r)
 	}
 	call.Abort(1)
 	if r := call.Try(&host.Try{Number: 1, Member: host.Member{Address: addr}, Until: time.Now().Add(time.Second)}); r.Status != arrowwalk.NotSent {
 		t.Errorf("aborted before it began: %+v", r)
 	}
-	served, _ := brick(t, false, good)
+	served, _ := startBrick(t, false, goodResponse)
 	if r := call.Try(&host.Try{Number: 2, Member: host.Member{Address: served}, Until: time.Now().Add(5 * time.Second)}); r.Status != arrowwalk.OK {
 		t.Errorf("the next attempt: %+v", r)
 	}
 }
 
-// What an answer tells reaches the module in its units, and what can't be read
-// costs nothing.
+// The values in a response's header fields reach the scheduler in its units, and
+// malformed ones are ignored.
 func TestTold(t *testing.T) {
 	s := NewSender(Options{Host: newHost(t), LoadFields: []string{"util", "queue"}, DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 4, MaxClientWait: time.Second, MaxResponseBytes: 8 << 20})
 	defer s.Close()
@@ -194,7 +197,7 @@
 		{"X-Server-Load: util=;;\r\nX-Volume-Use: many\r\nX-Served-Elsewhere: -1\r\n", 0, 0, nil},
 		{"X-Server-Load: util=0.5\r\nX-Volume-Use: NaN\r\nX-Served-Elsewhere: 1e400\r\n", 0, 0, nil},
 	} {
-		addr, _ := brick(t, false, "HTTP/1.1 200 OK\r\n"+c.fields+"Content-Length: 2\r\n\r\nok")
+		addr, _ := startBrick(t, false, "HTTP/1.1 200 OK\r\n"+c.fields+"Content-Length: 2\r\n\r\nok")
 		r := try(newCall(s), addr, 5*time.Second)
 		if r.Status != arrowwalk.OK || r.FleetUse != c.use || r.OthersUnits != c.units || !slices.Equal(r.Load, c.load) {
 			t.Errorf("%q: %+v", c.fields, r)
@@ -202,31 +205,31 @@
 	}
 }
 
-// An answer longer than the protocol's page says is served whole; what is held
-// is bounded, and given back.
+// A response longer than the protocol allows is returned completely. The memory
+// for responses is bounded and released.
 func TestLongAnswers(t *testing.T) {
 	s := NewSender(Options{Host: newHost(t), DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConns: 4, MaxClientWait: time.Second, MaxResponseBytes: 2 << 20})
 	defer s.Close()
 	long := strings.Repeat("0123456789", 40_000)
 	for i, text := range []string{fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long),
 		fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(long), long)} {
-		addr, _ := brick(t, false, text)
+		addr, _ := startBrick(t, false, text)
 		call := newCall(s)
 		if r := try(call, addr, 5*time.Second); r.Status != arrowwalk.OK || string(call.ResponseBody) != long {
 			t.Errorf("%d: %+v, %d bytes", i, r, len(call.ResponseBody))
 		}
-		if held := s.memory.InUse(); held < int64(len(long)) || held > 2<<20 {
-			t.Errorf("%d: %d bytes held", i, held)
+		if inUse := s.memory.InUse(); inUse < int64(len(long)) || inUse > 2<<20 {
+			t.Errorf("%d: %d bytes in use", i, inUse)
 		}
-		s.memory.Max = 450_000 // too little for one more
-		addr, _ = brick(t, false, text)
+		s.memory.Max = 450_000 // too little for another response
+		addr, _ = startBrick(t, false, text)
 		if r := try(newCall(s), addr, 5*time.Second); r.Status != arrowwalk.Failed {
-			t.Errorf("%d: with no memory left: %+v", i, r)
+			t.Errorf("%d: without free memory: %+v", i, r)
 		}
 		s.memory.Max = 2 << 20
 		call.ReleaseResponse()
-		if held := s.memory.InUse(); held != 0 {
-			t.Errorf("%d: %d bytes are held after all", i, held)
+		if inUse := s.memory.InUse(); inUse != 0 {
+			t.Errorf("%d: %d bytes in use after the release", i, inUse)
 		}
 	}
 }
@@ -235,8 +238,8 @@
 	f.Add("inflight=7,queue=2,util=0.61")
 	f.Add(",,=,util=")
 	f.Fuzz(func(t *testing.T, s string) {
-		for _, v := range report(s, []string{"util", "queue"}) {
-			if !(v >= 0 && v <= figureMax) {
+		for _, v := range parseLoadReport(s, []string{"util", "queue"}) {
+			if !(v >= 0 && v <= maxAmount) {
 				t.Errorf("%v of %q", v, s)
 			}
 		}
