--- a/internal/platform/frontend/conn.go
+++ b/internal/platform/frontend/conn.go
@@ -18,154 +18,160 @@
 	"arrowwalk/internal/tcpinfo"
 )
 
-// conn is one client's connection, served by one goroutine.
+// conn is a client connection. One goroutine serves it; the fields below mu are
+// also used by the disconnect check.
 type conn struct {
-	s     *Server
-	nc    net.Conn
-	raw   syscall.RawConn
-	in    *bufio.Reader // nil between requests
-	req   http1.Request
-	body  http1.Body
-	out   []byte
-	place *eviction.Entry[*conn]
-	asked int // requests so far
-
-	mu    sync.Mutex
-	task  *host.Task // that the host decides on
-	since time.Time  // it has been there
-	left  bool       // the client has gone
+	server   *Server
+	nc       net.Conn
+	raw      syscall.RawConn
+	reader   *bufio.Reader // nil between requests
+	req      http1.Request
+	body     http1.Body
+	writeBuf []byte
+	entry    *eviction.Entry[*conn]
+	requests int // handed to the host so far
+
+	mu        sync.Mutex
+	task      *host.Task // in progress at the host; nil if there is none
+	taskSince time.Time
+	gone      bool // the client has disconnected
 }
 
+// readers holds read buffers for reuse, since idle connections have none.
 var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 4<<10) }}
 
+// serve answers the connection's requests until it ends.
 func (c *conn) serve() {
-	defer c.s.wg.Done()
-	defer c.end()
-	for fresh := true; c.await(fresh) && c.serveOne(); fresh = false {
+	defer c.server.wg.Done()
+	defer c.teardown()
+	for first := true; c.awaitRequest(first) && c.handleRequest(); first = false {
 	}
-	c.linger()
+	c.lingeringClose()
 }
 
-func (c *conn) end() {
-	c.release()
+// teardown closes the connection and removes it from the table.
+func (c *conn) teardown() {
+	c.releaseBuffers()
 	c.nc.Close()
-	c.s.mu.Lock()
-	c.s.table.Remove(c.place)
-	c.s.mu.Unlock()
+	c.server.mu.Lock()
+	c.server.table.Remove(c.entry)
+	c.server.mu.Unlock()
 }
 
-// release gives the reader back while nothing is read.
-func (c *conn) release() {
-	if c.in != nil {
-		c.in.Reset(nil)
-		readers.Put(c.in)
-		c.in = nil
+// releaseBuffers frees the connection's buffers while no request is in progress.
+func (c *conn) releaseBuffers() {
+	if c.reader != nil {
+		c.reader.Reset(nil)
+		readers.Put(c.reader)
+		c.reader = nil
 	}
-	c.out, c.req = nil, http1.Request{}
+	c.writeBuf, c.req = nil, http1.Request{}
 }
 
-// stage moves the connection to a stage; false: it gave way meanwhile, and
-// what comes on it is not read any more.
-func (c *conn) stage(to eviction.State) bool {
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
-	if at, here := c.s.table.State(c.place); !here || at == eviction.StateClosing && to != eviction.StateClosing {
+// setState changes the connection's state. It returns false if the connection was
+// evicted meanwhile, in which case nothing more is read from it.
+func (c *conn) setState(to eviction.State) bool {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	if state, present := c.server.table.State(c.entry); !present || state == eviction.StateClosing && to != eviction.StateClosing {
 		return false
 	}
-	c.s.table.SetState(c.place, to, c.s.now())
+	c.server.table.SetState(c.entry, to, c.server.now())
 	return true
 }
 
-// speaks tells whether bytes have come that nobody has read.
-func (c *conn) speaks() bool {
+// hasUnreadData reports whether data has arrived that was not read yet.
+func (c *conn) hasUnreadData() bool {
 	return c.raw != nil && sockstate.Readable(c.raw) && !sockstate.AtEOF(c.raw)
 }
 
-// await waits for a request's first byte, without a buffer.
-func (c *conn) await(fresh bool) bool {
-	if c.in != nil && c.in.Buffered() > 0 {
+// awaitRequest waits for the first byte of a request without holding a buffer. It
+// returns false if the connection ends instead.
+func (c *conn) awaitRequest(first bool) bool {
+	if c.reader != nil && c.reader.Buffered() > 0 {
 		return c.startReading()
 	}
-	c.release()
-	if !fresh {
-		c.nc.SetReadDeadline(time.Time{}) // before: who evicts it sets another
-		if !c.stage(eviction.StateIdle) {
+	c.releaseBuffers()
+	if !first {
+		c.nc.SetReadDeadline(time.Time{}) // before the change of state: an eviction after it sets its own
+		if !c.setState(eviction.StateIdle) {
 			return false
 		}
 	}
 	if err := sockstate.WaitReadable(c.raw); err != nil {
 		return false
 	}
-	if fresh {
-		if !c.stage(eviction.StateFirstRequest) {
+	if first {
+		if !c.setState(eviction.StateFirstRequest) {
 			return false
 		}
 	} else if !c.startReading() {
 		return false
 	}
-	c.in = readers.Get().(*bufio.Reader)
-	c.in.Reset(c.nc)
+	c.reader = readers.Get().(*bufio.Reader)
+	c.reader.Reset(c.nc)
 	return true
 }
 
-// startReading moves the connection into its next request.
+// startReading begins a request other than the first and sets its read deadline.
 func (c *conn) startReading() bool {
-	if !c.stage(eviction.StateReading) {
+	if !c.setState(eviction.StateReading) {
 		return false
 	}
-	c.nc.SetReadDeadline(time.Now().Add(readMax))
+	c.nc.SetReadDeadline(time.Now().Add(readTimeout))
 	return true
 }
 
-// serveOne reads and answers one request; false: the connection ends.
-func (c *conn) serveOne() bool {
-	c.s.opt.Host.Alive()
-	if err := http1.NewReader(c.in, c.s.limits).ReadRequest(&c.req); err != nil {
-		return c.refuse(err)
+// handleRequest reads and answers one request. It returns false if the connection
+// ends.
+func (c *conn) handleRequest() bool {
+	c.server.opt.Host.Alive()
+	if err := http1.NewReader(c.reader, c.server.headLimits).ReadRequest(&c.req); err != nil {
+		return c.reject(err)
 	}
 	if c.req.Method == "GET" && c.req.Target == "/healthz" {
-		return c.answer(200, "", []byte("ok\n")) && c.req.Length == 0 && !c.req.Chunked
+		return c.respond(200, "", []byte("ok\n")) && c.req.Length == 0 && !c.req.Chunked
 	}
-	var a asked
-	if err := c.s.checker.check(&c.req, &a); err != nil {
-		return c.refuse(err)
+	var params requestParams
+	if err := c.server.validator.validate(&c.req, &params); err != nil {
+		return c.reject(err)
 	}
-	held := c.bodyMax()
-	if !c.s.bodies.Acquire(held) {
-		wait := time.Duration(c.s.opt.Settings.MaxWait) * time.Microsecond
-		c.write(503, c.retryAfter(wait), nil, true)
+	bodyBytes := c.maxBodyBytes()
+	if !c.server.bodyMemory.Acquire(bodyBytes) {
+		wait := time.Duration(c.server.opt.Settings.MaxWait) * time.Microsecond
+		c.writeResponse(503, c.retryAfter(wait), nil, true)
 		return false
 	}
-	defer c.s.bodies.Release(held)
+	defer c.server.bodyMemory.Release(bodyBytes)
 	body, err := c.readBody()
 	if err != nil {
-		return c.refuse(err)
+		return c.reject(err)
 	}
-	if !c.s.ids.take(a.id) {
-		return c.refuse(bad(409, "%s %.64q: it is, or was, another request's", upstream.HeaderRequestID, a.id))
+	if !c.server.requestIDs.add(params.id) {
+		return c.reject(newError(409, "%s %.64q: already used by another request", upstream.HeaderRequestID, params.id))
 	}
-	defer c.s.ids.done(a.id)
-	if !c.stage(eviction.StateWaiting) {
+	defer c.server.requestIDs.finish(params.id)
+	if !c.setState(eviction.StateWaiting) {
 		return false
 	}
-	return c.decide(&a, body)
+	return c.forward(&params, body)
 }
 
-// bodyMax returns how much memory the request's body may take, bytes.
-func (c *conn) bodyMax() int64 {
+// maxBodyBytes returns the memory that the request's body may need.
+func (c *conn) maxBodyBytes() int64 {
 	if c.req.Chunked {
 		return upstream.MaxRequestBodyBytes
 	}
 	return c.req.Length
 }
 
-// readBody reads the request's body whole.
+// readBody reads the whole body of the request.
 func (c *conn) readBody() ([]byte, error) {
-	c.body.Reset(c.in, c.req.Framing)
+	c.body.Reset(c.reader, c.req.Framing)
 	if c.body.Done() {
 		return nil, nil
 	}
-	if c.req.Expect100 && c.in.Buffered() == 0 {
+	if c.req.Expect100 && c.reader.Buffered() == 0 {
 		if _, err := io.WriteString(c.nc, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return nil, err
 		}
@@ -177,115 +183,122 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(&c.body, upstream.MaxRequestBodyBytes+1))
 	if err == nil && len(body) > upstream.MaxRequestBodyBytes {
-		err = bad(413, "body over %d bytes", upstream.MaxRequestBodyBytes)
+		err = newError(413, "body exceeds %d bytes", upstream.MaxRequestBodyBytes)
 	}
 	return body, err
 }
 
-// ageMax is the oldest that bytes found in a socket are taken to be.
-const ageMax = 10 * time.Second
+// maxArrivalAge bounds the age of unread data that is taken into account.
+const maxArrivalAge = 10 * time.Second
 
-// came returns when the request's last byte came, whenever it was read.
-func (c *conn) came() time.Time {
+// arrivalTime returns when the last byte of the request arrived, which may be
+// earlier than when it was read.
+func (c *conn) arrivalTime() time.Time {
 	now := time.Now()
-	if c.s.opt.NoArrivalAge {
+	if c.server.opt.NoArrivalAge {
 		return now
 	}
-	if age, ok := tcpinfo.LastReceiveAge(c.raw); ok && age >= tcpinfo.MinReliableAge && age < ageMax {
+	if age, ok := tcpinfo.LastReceiveAge(c.raw); ok && age >= tcpinfo.MinReliableAge && age < maxArrivalAge {
 		return now.Add(-age)
 	}
 	return now
 }
 
-// exchange is what one request needs until its answer.
+// exchange holds the state of one request until its response.
 type exchange struct {
 	task host.Task
 	call upstream.Call
 }
 
-// decide hands the request to the host and passes its final word on.
-func (c *conn) decide(a *asked, body []byte) bool {
-	x := &exchange{call: upstream.Call{Method: c.req.Method, Target: c.req.Target, ID: a.id, Key: a.key, Body: body}}
-	x.call.Init(c.s.opt.Sender)
-	x.call.ClientGone = c.lookLeft
-	x.task = host.Task{Class: a.class, Volume: a.volume, Key: a.piece, HasKey: true, Units: a.units, Shard: a.shard,
-		Until: c.came().Add(a.timeout), Again: a.again, Runner: &x.call, Label: a.id, Outlive: true, Tells: true}
-	c.asked++
-	c.s.stats.requests.Add(1)
-	if !c.enter(x) {
-		c.leave(x)
+// forward hands the request to the host and writes the response for its outcome.
+// It returns false if the connection ends.
+func (c *conn) forward(p *requestParams, body []byte) bool {
+	x := &exchange{call: upstream.Call{Method: c.req.Method, Target: c.req.Target, ID: p.id, Key: p.key, Body: body}}
+	x.call.Init(c.server.opt.Sender)
+	x.call.ClientGone = c.checkDisconnect
+	x.task = host.Task{Class: p.class, Volume: p.volume, Key: p.piece, HasKey: true, Units: p.units, Shard: p.shard,
+		Until: c.arrivalTime().Add(p.timeout), Again: p.retried, Runner: &x.call, Label: p.id, Outlive: true, Tells: true}
+	c.requests++
+	c.server.stats.requests.Add(1)
+	if !c.beginTask(x) {
+		c.endTask(x)
 		return false
 	}
-	v := c.s.opt.Host.Do(&x.task)
-	c.leave(x)
+	outcome := c.server.opt.Host.Do(&x.task)
+	c.endTask(x)
 	defer x.call.ReleaseResponse()
-	defer c.s.opt.Host.Answered(&x.task)
-	switch v.End {
+	defer c.server.opt.Host.Answered(&x.task)
+	switch outcome.End {
 	case host.Served:
-		return c.answer(200, "", x.call.ResponseBody)
+		return c.respond(200, "", x.call.ResponseBody)
 	case host.Refused:
-		return c.answer(503, c.retryAfter(v.After), nil)
+		return c.respond(503, c.retryAfter(outcome.After), nil)
 	case host.Gone:
-		c.s.stats.gone.Add(1)
+		c.server.stats.clientsGone.Add(1)
 		return false
 	}
-	return c.answer(502, "", nil)
+	return c.respond(502, "", nil)
 }
 
-// enter notes that a request waits for the host; false: the client has gone.
-func (c *conn) enter(x *exchange) bool {
-	c.s.mu.Lock()
-	c.s.calls[&x.call] = struct{}{}
-	c.s.mu.Unlock()
+// beginTask records that a request is in progress at the host. It returns false
+// if the client has disconnected.
+func (c *conn) beginTask(x *exchange) bool {
+	c.server.mu.Lock()
+	c.server.calls[&x.call] = struct{}{}
+	c.server.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.task, c.since = &x.task, time.Now()
-	return !c.left
+	c.task, c.taskSince = &x.task, time.Now()
+	return !c.gone
 }
 
-func (c *conn) leave(x *exchange) {
-	c.s.mu.Lock()
-	delete(c.s.calls, &x.call)
-	c.s.mu.Unlock()
+// endTask records that the request is no longer in progress at the host.
+func (c *conn) endTask(x *exchange) {
+	c.server.mu.Lock()
+	delete(c.server.calls, &x.call)
+	c.server.mu.Unlock()
 	c.mu.Lock()
 	c.task = nil
 	c.mu.Unlock()
 }
 
-// lookGone tells the host where the client of a waiting task has gone.
-func (c *conn) lookGone() {
+// checkWaitingClient checks whether the client has disconnected if its request has
+// been in progress for at least one check interval.
+func (c *conn) checkWaitingClient() {
 	c.mu.Lock()
-	waits := c.task != nil && time.Since(c.since) > watchEvery
+	isWaiting := c.task != nil && time.Since(c.taskSince) > disconnectCheckInterval
 	c.mu.Unlock()
-	if waits {
-		c.lookLeft()
+	if isWaiting {
+		c.checkDisconnect()
 	}
 }
 
-// lookLeft looks whether the client has gone, and tells the host.
-func (c *conn) lookLeft() bool {
-	if c.s.opt.NoDisconnectCheck || !sockstate.PeerClosed(c.raw) {
+// checkDisconnect reports whether the client has disconnected. If so, it tells
+// the host and closes the connection.
+func (c *conn) checkDisconnect() bool {
+	if c.server.opt.NoDisconnectCheck || !sockstate.PeerClosed(c.raw) {
 		return false
 	}
-	if c.abandon() {
-		c.s.mu.Lock()
-		c.s.table.Remove(c.place) // an attempt that is out may outlive its client
-		c.s.mu.Unlock()
+	if c.abandonTask() {
+		c.server.mu.Lock()
+		c.server.table.Remove(c.entry) // an attempt in progress may outlive its client's connection
+		c.server.mu.Unlock()
 		c.nc.Close()
 	}
 	return true
 }
 
-// abandon tells the host that the client has gone; false: it could not yet.
-func (c *conn) abandon() bool {
+// abandonTask tells the host that the client has disconnected. It returns false if
+// the host cannot abandon the task yet.
+func (c *conn) abandonTask() bool {
 	c.mu.Lock()
-	t := c.task
-	c.left = true
+	task := c.task
+	c.gone = true
 	c.mu.Unlock()
-	return t == nil || c.s.opt.Host.Abandon(t)
+	return task == nil || c.server.opt.Host.Abandon(task)
 }
 
-// retryAfter returns the header field that advises a wait; "": none.
+// retryAfter returns a Retry-After field line for a delay, or "" without one.
 func (c *conn) retryAfter(wait time.Duration) string {
 	if wait <= 0 {
 		return ""
@@ -293,91 +306,94 @@
 	return "Retry-After: " + strconv.FormatFloat(wait.Seconds(), 'f', 3, 64) + "\r\n"
 }
 
-// answer writes an answer; false: the connection ends.
-func (c *conn) answer(status int, field string, body []byte) bool {
-	last := c.req.Close || c.s.tells() || !c.kept()
-	return c.write(status, field, body, last) && !last
+// respond writes a response. It returns false if the connection ends.
+func (c *conn) respond(status int, field string, body []byte) bool {
+	last := c.req.Close || c.server.asksReconnect() || !c.shouldKeep()
+	return c.writeResponse(status, field, body, last) && !last
 }
 
-// kept tells whether there is room to keep the connection after an answer. In a
-// planned restart it is kept all the same: its client would get no other.
-func (c *conn) kept() bool {
-	if c.s.draining() {
+// shouldKeep reports whether to keep the connection open after a response. During
+// a shutdown it is always kept, since its client could not open another one.
+func (c *conn) shouldKeep() bool {
+	if c.server.isDraining() {
 		return true
 	}
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
-	return c.s.table.ShouldKeep(c.asked <= 1)
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	return c.server.table.ShouldKeep(c.requests <= 1)
 }
 
-// copyMax is the longest body that is copied behind its head, bytes.
-const copyMax = 4 << 10
+// maxCopyBytes is the longest body that is copied into the buffer of its head, so
+// that both go out in one write.
+const maxCopyBytes = 4 << 10
 
-// write writes an answer; false: it did not arrive.
-func (c *conn) write(status int, field string, body []byte, last bool) bool {
-	b := http1.AppendStatusLine(c.out[:0], status)
+// writeResponse writes a response. field is a complete field line or "". It
+// returns false if the write failed.
+func (c *conn) writeResponse(status int, field string, body []byte, last bool) bool {
+	b := http1.AppendStatusLine(c.writeBuf[:0], status)
 	b = append(b, field...)
 	b = http1.AppendIntField(b, "Content-Length", int64(len(body)))
 	if last {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	b = append(b, "\r\n"...)
-	c.out = b
-	c.nc.SetWriteDeadline(time.Now().Add(writeMax))
-	if len(body) > copyMax { // in one call without a copy
+	c.writeBuf = b
+	c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if len(body) > maxCopyBytes { // one vectored write without a copy
 		_, err := (&net.Buffers{b, body}).WriteTo(c.nc)
 		return err == nil
 	}
-	c.out = append(b, body...)
-	_, err := c.nc.Write(c.out)
+	c.writeBuf = append(b, body...)
+	_, err := c.nc.Write(c.writeBuf)
 	return err == nil
 }
 
-// refuse answers what can't be read or is not allowed, and ends the connection.
-func (c *conn) refuse(err error) bool {
+// reject answers a request that cannot be read or is invalid, and ends the
+// connection. It always returns false.
+func (c *conn) reject(err error) bool {
 	status := http1.StatusOf(err)
-	var late net.Error
+	var netErr net.Error
 	switch {
 	case status != 0:
-	case errors.As(err, &late) && late.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		status = 408
-	default: // it has gone, or closed inside a request
+	default: // the client has disconnected
 		return false
 	}
-	c.s.stats.bad.Add(1)
-	c.s.opt.Log.Debug("refused", "status", status, "reason", err.Error())
-	c.write(status, "", []byte(err.Error()+"\n"), true)
+	c.server.stats.rejected.Add(1)
+	c.server.opt.Log.Debug("refused", "status", status, "reason", err.Error())
+	c.writeResponse(status, "", []byte(err.Error()+"\n"), true)
 	return false
 }
 
-// discardMax is how much of a client's bytes is read and dropped at the end.
-const discardMax = 256 << 10
+// maxDiscardBytes bounds what is read and discarded during a lingering close.
+const maxDiscardBytes = 256 << 10
 
-// linger is a lingering close: this side of the connection is shut, and what
-// still comes is read and dropped until the client has closed its own, for a
-// bounded time. A close with unread bytes would reset the connection under the
-// last answer. The caller closes the connection after it.
-func (c *conn) linger() {
-	if !c.stage(eviction.StateClosing) {
+// lingeringClose shuts down the sending side and discards what the client still
+// sends until it closes its side, for a bounded time. Closing with unread data
+// would reset the connection and could destroy the last response. The caller
+// closes the connection afterwards.
+func (c *conn) lingeringClose() {
+	if !c.setState(eviction.StateClosing) {
 		return
 	}
-	shutWrite(c.nc)
-	until := time.Now().Add(lingerMax)
-	c.nc.SetReadDeadline(until)
-	if n, err := io.CopyN(io.Discard, c.nc, discardMax); n < discardMax || err != nil {
+	closeWrite(c.nc)
+	deadline := time.Now().Add(lingerTimeout)
+	c.nc.SetReadDeadline(deadline)
+	if n, err := io.CopyN(io.Discard, c.nc, maxDiscardBytes); n < maxDiscardBytes || err != nil {
 		return
 	}
-	timer := time.NewTimer(time.Until(until))
+	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-c.s.quit:
+	case <-c.server.done:
 	}
 }
 
-// shutWrite shuts this side of a connection.
-func shutWrite(nc net.Conn) {
-	if half, ok := nc.(interface{ CloseWrite() error }); ok {
-		half.CloseWrite()
+// closeWrite shuts down the sending side of a connection.
+func closeWrite(nc net.Conn) {
+	if closer, ok := nc.(interface{ CloseWrite() error }); ok {
+		closer.CloseWrite()
 	}
 }
--- a/internal/platform/frontend/race_test.go
+++ b/internal/platform/frontend/race_test.go
@@ -26,102 +26,105 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// rig is a server in front of one brick, each of whose steps a test can hold.
-type rig struct {
-	t     *testing.T
-	s     *Server
-	host  *host.Host
-	brick net.Listener
-	ln    *seenListener
-	asked chan net.Conn // a brick's connection, once a request on it came whole
-	dials chan chan struct{}
-	seen  chan struct{} // the server has seen the first byte of a request, or a connection's end
+// testServer is a Server with one brick. A test can pause the steps of both.
+type testServer struct {
+	t        *testing.T
+	server   *Server
+	host     *host.Host
+	brick    net.Listener
+	ln       *observedListener
+	requests chan net.Conn      // the brick's connection, once a request on it is complete
+	dials    chan chan struct{} // closing a received channel continues that dial
+	readable chan struct{}      // receives when a connection's wait for a first byte returns
 }
 
-// seenListener tells of what its connections' owners have seen come, and holds
-// each Accept until its gate is open.
-type seenListener struct {
+// observedListener reports when the waits on its connections return, and delays
+// each Accept until acceptGate is closed.
+type observedListener struct {
 	*net.TCPListener
-	seen chan struct{}
-	gate chan struct{} // nil: it is open
-	cut  chan struct{} // a deadline was set
+	readable    chan struct{}
+	acceptGate  chan struct{} // nil: no delay
+	deadlineSet chan struct{}
 }
 
-func (l *seenListener) Accept() (net.Conn, error) {
-	if l.gate != nil {
-		<-l.gate
+func (l *observedListener) Accept() (net.Conn, error) {
+	if l.acceptGate != nil {
+		<-l.acceptGate
 	}
 	nc, err := l.AcceptTCP()
-	return &seenConn{nc, l.seen}, err
+	return &observedConn{nc, l.readable}, err
 }
 
-func (l *seenListener) SetDeadline(t time.Time) error {
+func (l *observedListener) SetDeadline(t time.Time) error {
 	err := l.TCPListener.SetDeadline(t)
 	select {
-	case l.cut <- struct{}{}:
+	case l.deadlineSet <- struct{}{}:
 	default:
 	}
 	return err
 }
 
-type seenConn struct {
+type observedConn struct {
 	*net.TCPConn
-	seen chan struct{}
+	readable chan struct{}
 }
 
-func (c *seenConn) SyscallConn() (syscall.RawConn, error) {
+func (c *observedConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
-	return &seenRaw{raw, c.seen}, err
+	return &observedRawConn{raw, c.readable}, err
 }
 
-type seenRaw struct {
+type observedRawConn struct {
 	syscall.RawConn
-	seen chan struct{}
+	readable chan struct{}
 }
 
-func (r *seenRaw) Read(f func(uintptr) bool) error {
-	err := r.RawConn.Read(f)
-	r.seen <- struct{}{}
+func (c *observedRawConn) Read(f func(uintptr) bool) error {
+	err := c.RawConn.Read(f)
+	c.readable <- struct{}{}
 	return err
 }
 
-// newRig starts a server; with hold, each dial to the brick waits until the
-// channel that it sends on dials is closed.
-func newRig(t *testing.T, hold bool) *rig { return newGatedRig(t, hold, nil) }
+// newTestServer starts a server. With pauseDials, each dial to the brick waits
+// until the channel that it sends on dials is closed.
+func newTestServer(t *testing.T, pauseDials bool) *testServer {
+	return newGatedTestServer(t, pauseDials, nil)
+}
 
-func newGatedRig(t *testing.T, hold bool, gate chan struct{}) *rig {
+// newGatedTestServer is newTestServer with a gate for Accept.
+func newGatedTestServer(t *testing.T, pauseDials bool, acceptGate chan struct{}) *testServer {
 	t.Helper()
-	set := testSettings()
-	set.Shards, set.Hosts = 1, 1
-	h, err := host.New(host.Options{Settings: *set})
+	settings := testSettings()
+	settings.Shards, settings.Hosts = 1, 1
+	h, err := host.New(host.Options{Settings: *settings})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, host: h, asked: make(chan net.Conn, 100), seen: make(chan struct{}, 1000), dials: make(chan chan struct{}, 100)}
-	r.brick = listen(t)
+	ts := &testServer{t: t, host: h, requests: make(chan net.Conn, 100), readable: make(chan struct{}, 1000), dials: make(chan chan struct{}, 100)}
+	ts.brick = listen(t)
 	var bricks sync.WaitGroup
-	bricks.Go(func() { r.serveBrick(&bricks) })
+	bricks.Go(func() { ts.serveBrick(&bricks) })
 	sender := upstream.NewSender(upstream.Options{Host: h, DialTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxConns: 50,
 		MaxClientWait: time.Minute, MaxResponseBytes: 1 << 20, Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			nc, err := new(net.Dialer).DialContext(ctx, "tcp", address)
-			if hold {
-				up := make(chan struct{})
-				r.dials <- up
-				<-up
+			if pauseDials {
+				proceed := make(chan struct{})
+				ts.dials <- proceed
+				<-proceed
 			}
 			return nc, err
 		}})
-	h.Nodes(arrowwalk.ListSnapshot, 1, []host.Member{{Node: arrowwalk.Node{ID: "b"}, Address: r.brick.Addr().String()}})
-	r.ln = &seenListener{listen(t).(*net.TCPListener), r.seen, gate, make(chan struct{}, 1)}
-	r.s = Start(r.ln, Options{Host: h, Sender: sender, Settings: set, Log: slog.New(slog.DiscardHandler), MaxConns: 50, IdleEvictionThreshold: 40, MaxBodyBytes: 1 << 20})
+	h.Nodes(arrowwalk.ListSnapshot, 1, []host.Member{{Node: arrowwalk.Node{ID: "b"}, Address: ts.brick.Addr().String()}})
+	ts.ln = &observedListener{listen(t).(*net.TCPListener), ts.readable, acceptGate, make(chan struct{}, 1)}
+	ts.server = Start(ts.ln, Options{Host: h, Sender: sender, Settings: settings, Log: slog.New(slog.DiscardHandler), MaxConns: 50, IdleEvictionThreshold: 40, MaxBodyBytes: 1 << 20})
 	t.Cleanup(func() {
-		r.s.Stop()
+		ts.server.Stop()
 		h.Close()
 		sender.Close()
-		r.brick.Close()
+		ts.brick.Close()
 		bricks.Wait()
 	})
-	return r
+	return ts
 }
 
 func listen(t *testing.T) net.Listener {
@@ -133,10 +136,10 @@
 	return ln
 }
 
-// serveBrick tells of each whole request; the test answers.
-func (r *rig) serveBrick(wg *sync.WaitGroup) {
+// serveBrick reports each complete request; the test writes the response.
+func (ts *testServer) serveBrick(wg *sync.WaitGroup) {
 	for {
-		nc, err := r.brick.Accept()
+		nc, err := ts.brick.Accept()
 		if err != nil {
 			return
 		}
@@ -148,300 +151,307 @@
 				if heads.ReadRequest(&q) != nil {
 					return
 				}
-				r.asked <- nc
+				ts.requests <- nc
 			}
 		})
 	}
 }
 
-const goodAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const goodResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// peer is a client's connection, spoken by hand.
-type peer struct {
+// testClient is a client connection on which the test writes the requests itself.
+type testClient struct {
 	t *testing.T
 	net.Conn
 	in *bufio.Reader
 }
 
-func (r *rig) dial() *peer {
-	r.t.Helper()
-	nc, err := net.Dial("tcp", r.s.Addr())
+func (ts *testServer) dial() *testClient {
+	ts.t.Helper()
+	nc, err := net.Dial("tcp", ts.server.Addr())
 	if err != nil {
-		r.t.Fatal(err)
+		ts.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { nc.Close() })
+	ts.t.Cleanup(func() { nc.Close() })
 	nc.SetReadDeadline(time.Now().Add(20 * time.Second))
-	return &peer{r.t, nc, bufio.NewReader(nc)}
+	return &testClient{ts.t, nc, bufio.NewReader(nc)}
 }
 
-func request(id string, more string) string {
-	return "GET /fetch-text" + piece + " HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + id + "\r\nX-Plan: basic\r\nX-Timeout: 2.400\r\nX-IO: units=1,shard=0,hosts=1\r\n" + more + "\r\n"
+// request returns the text of a read request with additional header lines.
+func request(id string, headers string) string {
+	return "GET /fetch-text" + piece + " HTTP/1.1\r\nHost: x\r\nX-Request-ID: " + id + "\r\nX-Plan: basic\r\nX-Timeout: 2.400\r\nX-IO: units=1,shard=0,hosts=1\r\n" + headers + "\r\n"
 }
 
-func (p *peer) say(text string) {
-	p.t.Helper()
-	if _, err := io.WriteString(p, text); err != nil {
-		p.t.Fatal(err)
+func (c *testClient) send(text string) {
+	c.t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		c.t.Fatal(err)
 	}
 }
 
-// status reads one answer whole.
-func (p *peer) status() int {
-	p.t.Helper()
+// status reads one complete response and returns its status.
+func (c *testClient) status() int {
+	c.t.Helper()
 	var head http1.Response
-	if err := http1.NewReader(p.in, http1.DefaultLimits).ReadResponse(&head, "GET"); err != nil {
-		p.t.Fatalf("no answer: %v", err)
+	if err := http1.NewReader(c.in, http1.DefaultLimits).ReadResponse(&head, "GET"); err != nil {
+		c.t.Fatalf("no response: %v", err)
 	}
 	var body http1.Body
-	body.Reset(p.in, head.Framing)
+	body.Reset(c.in, head.Framing)
 	if _, err := io.Copy(io.Discard, &body); err != nil {
-		p.t.Fatalf("half an answer: %v", err)
+		c.t.Fatalf("truncated response: %v", err)
 	}
 	return head.Status
 }
 
-// end reads to the connection's end: a close, and no reset.
-func (p *peer) end() {
-	p.t.Helper()
-	if rest, err := io.ReadAll(p.in); err != nil || len(rest) > 0 {
-		p.t.Fatalf("%q and then %v, want a close", rest, err)
+// expectClose reads to the end of the connection, which must be a close and not a
+// reset.
+func (c *testClient) expectClose() {
+	c.t.Helper()
+	if rest, err := io.ReadAll(c.in); err != nil || len(rest) > 0 {
+		c.t.Fatalf("read %q and then %v, want a close", rest, err)
 	}
 }
 
-// serve has a brick answer the next request.
-func (r *rig) serve() {
+// answerNext answers the next request as the brick.
+func (ts *testServer) answerNext() {
 	select {
-	case nc := <-r.asked:
-		io.WriteString(nc, goodAnswer)
+	case nc := <-ts.requests:
+		io.WriteString(nc, goodResponse)
 	case <-time.After(20 * time.Second):
-		r.t.Error("no request comes to the brick")
+		ts.t.Error("the brick received no request")
 	}
 }
 
-// conn returns the server's side of the only connection in a stage.
-func (r *rig) conn(stage eviction.State) *eviction.Entry[*conn] {
-	r.t.Helper()
+// waitForConn waits for a connection in a state and returns its entry.
+func (ts *testServer) waitForConn(state eviction.State) *eviction.Entry[*conn] {
+	ts.t.Helper()
 	for began := time.Now(); time.Since(began) < 20*time.Second; time.Sleep(time.Millisecond) {
 		var found *eviction.Entry[*conn]
-		r.s.mu.Lock()
-		r.s.table.ForEach(stage, func(e *eviction.Entry[*conn]) { found = e })
-		r.s.mu.Unlock()
+		ts.server.mu.Lock()
+		ts.server.table.ForEach(state, func(e *eviction.Entry[*conn]) { found = e })
+		ts.server.mu.Unlock()
 		if found != nil {
 			return found
 		}
 	}
-	r.t.Fatalf("no connection is in stage %d", stage)
+	ts.t.Fatalf("no connection is in state %d", state)
 	return nil
 }
 
-// eventually waits until something holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until condition holds, and fails with message after 20 s.
+func eventually(t *testing.T, message string, condition func() bool) {
 	t.Helper()
-	for began := time.Now(); !holds(); time.Sleep(time.Millisecond) {
+	for began := time.Now(); !condition(); time.Sleep(time.Millisecond) {
 		if time.Since(began) > 20*time.Second {
-			t.Fatal(what)
+			t.Fatal(message)
 		}
 	}
 }
 
-// A client that leaves while the connection to a brick comes up: nothing is
-// sent on it, and the connection is kept for others.
+// If a client disconnects during the dial to a brick, nothing is sent to the
+// brick, and the new connection is kept for other requests.
 func TestClientLeavesDuringADial(t *testing.T) {
-	for name, leave := range map[string]func(p *peer){
-		"close":              func(p *peer) { p.Close() },
-		"reset":              func(p *peer) { p.Conn.(*net.TCPConn).SetLinger(0); p.Close() },
-		"close behind bytes": func(p *peer) { p.say(request("next", "")); p.say(strings.Repeat("x", 20<<10)); p.Close() },
+	for name, leave := range map[string]func(client *testClient){
+		"close": func(client *testClient) { client.Close() },
+		"reset": func(client *testClient) { client.Conn.(*net.TCPConn).SetLinger(0); client.Close() },
+		"close behind bytes": func(client *testClient) {
+			client.send(request("next", ""))
+			client.send(strings.Repeat("x", 20<<10))
+			client.Close()
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, true)
-			p := r.dial()
-			p.say(request("one", ""))
-			up := <-r.dials
-			e := r.conn(eviction.StateWaiting)
-			leave(p)
-			eventually(t, "the close does not come over", func() bool { return sockstate.PeerClosed(e.Conn.raw) })
-			close(up)
-			eventually(t, "the request is not over", func() bool { return r.s.ConnCount() == 0 && r.s.opt.Host.Stats().Ended["gone"] == 1 })
+			ts := newTestServer(t, true)
+			client := ts.dial()
+			client.send(request("one", ""))
+			proceed := <-ts.dials
+			e := ts.waitForConn(eviction.StateWaiting)
+			leave(client)
+			eventually(t, "the close does not arrive", func() bool { return sockstate.PeerClosed(e.Conn.raw) })
+			close(proceed)
+			eventually(t, "the request does not end", func() bool { return ts.server.ConnCount() == 0 && ts.server.opt.Host.Stats().Ended["gone"] == 1 })
 			select {
-			case <-r.asked:
-				t.Error("a brick got the request of a client that had gone")
+			case <-ts.requests:
+				t.Error("the brick received the request of a disconnected client")
 			default:
 			}
-			if open, idle, dialed := r.s.opt.Sender.Counts(); open != 1 || idle != 1 || dialed != 1 {
+			if open, idle, dialed := ts.server.opt.Sender.Counts(); open != 1 || idle != 1 || dialed != 1 {
 				t.Errorf("%d connections to the brick, %d idle, %d dialed", open, idle, dialed)
 			}
 		})
 	}
 }
 
-// A last answer arrives whole and is followed by a close, though more bytes
-// came than the reader took: a close over unread bytes would be a reset.
+// The last response arrives completely and is followed by a close, even if the
+// client sent data that was not read: a plain close would reset the connection.
 func TestLastAnswerOverUnreadBytes(t *testing.T) {
-	r := newRig(t, false)
-	p := r.dial()
-	p.say(request("one", "Connection: close\r\n"))
-	brick := <-r.asked
-	e := r.conn(eviction.StateWaiting)
-	p.say(strings.Repeat("x", 100<<10))
-	eventually(t, "the bytes do not come over", func() bool { return sockstate.Readable(e.Conn.raw) })
-	io.WriteString(brick, goodAnswer)
+	ts := newTestServer(t, false)
+	client := ts.dial()
+	client.send(request("one", "Connection: close\r\n"))
+	brick := <-ts.requests
+	e := ts.waitForConn(eviction.StateWaiting)
+	client.send(strings.Repeat("x", 100<<10))
+	eventually(t, "the data does not arrive", func() bool { return sockstate.Readable(e.Conn.raw) })
+	io.WriteString(brick, goodResponse)
 	eventually(t, "the connection does not end", func() bool {
-		r.s.mu.Lock()
-		defer r.s.mu.Unlock()
-		stage, here := r.s.table.State(e.Conn.place)
-		return !here || stage == eviction.StateClosing
+		ts.server.mu.Lock()
+		defer ts.server.mu.Unlock()
+		state, present := ts.server.table.State(e.Conn.entry)
+		return !present || state == eviction.StateClosing
 	})
-	p.say(strings.Repeat("y", 10<<10)) // and once more, behind the shutdown
-	if got := p.status(); got != 200 {
-		t.Errorf("answered %d", got)
+	client.send(strings.Repeat("y", 10<<10)) // more data after the server's shutdown of its side
+	if got := client.status(); got != 200 {
+		t.Errorf("status %d", got)
 	}
-	p.end()
+	client.expectClose()
 }
 
-// A request that comes between the look at an idle connection and its eviction
-// is dropped unread: nothing is sent on, and the client sees a close.
+// A request that arrives between the check of an idle connection and its eviction
+// is discarded unread: it is not forwarded, and the client sees a close.
 func TestRequestBehindAnEviction(t *testing.T) {
-	r := newRig(t, false)
-	p := r.dial()
-	p.say(request("one", ""))
-	r.serve()
-	p.status()
-	e := r.conn(eviction.StateIdle)
-	r.s.mu.Lock()
-	if e.Conn.speaks() {
-		t.Error("it has sent something")
+	ts := newTestServer(t, false)
+	client := ts.dial()
+	client.send(request("one", ""))
+	ts.answerNext()
+	client.status()
+	e := ts.waitForConn(eviction.StateIdle)
+	ts.server.mu.Lock()
+	if e.Conn.hasUnreadData() {
+		t.Error("the idle connection has unread data")
 	}
-	<-r.seen                  // of the first request
-	p.say(request("two", "")) // between the look and the close
-	<-r.seen                  // its goroutine is about to read the second one
-	r.s.evict(e)
-	r.s.mu.Unlock()
-	p.end()
-	eventually(t, "the connection is kept", func() bool { return r.s.ConnCount() == 0 })
-	if s := r.s.Stats(); s.Requests != 1 {
-		t.Errorf("%d requests were taken", s.Requests)
+	<-ts.readable                   // for the first request
+	client.send(request("two", "")) // between the check and the eviction
+	<-ts.readable                   // its goroutine is about to read the second request
+	ts.server.beginClose(e)
+	ts.server.mu.Unlock()
+	client.expectClose()
+	eventually(t, "the connection is not closed", func() bool { return ts.server.ConnCount() == 0 })
+	if s := ts.server.Stats(); s.Requests != 1 {
+		t.Errorf("%d requests were handed to the host", s.Requests)
 	}
 }
 
-// A request that came before the look keeps its connection, in a planned
-// restart too, and is answered.
+// A request that arrived before the check keeps its connection open, during a
+// shutdown too, and is answered.
 func TestRequestAheadOfAnEviction(t *testing.T) {
-	r := newRig(t, false)
-	p := r.dial()
-	p.say(request("one", ""))
-	r.serve()
-	p.status()
-	r.conn(eviction.StateIdle)
-	r.s.mu.Lock()
-	<-r.seen // of the first request
-	p.say(request("two", ""))
-	<-r.seen
-	r.s.closeIdle()
-	r.s.mu.Unlock()
-	r.serve()
-	if got := p.status(); got != 200 {
-		t.Errorf("answered %d", got)
+	ts := newTestServer(t, false)
+	client := ts.dial()
+	client.send(request("one", ""))
+	ts.answerNext()
+	client.status()
+	ts.waitForConn(eviction.StateIdle)
+	ts.server.mu.Lock()
+	<-ts.readable // for the first request
+	client.send(request("two", ""))
+	<-ts.readable
+	ts.server.closeIdleLocked()
+	ts.server.mu.Unlock()
+	ts.answerNext()
+	if got := client.status(); got != 200 {
+		t.Errorf("status %d", got)
 	}
 }
 
-// What has connected when the listener closes is served: one that was accepted
-// but is in no table yet, and those still in the listener's queue.
+// Connections established before the listener closes are served: one that was
+// accepted but is not in the table yet, and those still in the accept queue.
 func TestConnectionsBehindTheListenersEnd(t *testing.T) {
-	r := newRig(t, false)
-	r.s.mu.Lock() // holds the first one between Accept and the table
-	peers, closed := r.askBeforeTheEnd(5)
-	eventually(t, "the listener's end has not begun", r.s.closing.Load)
-	r.s.mu.Unlock()
+	ts := newTestServer(t, false)
+	ts.server.mu.Lock() // pauses the first one between Accept and the table
+	clients, closed := ts.sendBeforeClose(5)
+	eventually(t, "the listener is not closing", ts.server.listenerClosing.Load)
+	ts.server.mu.Unlock()
 	<-closed
-	if got := r.s.ConnCount(); got != len(peers) {
-		t.Errorf("%d connections of %d are counted", got, len(peers))
+	if got := ts.server.ConnCount(); got != len(clients) {
+		t.Errorf("%d connections, want %d", got, len(clients))
 	}
-	r.allServed(peers)
-	if _, err := net.Dial("tcp", r.s.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("it listens on: %v", err)
+	ts.expectAllServed(clients)
+	if _, err := net.Dial("tcp", ts.server.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Errorf("the listener is still open: %v", err)
 	}
 }
 
-// askBeforeTheEnd has clients connect and ask, and then the listener close.
-func (r *rig) askBeforeTheEnd(clients int) (peers []*peer, closed chan struct{}) {
-	r.t.Helper()
-	for n := range clients {
-		p := r.dial()
-		p.say(request(fmt.Sprint("id", n), ""))
-		peers = append(peers, p)
+// sendBeforeClose connects clients that send a request each, and then closes the
+// listener; closed is closed when that is done.
+func (ts *testServer) sendBeforeClose(count int) (clients []*testClient, closed chan struct{}) {
+	ts.t.Helper()
+	for n := range count {
+		client := ts.dial()
+		client.send(request(fmt.Sprint("id", n), ""))
+		clients = append(clients, client)
 	}
 	closed = make(chan struct{})
 	go func() {
-		r.s.CloseListener()
+		ts.server.CloseListener()
 		close(closed)
 	}()
-	return peers, closed
+	return clients, closed
 }
 
-// allServed has a brick answer a request of each peer, in whatever order they
-// were sent on.
-func (r *rig) allServed(peers []*peer) {
-	r.t.Helper()
+// expectAllServed answers one request of each client as the brick, in the order
+// in which they were forwarded, and checks the responses.
+func (ts *testServer) expectAllServed(clients []*testClient) {
+	ts.t.Helper()
 	var served sync.WaitGroup
 	served.Go(func() {
-		for range peers {
-			r.serve()
+		for range clients {
+			ts.answerNext()
 		}
 	})
 	defer served.Wait()
-	for _, p := range peers {
-		if got := p.status(); got != 200 {
-			r.t.Errorf("answered %d", got)
+	for _, client := range clients {
+		if got := client.status(); got != 200 {
+			ts.t.Errorf("status %d", got)
 		}
 	}
 }
 
-// The listener's deadline may run out right before an Accept, which then does
-// not look at all: what has connected is served all the same.
+// If the listener's deadline passes right before an Accept, that Accept fails
+// without checking the queue. Established connections are served nevertheless.
 func TestListenersEndRightBeforeAnAccept(t *testing.T) {
-	gate := make(chan struct{})
-	r := newGatedRig(t, false, gate)
-	peers, closed := r.askBeforeTheEnd(3)
-	<-r.ln.cut
-	close(gate)
+	acceptGate := make(chan struct{})
+	ts := newGatedTestServer(t, false, acceptGate)
+	clients, closed := ts.sendBeforeClose(3)
+	<-ts.ln.deadlineSet
+	close(acceptGate)
 	<-closed
-	r.allServed(peers)
+	ts.expectAllServed(clients)
 }
 
-// What was taken before a planned restart, and what is handed over only after
-// it began, has its answer by the restart's end, though its client would wait
-// for longer.
+// Requests received before a shutdown and requests completed only after it began
+// are answered by the shutdown's deadline, even if their clients would wait for
+// longer.
 func TestRestartBoundsWhatWasTaken(t *testing.T) {
-	r := newRig(t, false)
-	before, after := r.dial(), r.dial()
-	before.say(request("before", ""))
-	<-r.asked // out at a brick, which never answers
-	after.say(request("after", "")[:40])
+	ts := newTestServer(t, false)
+	before, after := ts.dial(), ts.dial()
+	before.send(request("before", ""))
+	<-ts.requests // in progress at the brick, which never answers
+	after.send(request("after", "")[:40])
 	began := time.Now()
-	r.s.Drain(began, began.Add(300*time.Millisecond))
-	after.say(request("after", "")[40:])
-	for _, p := range []*peer{before, after} {
-		if got := p.status(); got != 502 && got != 503 {
-			t.Errorf("answered %d", got)
+	ts.server.Drain(began, began.Add(300*time.Millisecond))
+	after.send(request("after", "")[40:])
+	for _, client := range []*testClient{before, after} {
+		if got := client.status(); got != 502 && got != 503 {
+			t.Errorf("status %d", got)
 		}
 		if took := time.Since(began); took > 2*time.Second {
 			t.Errorf("answered after %s", took)
 		}
-		p.end()
+		client.expectClose()
 	}
 }
 
-// Half a request that a restart's end finds has an answer and a close.
+// An incomplete request at the end of a shutdown gets a response and a close.
 func TestRestartEndsHalfARequest(t *testing.T) {
-	r := newRig(t, false)
-	p := r.dial()
-	p.say(request("half", "")[:30])
-	r.conn(eviction.StateFirstRequest)
-	r.s.ExpireReads()
+	ts := newTestServer(t, false)
+	client := ts.dial()
+	client.send(request("half", "")[:30])
+	ts.waitForConn(eviction.StateFirstRequest)
+	ts.server.ExpireReads()
 	began := time.Now()
-	if got, took := p.status(), time.Since(began); got != 408 || took > freshMax/2 {
+	if got, took := client.status(), time.Since(began); got != 408 || took > firstRequestTimeout/2 {
 		t.Errorf("answered %d after %s", got, took)
 	}
-	p.say("the rest")
-	p.end()
+	client.send("the rest")
+	client.expectClose()
 }
--- a/internal/platform/frontend/request_ids.go
+++ b/internal/platform/frontend/request_ids.go
@@ -2,35 +2,37 @@
 
 import "sync"
 
-// recentMax is how many ids of answered requests are remembered.
-const recentMax = 4096
+// maxRecentIDs is the number of ids of answered requests that are remembered.
+const maxRecentIDs = 4096
 
-// ids are the ids of open requests, and of the last that were answered: with
-// every request, and with a client's retry, the id is new.
-type ids struct {
-	mu   sync.Mutex
-	open map[string]bool // false: it was answered
-	ring [recentMax]string
-	next int
+// requestIDs holds the ids of the requests in progress and of the most recently
+// answered ones. An id must not be reused: clients send a new one with every
+// request, retries included. It is safe for concurrent use.
+type requestIDs struct {
+	mu     sync.Mutex
+	known  map[string]bool      // true while the request is in progress
+	recent [maxRecentIDs]string // ring buffer of answered ids
+	next   int                  // index in recent
 }
 
-// take notes an id; false: it is open, or was a moment ago.
-func (i *ids) take(id string) bool {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	if _, known := i.open[id]; known {
+// add records the id of a new request. It returns false if the id is in use or
+// was used recently.
+func (r *requestIDs) add(id string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if _, known := r.known[id]; known {
 		return false
 	}
-	i.open[id] = true
+	r.known[id] = true
 	return true
 }
 
-// done moves an id from the open to the recent ones.
-func (i *ids) done(id string) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	i.open[id] = false
-	delete(i.open, i.ring[i.next])
-	i.ring[i.next] = id
-	i.next = (i.next + 1) % recentMax
+// finish moves an id from the requests in progress to the recent ones.
+func (r *requestIDs) finish(id string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.known[id] = false
+	delete(r.known, r.recent[r.next])
+	r.recent[r.next] = id
+	r.next = (r.next + 1) % maxRecentIDs
 }
--- a/internal/platform/frontend/server.go
+++ b/internal/platform/frontend/server.go
@@ -1,5 +1,5 @@
-// Package entry is the platform's protocol towards clients: what they send is
-// checked, handed to the host, and gets one final answer.
+// Package frontend serves clients in the platform's protocol. It validates each
+// request, hands it to the host and writes exactly one final response.
 package frontend
 
 import (
@@ -19,298 +19,311 @@
 	"arrowwalk/internal/sockstate"
 )
 
-// Times of connections.
 const (
-	freshMax   = 2 * time.Second        // from connecting to the end of a first request
-	readMax    = 2 * time.Second        // from a later request's first byte to its end
-	writeMax   = 2 * time.Second        // for an answer that its client does not read
-	lingerMax  = 500 * time.Millisecond // that a refused client has to read its answer
-	watchEvery = 50 * time.Millisecond  // looks whether waiting clients have gone
+	firstRequestTimeout     = 2 * time.Second        // from the connect to the end of the first request
+	readTimeout             = 2 * time.Second        // from the first byte of a later request to its end
+	writeTimeout            = 2 * time.Second        // for a response
+	lingerTimeout           = 500 * time.Millisecond // of a lingering close, so that the client can read its response
+	disconnectCheckInterval = 50 * time.Millisecond
 
-	acceptSpare = 2 * time.Millisecond // from the listener's end, for connections that have come up
+	// finalAcceptTimeout is how long a closing listener accepts the connections that
+	// are already established.
+	finalAcceptTimeout = 2 * time.Millisecond
+
+	// acceptRetryDelay is the wait after a failed Accept.
+	acceptRetryDelay = 5 * time.Millisecond
 )
 
-// Options of a Server. The caller keeps Host and Sender, and closes them after
-// Stop.
+// Options configures a Server. The caller owns Host and Sender and closes them
+// after Stop.
 type Options struct {
 	Host                  *host.Host
 	Sender                *upstream.Sender
 	Settings              *arrowwalk.Settings
 	Log                   *slog.Logger
-	MaxConns              int   // connections
-	IdleEvictionThreshold int   // connections from which on idle ones are closed
-	MaxBodyBytes          int64 // of bodies held at once
-	// NoEviction keeps silent connections, AcceptDoubleFraming takes a length beside a
-	// transfer coding, NoArrivalAge takes what is found in a socket for fresh; for proofs
-	// that must fail.
+	MaxConns              int   // client connections
+	IdleEvictionThreshold int   // number of connections from which idle ones are evicted
+	MaxBodyBytes          int64 // request bodies held in memory at once
+	// Each of these switches off a guard, for negative tests only: NoEviction neither
+	// evicts nor times out connections on which nothing was received,
+	// AcceptDoubleFraming accepts Content-Length together with Transfer-Encoding, and
+	// NoArrivalAge treats data found in a socket as just arrived.
 	NoEviction, AcceptDoubleFraming, NoArrivalAge bool
-	// NoDisconnectCheck never looks for clients that left, NoShutdownDeadline bounds no deadline by the
-	// end of a planned restart; for the same.
+	// NoDisconnectCheck never checks whether clients have disconnected, and
+	// NoShutdownDeadline does not limit deadlines to the end of a shutdown; also for
+	// negative tests only.
 	NoDisconnectCheck, NoShutdownDeadline bool
 }
 
 // Server serves clients on one listener.
 type Server struct {
-	opt     Options
-	ln      net.Listener
-	checker *checker
-	limits  http1.Limits
-	ids     ids
-	stats   counters
-	drains  atomic.Bool  // a planned restart has begun
-	tell    atomic.Int64 // from then on clients are told to connect anew; 0: they are not
-	bodies  eviction.ByteBudget
-	quit    chan struct{}
-	wg      sync.WaitGroup
+	opt           Options
+	ln            net.Listener
+	validator     *validator
+	headLimits    http1.Limits
+	requestIDs    requestIDs
+	stats         counters
+	draining      atomic.Bool  // a graceful shutdown has begun
+	reconnectFrom atomic.Int64 // Unix time in ns from which clients are asked to reconnect; 0: never
+	bodyMemory    eviction.ByteBudget
+	done          chan struct{} // closed by Stop
+	wg            sync.WaitGroup
 
-	closing  atomic.Bool   // the listener closes as soon as nothing is left on it
-	accepted chan struct{} // closed when no more connections are taken
+	listenerClosing atomic.Bool   // accept only the connections that are already established
+	acceptDone      chan struct{} // closed when no more connections are accepted
 
-	mu    sync.Mutex
-	table *eviction.Table[*conn]
-	calls map[*upstream.Call]struct{} // that the host decides on
-	base  time.Time
+	mu      sync.Mutex
+	table   *eviction.Table[*conn]
+	calls   map[*upstream.Call]struct{} // in progress at the host
+	started time.Time
 }
 
-// counters are what the front counts.
-type counters struct{ requests, bad, gone, evicted, turned atomic.Uint64 }
+// counters holds the counts behind Stats.
+type counters struct{ requests, rejected, clientsGone, evicted, turnedAway atomic.Uint64 }
 
-// Stats are counts since the start.
+// Stats holds counts since the start.
 type Stats struct {
-	Requests    uint64 // that were handed to the host
-	Rejected    uint64 // that were refused as they came
-	ClientsGone uint64 // whose clients left
-	Evicted     uint64 // connections that gave way for others
-	TurnedAway  uint64 // connections turned away, with nobody to give way
-	Open        int
-	Conns       int
-	Draining    bool // a planned restart has begun
+	Requests    uint64 // handed to the host
+	Rejected    uint64 // invalid or incomplete requests
+	ClientsGone uint64 // requests whose clients disconnected
+	Evicted     uint64 // connections closed to make room for others
+	TurnedAway  uint64 // connections closed at the limit, with none to evict
+	Open        int    // connections with an unanswered request
+	Conns       int    // connections
+	Draining    bool   // a graceful shutdown has begun
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counts.
 func (s *Server) Stats() Stats {
 	c := &s.stats
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Stats{c.requests.Load(), c.bad.Load(), c.gone.Load(), c.evicted.Load(), c.turned.Load(),
-		s.table.CountIn(eviction.StateWaiting), s.table.Count(), s.draining()}
+	return Stats{c.requests.Load(), c.rejected.Load(), c.clientsGone.Load(), c.evicted.Load(), c.turnedAway.Load(),
+		s.table.CountIn(eviction.StateWaiting), s.table.Count(), s.isDraining()}
 }
 
-// Start serves ln until Stop.
+// Start serves clients on ln until Stop. The Server owns ln from then on.
 func Start(ln net.Listener, opt Options) *Server {
-	s := &Server{opt: opt, ln: ln, checker: newChecker(opt.Settings), ids: ids{open: map[string]bool{}},
-		quit: make(chan struct{}), accepted: make(chan struct{}), table: eviction.NewTable[*conn](opt.MaxConns, opt.IdleEvictionThreshold), calls: map[*upstream.Call]struct{}{}, base: time.Now()}
-	s.limits, s.bodies.Max = limits, opt.MaxBodyBytes
-	s.limits.AcceptDoubleFraming = opt.AcceptDoubleFraming
+	s := &Server{opt: opt, ln: ln, validator: newValidator(opt.Settings), requestIDs: requestIDs{known: map[string]bool{}},
+		done: make(chan struct{}), acceptDone: make(chan struct{}), table: eviction.NewTable[*conn](opt.MaxConns, opt.IdleEvictionThreshold), calls: map[*upstream.Call]struct{}{}, started: time.Now()}
+	s.headLimits, s.bodyMemory.Max = headLimits, opt.MaxBodyBytes
+	s.headLimits.AcceptDoubleFraming = opt.AcceptDoubleFraming
 	s.wg.Add(2)
-	go s.accept()
-	go s.watch()
+	go s.acceptLoop()
+	go s.monitorConns()
 	return s
 }
 
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
-func (s *Server) now() int64 { return time.Since(s.base).Microseconds() }
+// now returns the time since the start, in microseconds.
+func (s *Server) now() int64 { return time.Since(s.started).Microseconds() }
 
-// accept takes connections until the listener is closed.
-func (s *Server) accept() {
+// acceptLoop accepts connections until the listener is closed.
+func (s *Server) acceptLoop() {
 	defer s.wg.Done()
-	defer close(s.accepted)
+	defer close(s.acceptDone)
 	for {
-		if s.closing.Load() {
-			s.acceptBy(time.Now().Add(acceptSpare))
+		if s.listenerClosing.Load() {
+			s.setAcceptDeadline(time.Now().Add(finalAcceptTimeout))
 		}
 		nc, err := s.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			if sockstate.HasPendingConn(s.ln) { // the time ran out before it looked
+			if sockstate.HasPendingConn(s.ln) { // the deadline passed before Accept tried
 				continue
 			}
 			return
 		}
-		if err != nil { // out of descriptors: one gives way, or time does
+		if err != nil { // usually out of descriptors: evict a connection, and wait
 			s.opt.Log.Warn("accept failed", "error", err)
 			s.mu.Lock()
-			s.makeRoom(true)
+			s.evictConns(true)
 			s.mu.Unlock()
 			select {
-			case <-time.After(5 * time.Millisecond):
-			case <-s.quit:
+			case <-time.After(acceptRetryDelay):
+			case <-s.done:
 				return
 			}
 			continue
 		}
-		s.open(nc)
+		s.openConn(nc)
 	}
 }
 
-// acceptBy sets the listener's deadline; one that has none is closed.
-func (s *Server) acceptBy(t time.Time) {
+// setAcceptDeadline sets the listener's deadline. A listener that has none is
+// closed.
+func (s *Server) setAcceptDeadline(t time.Time) {
 	if ln, ok := s.ln.(interface{ SetDeadline(time.Time) error }); !ok || ln.SetDeadline(t) != nil {
 		s.ln.Close()
 	}
 }
 
-// open serves a connection, or closes it where none gives way for it.
-func (s *Server) open(nc net.Conn) {
+// openConn starts to serve a connection, or closes it if the limit is reached and
+// no other can be evicted.
+func (s *Server) openConn(nc net.Conn) {
 	s.mu.Lock()
-	s.makeRoom(false)
+	s.evictConns(false)
 	if s.table.IsFull() {
 		s.mu.Unlock()
-		s.stats.turned.Add(1)
+		s.stats.turnedAway.Add(1)
 		nc.Close()
 		return
 	}
 	if !s.opt.NoEviction {
-		nc.SetReadDeadline(time.Now().Add(freshMax)) // before: who evicts it sets another
+		nc.SetReadDeadline(time.Now().Add(firstRequestTimeout)) // before the table has it: an eviction sets its own
 	}
-	c := &conn{s: s, nc: nc, raw: sockstate.RawConn(nc)}
-	c.place = s.table.Add(c, s.now())
+	c := &conn{server: s, nc: nc, raw: sockstate.RawConn(nc)}
+	c.entry = s.table.Add(c, s.now())
 	s.wg.Add(1)
 	s.mu.Unlock()
 	go c.serve()
 }
 
-// makeRoom closes what gives way: one connection at the bound, or where must
-// is set; below it, all that were idle for long, but for a planned restart, in
-// which their clients could not connect anew. The caller holds s.mu.
-func (s *Server) makeRoom(must bool) {
-	full := must || s.table.IsFull()
-	if !full && s.draining() {
+// evictConns evicts connections. At the limit, or if force is set, it closes one
+// at once. Below the limit it closes all that have been idle for long, except
+// during a shutdown, when their clients could not reconnect. The caller holds
+// s.mu.
+func (s *Server) evictConns(force bool) {
+	full := force || s.table.IsFull()
+	if !full && s.isDraining() {
 		return
 	}
 	s.table.EachVictim(s.now(), func(e *eviction.Entry[*conn]) bool {
-		stage, _ := s.table.State(e)
-		if s.opt.NoEviction && stage == eviction.StateNew {
+		state, _ := s.table.State(e)
+		if s.opt.NoEviction && state == eviction.StateNew {
 			return true
 		}
-		if stage != eviction.StateClosing && e.Conn.speaks() {
-			return true // it has sent what nobody has read yet
+		if state != eviction.StateClosing && e.Conn.hasUnreadData() {
+			return true // a request has arrived
 		}
 		s.stats.evicted.Add(1)
 		if !full {
-			s.evict(e)
+			s.beginClose(e)
 			return true
 		}
-		s.table.Remove(e) // its descriptor is needed at once
+		s.table.Remove(e) // without a lingering close: the descriptor is needed now
 		e.Conn.nc.Close()
 		return false
 	})
 }
 
-// evict begins the lingering close of a connection between requests. What
-// comes on it from now on is dropped unread: its client sees the end and sends
-// it once more elsewhere. The caller holds s.mu.
-func (s *Server) evict(e *eviction.Entry[*conn]) {
+// beginClose begins the lingering close of a connection between requests. A
+// request that arrives from now on is discarded unread: its client sees the close
+// and sends it again on another connection. The caller holds s.mu.
+func (s *Server) beginClose(e *eviction.Entry[*conn]) {
 	s.table.SetState(e, eviction.StateClosing, s.now())
-	shutWrite(e.Conn.nc)
-	e.Conn.nc.SetReadDeadline(time.Unix(1, 0)) // its goroutine, which waits for a request, goes on to linger
+	closeWrite(e.Conn.nc)
+	e.Conn.nc.SetReadDeadline(time.Unix(1, 0)) // in the past: wakes its goroutine, which then lingers
 }
 
-// watch looks whether the clients of open requests are still there, as nobody
-// reads their connections meanwhile, and closes what was idle for long.
-func (s *Server) watch() {
+// monitorConns checks at intervals whether the clients of requests in progress
+// have disconnected, since their connections are not being read, and closes
+// long-idle connections.
+func (s *Server) monitorConns() {
 	defer s.wg.Done()
-	tick := time.NewTicker(watchEvery)
-	defer tick.Stop()
+	ticker := time.NewTicker(disconnectCheckInterval)
+	defer ticker.Stop()
 	var waiting []*conn
 	for {
 		select {
-		case <-s.quit:
+		case <-s.done:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		waiting = waiting[:0]
 		s.mu.Lock()
-		if !s.table.IsFull() { // who has no connection left cannot ask for room by connecting
-			s.makeRoom(false)
+		if !s.table.IsFull() { // idle time alone evicts: clients that cannot connect cannot trigger it
+			s.evictConns(false)
 		}
 		s.table.ForEach(eviction.StateWaiting, func(e *eviction.Entry[*conn]) { waiting = append(waiting, e.Conn) })
 		s.mu.Unlock()
 		for _, c := range waiting {
-			c.lookGone()
+			c.checkWaitingClient()
 		}
 		clear(waiting)
 	}
 }
 
-// Drain has every answer from a time on tell its client to connect anew, and
-// gives every request its final answer by another.
-func (s *Server) Drain(tell, last time.Time) {
-	s.drains.Store(true)
-	s.tell.Store(tell.UnixNano())
+// Drain begins a graceful shutdown. Responses from reconnectFrom on ask their
+// clients to reconnect, and every request has its final response by deadline.
+func (s *Server) Drain(reconnectFrom, deadline time.Time) {
+	s.draining.Store(true)
+	s.reconnectFrom.Store(reconnectFrom.UnixNano())
 	if !s.opt.NoShutdownDeadline {
-		s.opt.Host.Shutdown(last)
+		s.opt.Host.Shutdown(deadline)
 	}
 }
 
-// draining tells whether a planned restart has begun.
-func (s *Server) draining() bool { return s.drains.Load() }
+// isDraining reports whether a graceful shutdown has begun.
+func (s *Server) isDraining() bool { return s.draining.Load() }
 
-// tells tells whether clients are told to connect anew.
-func (s *Server) tells() bool {
-	tell := s.tell.Load()
-	return tell != 0 && time.Now().UnixNano() >= tell
+// asksReconnect reports whether responses ask their clients to reconnect.
+func (s *Server) asksReconnect() bool {
+	from := s.reconnectFrom.Load()
+	return from != 0 && time.Now().UnixNano() >= from
 }
 
-// CloseIdle evicts the connections between requests on which nothing has come.
+// CloseIdle closes the connections between requests on which no data has arrived.
 func (s *Server) CloseIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closeIdle()
+	s.closeIdleLocked()
 }
 
-// closeIdle is CloseIdle for a caller that holds s.mu.
-func (s *Server) closeIdle() {
-	for _, stage := range [...]eviction.State{eviction.StateIdle, eviction.StateNew} {
-		s.table.ForEach(stage, func(e *eviction.Entry[*conn]) {
-			if !e.Conn.speaks() {
-				s.evict(e)
+// closeIdleLocked is CloseIdle for a caller that holds s.mu.
+func (s *Server) closeIdleLocked() {
+	for _, state := range [...]eviction.State{eviction.StateIdle, eviction.StateNew} {
+		s.table.ForEach(state, func(e *eviction.Entry[*conn]) {
+			if !e.Conn.hasUnreadData() {
+				s.beginClose(e)
 			}
 		})
 	}
 }
 
-// ExpireReads answers the connections that are inside a request as if its time
-// were up: there is none left to serve it.
+// ExpireReads ends the reading of incomplete requests as if their read timeout
+// had passed, since no time is left to serve them.
 func (s *Server) ExpireReads() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, stage := range [...]eviction.State{eviction.StateFirstRequest, eviction.StateReading} {
-		s.table.ForEach(stage, func(e *eviction.Entry[*conn]) { e.Conn.nc.SetReadDeadline(time.Unix(1, 0)) })
+	for _, state := range [...]eviction.State{eviction.StateFirstRequest, eviction.StateReading} {
+		s.table.ForEach(state, func(e *eviction.Entry[*conn]) { e.Conn.nc.SetReadDeadline(time.Unix(1, 0)) })
 	}
 }
 
-// CloseListener takes no more connections, after those that have come up.
+// CloseListener accepts the connections that are already established and then
+// closes the listener.
 func (s *Server) CloseListener() {
-	s.closing.Store(true)
-	s.acceptBy(time.Unix(1, 0)) // an Accept that waits goes on to look for what is left
-	<-s.accepted
+	s.listenerClosing.Store(true)
+	s.setAcceptDeadline(time.Unix(1, 0)) // in the past: wakes a waiting Accept
+	<-s.acceptDone
 	s.ln.Close()
 }
 
-// ConnCount returns how many connections are left.
+// ConnCount returns the number of client connections.
 func (s *Server) ConnCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Count()
 }
 
-// Stop ends the server at once; what is open is cut.
+// Stop closes the listener and all connections at once, aborts the requests in
+// progress and waits for the server's goroutines.
 func (s *Server) Stop() {
 	s.ln.Close()
-	close(s.quit)
+	close(s.done)
 	s.mu.Lock()
-	for stage := eviction.StateNew; stage <= eviction.StateClosing; stage++ {
-		s.table.ForEach(stage, func(e *eviction.Entry[*conn]) {
+	for state := eviction.StateNew; state <= eviction.StateClosing; state++ {
+		s.table.ForEach(state, func(e *eviction.Entry[*conn]) {
 			e.Conn.nc.Close()
-			e.Conn.abandon()
+			e.Conn.abandonTask()
 		})
 	}
-	for call := range s.calls { // some have outlived their clients
+	for call := range s.calls { // calls whose clients have disconnected included
 		call.AbortAll()
 	}
 	s.mu.Unlock()
--- a/internal/platform/frontend/validate.go
+++ b/internal/platform/frontend/validate.go
@@ -11,185 +11,190 @@
 	"arrowwalk/internal/platform/upstream"
 )
 
-// Header fields of clients.
+// Header fields that only clients send.
 const (
-	headerPlan  = "X-Plan"
-	headerIO    = "X-IO"
-	headerRetry = "X-Retried"
+	headerPlan    = "X-Plan"
+	headerIO      = "X-IO"
+	headerRetried = "X-Retried"
 )
 
-// Bounds of what clients send.
+// Limits of header field values, in bytes.
 const (
-	idMax  = 64
-	keyMax = 256
+	maxIDBytes  = 64
+	maxKeyBytes = 256
 )
 
-// limits of a client's heads.
-var limits = http1.Limits{MaxLineBytes: 2 << 10, MaxHeadBytes: 8 << 10, MaxFields: 48}
+// headLimits bound the heads of client requests.
+var headLimits = http1.Limits{MaxLineBytes: 2 << 10, MaxHeadBytes: 8 << 10, MaxFields: 48}
 
-// asked is what a request's head says, checked.
-type asked struct {
-	id, key string
-	class   int
+// requestParams are the validated parameters in a request's head.
+type requestParams struct {
+	id, key string // key is "" if there is none
+	class   int    // index in the settings
 	volume  arrowwalk.Volume
 	piece   uint64
-	timeout time.Duration
+	timeout time.Duration // at most the class's deadline
 	units   float64
-	shard   int
-	again   bool
+	shard   int  // -1: a new object, for any brick
+	retried bool // the client sends the request again
 }
 
-func bad(status int, format string, args ...any) error {
+// newError returns an *http1.Error with a formatted reason.
+func newError(status int, format string, args ...any) error {
 	return &http1.Error{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
-// checker reads requests by the settings.
-type checker struct {
-	set     *arrowwalk.Settings
-	classes map[string]int
-	plans   map[string]int
+// validator parses and validates request heads against the settings. It is safe
+// for concurrent use.
+type validator struct {
+	settings *arrowwalk.Settings
+	classes  map[string]int // index by name
+	plans    map[string]int // index by name
 }
 
-func newChecker(set *arrowwalk.Settings) *checker {
-	c := &checker{set: set, classes: map[string]int{}, plans: map[string]int{}}
-	for i := range set.Classes {
-		c.classes[set.Classes[i].Name] = i
+func newValidator(settings *arrowwalk.Settings) *validator {
+	v := &validator{settings: settings, classes: map[string]int{}, plans: map[string]int{}}
+	for i := range settings.Classes {
+		v.classes[settings.Classes[i].Name] = i
 	}
-	for i := range set.Plans {
-		c.plans[set.Plans[i].Name] = i
+	for i := range settings.Plans {
+		v.plans[settings.Plans[i].Name] = i
 	}
-	return c
+	return v
 }
 
-// check reads a request's head into a; the error names the part at fault and
-// has the status to answer with.
-func (c *checker) check(q *http1.Request, a *asked) error {
-	*a = asked{}
-	if err := c.path(q.Target, a); err != nil {
+// validate parses a request's head into p. Any error is an *http1.Error that
+// names the invalid part.
+func (v *validator) validate(q *http1.Request, p *requestParams) error {
+	*p = requestParams{}
+	if err := v.parsePath(q.Target, p); err != nil {
 		return err
 	}
-	class := &c.set.Classes[a.class]
-	want := "GET"
+	class := &v.settings.Classes[p.class]
+	method := "GET"
 	if class.Writes {
-		want = "PUT"
+		method = "PUT"
 	}
-	if q.Method != want {
-		return bad(405, "method %.16q: class %s takes %s", q.Method, class.Name, want)
+	if q.Method != method {
+		return newError(405, "method %.16q: class %s requires %s", q.Method, class.Name, method)
 	}
 	if !class.Writes && (q.Chunked || q.Length > 0) {
-		return bad(400, "a %s has no body", want)
+		return newError(400, "a %s request must have no body", method)
 	}
 	if q.Length > upstream.MaxRequestBodyBytes {
-		return bad(413, "Content-Length %d: over %d", q.Length, upstream.MaxRequestBodyBytes)
+		return newError(413, "Content-Length %d: exceeds %d", q.Length, upstream.MaxRequestBodyBytes)
 	}
-	return c.fields(q, a, class)
+	return v.parseFields(q, p, class)
 }
 
-// path reads /CLASS/VOLUME/PIECE.
-func (c *checker) path(target string, a *asked) error {
+// parsePath parses the path /CLASS/VOLUME/PIECE and ignores a query.
+func (v *validator) parsePath(target string, p *requestParams) error {
 	path, _, _ := strings.Cut(target, "?")
 	parts := strings.Split(path, "/")
 	if len(parts) != 4 || parts[0] != "" {
-		return bad(404, "path: must be /CLASS/VOLUME/PIECE")
+		return newError(404, "path: must be /CLASS/VOLUME/PIECE")
 	}
 	var ok bool
-	if a.class, ok = c.classes[parts[1]]; !ok {
-		return bad(404, "path: no class is called %.32q", parts[1])
+	if p.class, ok = v.classes[parts[1]]; !ok {
+		return newError(404, "path: unknown class %.32q", parts[1])
 	}
-	volume, ok := hex16(parts[2])
-	piece, ok2 := hex16(parts[3])
-	if !ok || !ok2 {
-		return bad(404, "path: volume and piece must be 16 hex digits")
+	volume, ok := parseHex64(parts[2])
+	piece, pieceOK := parseHex64(parts[3])
+	if !ok || !pieceOK {
+		return newError(404, "path: volume and piece must be 16 hex digits")
 	}
-	a.volume.ID, a.piece = arrowwalk.VolumeID(volume), piece
+	p.volume.ID, p.piece = arrowwalk.VolumeID(volume), piece
 	return nil
 }
 
-func hex16(s string) (uint64, bool) {
+// parseHex64 parses exactly 16 hexadecimal digits.
+func parseHex64(s string) (uint64, bool) {
 	if len(s) != 16 {
 		return 0, false
 	}
-	v, err := strconv.ParseUint(s, 16, 64)
-	return v, err == nil
+	n, err := strconv.ParseUint(s, 16, 64)
+	return n, err == nil
 }
 
-// one returns the value of a field that must be there once.
-func one(f http1.Fields, name string) (string, error) {
-	if n := f.Count(name); n != 1 {
-		return "", bad(400, "%d fields %s: must be one", n, name)
+// requiredField returns the value of a field that must be present exactly once.
+func requiredField(fields http1.Fields, name string) (string, error) {
+	if n := fields.Count(name); n != 1 {
+		return "", newError(400, "%d %s fields, want 1", n, name)
 	}
-	return f.Get(name), nil
+	return fields.Get(name), nil
 }
 
-// fields reads the header fields.
-func (c *checker) fields(q *http1.Request, a *asked, class *arrowwalk.Class) error {
-	var plan, wait, io string
+// parseFields parses the platform's header fields.
+func (v *validator) parseFields(q *http1.Request, p *requestParams, class *arrowwalk.Class) error {
+	var plan, timeout, io string
 	for _, f := range [...]struct {
-		name string
-		into *string
-	}{{upstream.HeaderRequestID, &a.id}, {headerPlan, &plan}, {upstream.HeaderTimeout, &wait}, {headerIO, &io}} {
+		name  string
+		value *string
+	}{{upstream.HeaderRequestID, &p.id}, {headerPlan, &plan}, {upstream.HeaderTimeout, &timeout}, {headerIO, &io}} {
 		var err error
-		if *f.into, err = one(q.Fields, f.name); err != nil {
+		if *f.value, err = requiredField(q.Fields, f.name); err != nil {
 			return err
 		}
 	}
-	if a.id == "" || len(a.id) > idMax {
-		return bad(400, "%s: must be 1 to %d bytes", upstream.HeaderRequestID, idMax)
+	if p.id == "" || len(p.id) > maxIDBytes {
+		return newError(400, "%s: must be 1 to %d bytes", upstream.HeaderRequestID, maxIDBytes)
 	}
 	if n := q.Fields.Count(upstream.HeaderIdempotencyKey); n > 1 {
-		return bad(400, "%d fields %s: must be one", n, upstream.HeaderIdempotencyKey)
+		return newError(400, "%d %s fields, want 1", n, upstream.HeaderIdempotencyKey)
 	}
-	a.key = q.Fields.Get(upstream.HeaderIdempotencyKey)
-	if class.Repeat == arrowwalk.Keyed && a.key == "" || len(a.key) > keyMax {
-		return bad(400, "%s: must be 1 to %d bytes", upstream.HeaderIdempotencyKey, keyMax)
+	p.key = q.Fields.Get(upstream.HeaderIdempotencyKey)
+	if class.Repeat == arrowwalk.Keyed && p.key == "" || len(p.key) > maxKeyBytes {
+		return newError(400, "%s: must be 1 to %d bytes", upstream.HeaderIdempotencyKey, maxKeyBytes)
 	}
 	var ok bool
-	if a.volume.Plan, ok = c.plans[plan]; !ok {
-		return bad(400, "%s: no plan is called %.32q", headerPlan, plan)
+	if p.volume.Plan, ok = v.plans[plan]; !ok {
+		return newError(400, "%s: unknown plan %.32q", headerPlan, plan)
 	}
-	if a.timeout, ok = seconds(wait, class.Deadline); !ok {
-		return bad(400, "%s: %.32q is no number of seconds", upstream.HeaderTimeout, wait)
+	if p.timeout, ok = parseSeconds(timeout, class.Deadline); !ok {
+		return newError(400, "%s: %.32q is not a number of seconds", upstream.HeaderTimeout, timeout)
 	}
-	a.again = q.Fields.Get(headerRetry) == "1"
-	return c.io(io, a)
+	p.retried = q.Fields.Get(headerRetried) == "1"
+	return v.parseIO(io, p)
 }
 
-// seconds reads a time that a client waits; more than most is taken for most.
-func seconds(s string, most arrowwalk.Micros) (time.Duration, bool) {
-	v, ok := number(s)
-	return time.Duration(min(v*1e6, float64(most))) * time.Microsecond, ok
+// parseSeconds parses a timeout in seconds and limits it to maxTimeout.
+func parseSeconds(s string, maxTimeout arrowwalk.Micros) (time.Duration, bool) {
+	n, ok := parseDecimal(s)
+	return time.Duration(min(n*1e6, float64(maxTimeout))) * time.Microsecond, ok
 }
 
-// io reads units=U,shard=S,hosts=H.
-func (c *checker) io(s string, a *asked) error {
+// parseIO parses units=U,shard=S,hosts=H. Other keys are ignored, since the
+// protocol may add some.
+func (v *validator) parseIO(s string, p *requestParams) error {
 	seen := 0
 	for part := range strings.SplitSeq(s, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		var good bool
+		var valid bool
 		switch name {
 		case "units":
-			a.units, good = number(value)
-			good = good && a.units > 0 && a.units <= c.set.MostUnits
+			p.units, valid = parseDecimal(value)
+			valid = valid && p.units > 0 && p.units <= v.settings.MostUnits
 		case "shard":
-			a.shard, good = whole(value, -1, c.set.Shards-1)
+			p.shard, valid = parseIntInRange(value, -1, v.settings.Shards-1)
 		case "hosts":
-			a.volume.Hosts, good = whole(value, 1, c.set.Hosts)
+			p.volume.Hosts, valid = parseIntInRange(value, 1, v.settings.Hosts)
 		default:
-			good = true // keys may be added
+			valid = true
 			seen--
 		}
-		if seen++; !good || seen > 3 {
-			return bad(400, "%s: %.32q", headerIO, part)
+		if seen++; !valid || seen > 3 {
+			return newError(400, "%s: invalid or repeated item %.32q", headerIO, part)
 		}
 	}
-	if seen != 3 || a.volume.Hosts == 0 || a.units == 0 {
-		return bad(400, "%s: must hold units, shard and hosts", headerIO)
+	if seen != 3 || p.volume.Hosts == 0 || p.units == 0 {
+		return newError(400, "%s: must contain units, shard and hosts once each", headerIO)
 	}
 	return nil
 }
 
-// number reads a decimal number: digits and a point, no sign, no exponent.
-func number(s string) (float64, bool) {
+// parseDecimal parses a decimal number of at most 32 digits and points, without a
+// sign or an exponent.
+func parseDecimal(s string) (float64, bool) {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c != '.' && (c < '0' || c > '9') {
 			return 0, false
@@ -199,7 +204,8 @@
 	return v, err == nil && len(s) <= 32
 }
 
-func whole(s string, least, most int) (int, bool) {
+// parseIntInRange parses an integer from lo to hi.
+func parseIntInRange(s string, lo, hi int) (int, bool) {
 	v, err := strconv.Atoi(s)
-	return v, err == nil && v >= least && v <= most
+	return v, err == nil && v >= lo && v <= hi
 }
--- a/internal/platform/frontend/validate_test.go
+++ b/internal/platform/frontend/validate_test.go
@@ -19,51 +19,54 @@
 
 const piece = "/0000000000000abc/ffffffffffffffff"
 
-func fields(over ...string) http1.Fields {
+// fields returns valid header fields. Each pair of overrides is a field's name
+// and its new value; "" removes the field.
+func fields(overrides ...string) http1.Fields {
 	f := http1.Fields{{Name: "X-Request-ID", Value: "9b1f"}, {Name: "X-Plan", Value: "campus"}, {Name: "X-Timeout", Value: "0.480"},
 		{Name: "X-IO", Value: "units=2,shard=5,hosts=3"}, {Name: "Idempotency-Key", Value: "k"}}
-	for i := 0; i+1 < len(over); i += 2 {
+	for i := 0; i+1 < len(overrides); i += 2 {
 		kept := f[:0:0]
-		for _, one := range f {
-			if one.Name != over[i] {
-				kept = append(kept, one)
+		for _, field := range f {
+			if field.Name != overrides[i] {
+				kept = append(kept, field)
 			}
 		}
-		if f = kept; over[i+1] != "" {
-			f = append(f, http1.Field{Name: over[i], Value: over[i+1]})
+		if f = kept; overrides[i+1] != "" {
+			f = append(f, http1.Field{Name: overrides[i], Value: overrides[i+1]})
 		}
 	}
 	return f
 }
 
 func TestCheckReadsWhatIsSent(t *testing.T) {
-	c := newChecker(testSettings())
-	var a asked
-	if err := c.check(&http1.Request{Method: "PUT", Target: "/save-paper" + piece + "?x=1", Fields: fields("X-Retried", "1")}, &a); err != nil {
+	v := newValidator(testSettings())
+	var p requestParams
+	if err := v.validate(&http1.Request{Method: "PUT", Target: "/save-paper" + piece + "?x=1", Fields: fields("X-Retried", "1")}, &p); err != nil {
 		t.Fatal(err)
 	}
-	want := asked{id: "9b1f", key: "k", class: 1, volume: arrowwalk.Volume{ID: 0xabc, Plan: 1, Hosts: 3}, piece: 1<<64 - 1,
-		timeout: 480 * time.Millisecond, units: 2, shard: 5, again: true}
-	if a != want {
-		t.Errorf("%+v, want %+v", a, want)
+	want := requestParams{id: "9b1f", key: "k", class: 1, volume: arrowwalk.Volume{ID: 0xabc, Plan: 1, Hosts: 3}, piece: 1<<64 - 1,
+		timeout: 480 * time.Millisecond, units: 2, shard: 5, retried: true}
+	if p != want {
+		t.Errorf("%+v, want %+v", p, want)
 	}
-	if err := c.check(&http1.Request{Method: "GET", Target: "/fetch-text" + piece, Fields: fields("X-IO", "hosts=1, shard=-1,new=7,units=1.5", "X-Timeout", "99", "Idempotency-Key", "")}, &a); err != nil {
+	if err := v.validate(&http1.Request{Method: "GET", Target: "/fetch-text" + piece, Fields: fields("X-IO", "hosts=1, shard=-1,new=7,units=1.5", "X-Timeout", "99", "Idempotency-Key", "")}, &p); err != nil {
 		t.Fatal(err)
 	}
-	if a.shard != -1 || a.units != 1.5 || a.timeout != 2500*time.Millisecond || a.again {
-		t.Errorf("%+v", a)
+	if p.shard != -1 || p.units != 1.5 || p.timeout != 2500*time.Millisecond || p.retried {
+		t.Errorf("%+v", p)
 	}
 }
 
-// Each thing that can't be is refused with the status and the part's name.
+// An invalid request is rejected with a status and an error that names the
+// invalid part.
 func TestCheckNamesWhatIsWrong(t *testing.T) {
-	c := newChecker(testSettings())
-	for _, w := range []struct {
+	v := newValidator(testSettings())
+	for _, c := range []struct {
 		name, method, target string
 		fields               http1.Fields
 		framing              http1.Framing
 		status               int
-		says                 string
+		wantText             string
 	}{
 		{"class", "GET", "/other" + piece, fields(), http1.Framing{}, 404, "other"},
 		{"path", "GET", "/fetch-text/1/2", fields(), http1.Framing{}, 404, "16 hex"},
@@ -87,48 +90,48 @@
 		{"shard", "GET", "/fetch-text" + piece, fields("X-IO", "units=1,shard=9,hosts=1"), http1.Framing{}, 400, "shard=9"},
 		{"hosts", "GET", "/fetch-text" + piece, fields("X-IO", "units=1,shard=1,hosts=0"), http1.Framing{}, 400, "hosts=0"},
 	} {
-		var a asked
-		err := c.check(&http1.Request{Method: w.method, Target: w.target, Fields: w.fields, Framing: w.framing}, &a)
-		if err == nil || http1.StatusOf(err) != w.status || !strings.Contains(err.Error(), w.says) {
-			t.Errorf("%s: %v, want %d and %q", w.name, err, w.status, w.says)
+		var p requestParams
+		err := v.validate(&http1.Request{Method: c.method, Target: c.target, Fields: c.fields, Framing: c.framing}, &p)
+		if err == nil || http1.StatusOf(err) != c.status || !strings.Contains(err.Error(), c.wantText) {
+			t.Errorf("%s: %v, want %d and %q", c.name, err, c.status, c.wantText)
 		}
 	}
 }
 
-// An id is new until its request is over, and for a while after; what is
-// remembered is bounded.
+// An id cannot be used again during its request and for a while afterwards. The
+// number of remembered ids is bounded.
 func TestIDsAreUsedOnce(t *testing.T) {
-	i := ids{open: map[string]bool{}}
-	if !i.take("a") || i.take("a") {
-		t.Error("an open id is taken twice")
+	ids := requestIDs{known: map[string]bool{}}
+	if !ids.add("a") || ids.add("a") {
+		t.Error("the id of a request in progress is accepted again")
 	}
-	i.done("a")
-	if i.take("a") {
-		t.Error("an id is taken again right after its answer")
+	ids.finish("a")
+	if ids.add("a") {
+		t.Error("an id is accepted again right after its response")
 	}
-	for n := range 3 * recentMax {
+	for n := range 3 * maxRecentIDs {
 		id := strings.Repeat("x", n%7) + time.Duration(n).String()
-		if !i.take(id) {
+		if !ids.add(id) {
 			t.Fatalf("id %s is not new", id)
 		}
-		i.done(id)
+		ids.finish(id)
 	}
-	if len(i.open) > recentMax || !i.take("a") {
-		t.Errorf("%d ids are remembered", len(i.open))
+	if len(ids.known) > maxRecentIDs || !ids.add("a") {
+		t.Errorf("%d ids are remembered", len(ids.known))
 	}
 }
 
 func FuzzCheck(f *testing.F) {
 	f.Add("PUT", "/save-paper"+piece, "units=2,shard=5,hosts=3", "0.48")
 	f.Add("GET", "/fetch-text/../x", "units=,=,shard", "1e9")
-	c := newChecker(testSettings())
-	f.Fuzz(func(t *testing.T, method, target, io, wait string) {
-		var a asked
-		if c.check(&http1.Request{Method: method, Target: target, Fields: fields("X-IO", io, "X-Timeout", wait)}, &a) != nil {
+	v := newValidator(testSettings())
+	f.Fuzz(func(t *testing.T, method, target, io, timeout string) {
+		var p requestParams
+		if v.validate(&http1.Request{Method: method, Target: target, Fields: fields("X-IO", io, "X-Timeout", timeout)}, &p) != nil {
 			return
 		}
-		if a.units <= 0 || a.units > 6 || a.shard < -1 || a.shard > 8 || a.volume.Hosts < 1 || a.volume.Hosts > 3 || a.timeout < 0 || a.timeout > 2500*time.Millisecond {
-			t.Errorf("%+v of %q %q", a, io, wait)
+		if p.units <= 0 || p.units > 6 || p.shard < -1 || p.shard > 8 || p.volume.Hosts < 1 || p.volume.Hosts > 3 || p.timeout < 0 || p.timeout > 2500*time.Millisecond {
+			t.Errorf("%+v of %q %q", p, io, timeout)
 		}
 	})
 }
