--- a/internal/platform/discovery/backoff.go
+++ b/internal/platform/discovery/backoff.go
@@ -2,24 +2,23 @@
 
 import "time"
 
-// Bounds of the wait before another call.
 const (
-	waitMin   = 50 * time.Millisecond
-	waitMax   = time.Second
-	steadyMin = time.Second // a watch that lived for so long is opened anew at once
+	minBackoff     = 50 * time.Millisecond
+	maxBackoff     = time.Second
+	minStableWatch = time.Second // a watch that was alive for this long is reopened at once
 )
 
-// backoff decides how long to wait before the next call; it has no clock. Its
-// zero value is ready.
+// backoff computes the wait before the next watch is opened: exponential, without
+// jitter. It reads no clock. Its zero value is ready to use.
 type backoff struct{ wait time.Duration }
 
-// next returns the wait after a watch that ended: lived is for how long it had
-// shown signs of life, 0 where it never did.
-func (b *backoff) next(lived time.Duration) time.Duration {
-	if lived >= steadyMin {
+// next returns the wait after a watch ended. alive is how long the watch received
+// data; 0 if it never did.
+func (b *backoff) next(alive time.Duration) time.Duration {
+	if alive >= minStableWatch {
 		b.wait = 0
 		return 0
 	}
-	b.wait = min(max(2*b.wait, waitMin), waitMax)
+	b.wait = min(max(2*b.wait, minBackoff), maxBackoff)
 	return b.wait
 }
--- a/internal/platform/discovery/backoff_test.go
+++ b/internal/platform/discovery/backoff_test.go
@@ -5,87 +5,89 @@
 	"time"
 )
 
-// How a call can go, for how long it takes and for how long it lived.
-var calls = []struct{ takes, lived time.Duration }{
-	{0, 0},                              // refused, or reset at once
-	{dialMax, 0},                        // nobody takes the connection
-	{answerMax, 0},                      // taken, not answered, or half a value and no more
-	{silenceMax, time.Nanosecond},       // one sign of life, then silence
-	{steadyMin + silenceMax, steadyMin}, // it lived for a while, then silence
-	{steadyMin / 2, steadyMin / 2},      // it lived for a moment, then reset
+// watches lists how a watch can go: how long it takes to end, and for how long of
+// that it was alive.
+var watches = []struct{ duration, alive time.Duration }{
+	{0, 0},                         // connection refused, or reset at once
+	{dialTimeout, 0},               // the connection is not accepted
+	{firstDataTimeout, 0},          // accepted, then no response or half a value
+	{idleTimeout, time.Nanosecond}, // alive once, then silent
+	{minStableWatch + idleTimeout, minStableWatch}, // alive for a while, then silent
+	{minStableWatch / 2, minStableWatch / 2},       // alive briefly, then reset
 }
 
-// eachOrder calls do with the state after every order of up to n calls.
-func eachOrder(n int, do func(b backoff)) {
+// forEachSequence calls fn with the backoff after every sequence of up to n
+// watches.
+func forEachSequence(n int, fn func(b backoff)) {
 	var walk func(b backoff, left int)
 	walk = func(b backoff, left int) {
-		do(b)
+		fn(b)
 		if left == 0 {
 			return
 		}
-		for _, c := range calls {
+		for _, c := range watches {
 			next := b
-			next.next(c.lived)
+			next.next(c.alive)
 			walk(next, left-1)
 		}
 	}
 	walk(backoff{}, n)
 }
 
-// slack is what is left for the processor and the network, 1 s of the 6.
+// slack is the part of the 6 s that is left for processing and the network.
 const slack = time.Second
 
-// A change is told within 6 s after discovery had it and could be reached: in
-// the worst case it can be reached right after a call has begun, whatever calls
-// came before and however this one goes.
+// A change is delivered within 6 s after discovery has it and is reachable. In the
+// worst case discovery becomes reachable right after a watch was opened that
+// fails, whatever watches came before.
 func TestLateListIsTold(t *testing.T) {
 	worst := time.Duration(0)
-	eachOrder(6, func(b backoff) {
-		for _, c := range calls[:4] {
+	forEachSequence(6, func(b backoff) {
+		for _, c := range watches[:4] {
 			after := b
-			worst = max(worst, c.takes+after.next(c.lived))
+			worst = max(worst, c.duration+after.next(c.alive))
 		}
 	})
 	if worst > 6*time.Second-slack {
-		t.Errorf("told up to %s late", worst)
+		t.Errorf("delivered up to %s late", worst)
 	}
 	t.Logf("worst: %s", worst)
 }
 
-// What a watch that fell silent misses is told within 6 s: the silence, the
-// wait behind it, and a call that the agent answers, be it the second one.
+// What a silent watch misses is delivered within 6 s: the idle timeout, the
+// backoff, and one more failed watch before the agent answers.
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
 	worst := time.Duration(0)
-	eachOrder(6, func(b backoff) {
-		for _, lived := range []time.Duration{time.Nanosecond, steadyMin} {
+	forEachSequence(6, func(b backoff) {
+		for _, alive := range []time.Duration{time.Nanosecond, minStableWatch} {
 			after := b
-			worst = max(worst, silenceMax+after.next(lived)+after.next(0))
+			worst = max(worst, idleTimeout+after.next(alive)+after.next(0))
 		}
 	})
 	if worst > 6*time.Second-slack/2 {
-		t.Errorf("told up to %s late", worst)
+		t.Errorf("delivered up to %s late", worst)
 	}
 	t.Logf("worst: %s", worst)
 }
 
-// What a new agent has is told within 4 s of the signal, though its first call
-// is not taken and the second one not answered: the waits begin anew.
+// The list of a new agent is delivered within 4 s of the signal, even if the first
+// watch is not accepted and the second not answered: the backoff starts anew.
 func TestNewAgentIsAskedInTime(t *testing.T) {
 	var b backoff
-	if took := dialMax + b.next(0) + answerMax + b.next(0); took > 4*time.Second-slack/4 {
-		t.Errorf("told %s after the signal", took)
+	if took := dialTimeout + b.next(0) + firstDataTimeout + b.next(0); took > 4*time.Second-slack/4 {
+		t.Errorf("delivered %s after the signal", took)
 	}
 }
 
-// A watch that lived is opened anew at once, but not again and again.
+// A watch that was stable is reopened at once, but only the first time.
 func TestBackoff(t *testing.T) {
 	var b backoff
-	for i, c := range []struct{ lived, want time.Duration }{
-		{0, waitMin}, {0, 2 * waitMin}, {time.Millisecond, 4 * waitMin}, {steadyMin, 0}, {0, waitMin}, {steadyMin - 1, 2 * waitMin},
-		{0, 4 * waitMin}, {0, 8 * waitMin}, {0, 16 * waitMin}, {0, waitMax}, {0, waitMax},
+	for i, c := range []struct{ alive, want time.Duration }{
+		{0, minBackoff}, {0, 2 * minBackoff}, {time.Millisecond, 4 * minBackoff}, {minStableWatch, 0}, {0, minBackoff}, {minStableWatch - 1, 2 * minBackoff},
+		{0, 4 * minBackoff}, {0, 8 * minBackoff}, {0, 16 * minBackoff}, {0, maxBackoff}, {0, maxBackoff},
 	} {
-		if got := b.next(c.lived); got != c.want {
-			t.Errorf("call %d: waits %s, want %s", i, got, c.want)
+		if got := b.next(c.alive); got != c.want {
+			t.Errorf("watch %d: wait %s, want %s", i, got, c.want)
 		}
 	}
 }
--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -20,11 +20,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const line = `{"index":41,"snapshot":true,"endpoints":[
+const listText = `{"index":41,"snapshot":true,"endpoints":[
  {"name":"s-5be2a07c","address":"10.1.0.18:8000","zone":"b","type":"m2","group":3,"status":"active","weight":1.0,"since_ms":1700000000123}]}`
 
 func TestListInTheModulesTerms(t *testing.T) {
-	l, err := ParseList([]byte(line))
+	l, err := ParseList([]byte(listText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,13 +34,14 @@
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	if z.Number("new") != 2 || z.Number("newer") != 3 || z.Number("new") != 2 {
-		t.Error("zones that the settings lack are not told apart")
+		t.Error("zones that are not in the settings have no numbers of their own")
 	}
 }
 
-// What can't be in a list is named; in a watch it costs its own entry alone.
+// An invalid field of a list is named in the error; on a watch only the invalid
+// endpoint is dropped.
 func TestBadEntries(t *testing.T) {
-	for _, c := range []struct{ old, new, says string }{
+	for _, c := range []struct{ old, new, wantText string }{
 		{`"s-5be2a07c"`, `""`, "endpoints[0].name"},
 		{`"active"`, `"gone"`, "endpoints[0].status"},
 		{`10.1.0.18:8000`, `10.1.0.18`, "endpoints[0].address"},
@@ -49,71 +50,72 @@
 		{`1700000000123`, `-5`, "endpoints[0].since_ms"},
 		{`"index":41`, `"index":"x"`, "index"},
 	} {
-		text := strings.Replace(line, c.old, c.new, 1)
-		if _, err := ParseList([]byte(text)); err == nil || !strings.Contains(err.Error(), c.says) {
+		text := strings.Replace(listText, c.old, c.new, 1)
+		if _, err := ParseList([]byte(text)); err == nil || !strings.Contains(err.Error(), c.wantText) {
 			t.Errorf("%s: %v", c.new, err)
 		}
 	}
 	l := List{Endpoints: []Endpoint{{Name: "a", Address: "h:1", Status: "active"}, {Name: "b", Status: "odd"}, {Name: "c", Status: "left"}}}
-	if err := l.sift(); err == nil || len(l.Endpoints) != 2 || l.Endpoints[1].Name != "c" {
+	if err := l.dropInvalid(); err == nil || len(l.Endpoints) != 2 || l.Endpoints[1].Name != "c" {
 		t.Errorf("%v, %+v", err, l.Endpoints)
 	}
 }
 
-// told collects what a Follower tells.
-type told struct {
-	mu   sync.Mutex
-	list []string
-	news chan struct{}
-	addr []string
+// recorder records what a Follower delivers. Each list is a text of the form
+// KIND@INDEX NAME:STATE...
+type recorder struct {
+	mu        sync.Mutex
+	lists     []string
+	changed   chan struct{}
+	addresses []string
 }
 
-func (c *told) take(kind arrowwalk.ListKind, index int64, members []host.Member) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (r *recorder) onList(kind arrowwalk.ListKind, index int64, members []host.Member) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	text := fmt.Sprint(kind, "@", index)
 	for _, m := range members {
 		text += fmt.Sprint(" ", m.ID, ":", m.State)
 	}
-	c.list = append(c.list, text)
+	r.lists = append(r.lists, text)
 	select {
-	case c.news <- struct{}{}:
+	case r.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (c *told) reached(addresses []string) {
-	c.mu.Lock()
-	c.addr = addresses
-	c.mu.Unlock()
+func (r *recorder) onAddresses(addresses []string) {
+	r.mu.Lock()
+	r.addresses = addresses
+	r.mu.Unlock()
 }
 
-// await waits until something was told.
-func (c *told) await(t *testing.T, want string) {
+// await waits until a list was delivered.
+func (r *recorder) await(t *testing.T, want string) {
 	t.Helper()
 	timeout := time.After(20 * time.Second)
 	for {
-		c.mu.Lock()
-		found := slices.Contains(c.list, want)
-		all := strings.Join(c.list, "; ")
-		c.mu.Unlock()
+		r.mu.Lock()
+		found := slices.Contains(r.lists, want)
+		all := strings.Join(r.lists, "; ")
+		r.mu.Unlock()
 		if found {
 			return
 		}
 		select {
-		case <-c.news:
+		case <-r.changed:
 		case <-timeout:
-			t.Fatalf("%q was not told, but %s", want, all)
+			t.Fatalf("%q was not delivered, only %s", want, all)
 		}
 	}
 }
 
-func entry(name, status string) standin.Endpoint {
+func endpoint(name, status string) standin.Endpoint {
 	return standin.Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Status: status}
 }
 
-// The watch tells changes in order, is opened again when it breaks, when the
-// agent falls silent, and at another address.
+// Changes are delivered in order. The watch is reopened when it breaks, when the
+// agent falls silent, and when the address changes.
 func TestFollow(t *testing.T) {
 	book := standin.NewBook(7)
 	agent, err := standin.NewAgent(book)
@@ -121,70 +123,70 @@
 		t.Fatal(err)
 	}
 	defer agent.Stop()
-	c := &told{news: make(chan struct{}, 1)}
+	rec := &recorder{changed: make(chan struct{}, 1)}
 	var log bytes.Buffer
 	known := &List{Index: 7, Snapshot: true, Endpoints: []Endpoint{{Name: "old", Address: "127.0.0.1:9", Zone: "a", Status: "active"}}}
 	f := Start(known, Options{Address: agent.Addr(), Zones: NewZoneIndex([]string{"a"}), Log: slog.New(slog.NewTextHandler(&log, nil)),
-		OnList: c.take, OnAddresses: c.reached})
+		OnList: rec.onList, OnAddresses: rec.onAddresses})
 	defer f.Stop()
-	c.await(t, fmt.Sprint(arrowwalk.ListStored, "@7 old:0"))
-	book.Tell(entry("new", "active"), entry("old", "leaving"))
-	c.await(t, fmt.Sprint(arrowwalk.ListDelta, "@8 new:0 old:1"))
+	rec.await(t, fmt.Sprint(arrowwalk.ListStored, "@7 old:0"))
+	book.Tell(endpoint("new", "active"), endpoint("old", "leaving"))
+	rec.await(t, fmt.Sprint(arrowwalk.ListDelta, "@8 new:0 old:1"))
 	agent.Mute(true)
-	book.Tell(entry("old", "left"))
-	agent.Mute(false) // cuts the watch: what was missed comes first
-	c.await(t, fmt.Sprint(arrowwalk.ListDelta, "@9 old:2"))
+	book.Tell(endpoint("old", "left"))
+	agent.Mute(false) // closes the watch; the new one first delivers what was missed
+	rec.await(t, fmt.Sprint(arrowwalk.ListDelta, "@9 old:2"))
 	other, err := standin.NewAgent(book)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.Stop()
 	if f.SetAddress(agent.Addr()) || !f.SetAddress(other.Addr()) {
-		t.Error("only another address is a move")
+		t.Error("SetAddress must report a change for a new address only")
 	}
 	agent.Retire()
-	book.Tell(entry("last", "active"))
-	c.await(t, fmt.Sprint(arrowwalk.ListDelta, "@10 last:0"))
+	book.Tell(endpoint("last", "active"))
+	rec.await(t, fmt.Sprint(arrowwalk.ListDelta, "@10 last:0"))
 	f.Stop()
-	if len(c.addr) != 2 || len(f.book) != 2 {
-		t.Errorf("addresses %v, bricks %v: what left is remembered", c.addr, f.book)
+	if len(rec.addresses) != 2 || len(f.addresses) != 2 {
+		t.Errorf("addresses %v, bricks %v: a brick that left is kept", rec.addresses, f.addresses)
 	}
 }
 
-// Whatever an agent sends, the follower asks anew, waits in between, and ends.
+// Whatever an agent sends, the Follower retries with a backoff and can be stopped.
 func TestFollowOfNoise(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	asked := make(chan struct{}, 100)
+	requests := make(chan struct{}, 100)
 	go func() {
 		for i := 0; ; i++ {
 			nc, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			texts := []string{"noise\r\n\r\n", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{x}\r\n1\r\n\n\r\n", ""}
-			nc.Write([]byte(texts[i%len(texts)]))
+			responses := []string{"noise\r\n\r\n", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{x}\r\n1\r\n\n\r\n", ""}
+			nc.Write([]byte(responses[i%len(responses)]))
 			nc.Close()
-			asked <- struct{}{}
+			requests <- struct{}{}
 		}
 	}()
-	c := &told{news: make(chan struct{}, 1)}
-	f := Start(&List{}, Options{Address: ln.Addr().String(), Zones: NewZoneIndex(nil), Log: slog.New(slog.DiscardHandler), OnList: c.take, OnAddresses: c.reached})
+	rec := &recorder{changed: make(chan struct{}, 1)}
+	f := Start(&List{}, Options{Address: ln.Addr().String(), Zones: NewZoneIndex(nil), Log: slog.New(slog.DiscardHandler), OnList: rec.onList, OnAddresses: rec.onAddresses})
 	began := time.Now()
 	for range 5 {
-		<-asked
+		<-requests
 	}
-	if took := time.Since(began); took < 4*waitMin {
-		t.Errorf("asked 5 times in %s: there is no wait in between", took)
+	if took := time.Since(began); took < 4*minBackoff {
+		t.Errorf("5 requests in %s: there is no backoff", took)
 	}
 	f.Stop()
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(line))
+	f.Add([]byte(listText))
 	f.Add([]byte(`{"endpoints":[{"since_ms":1e300}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		l, err := ParseList(text)
--- a/internal/platform/discovery/follower.go
+++ b/internal/platform/discovery/follower.go
@@ -10,51 +10,53 @@
 	"arrowwalk/internal/host"
 )
 
-// Options of a Follower.
+// Options configures a Follower.
 type Options struct {
 	Address string // of the agent
 	Zones   *ZoneIndex
 	Log     *slog.Logger
-	// OnList is given each list, one at a time and in order.
+	// OnList is called with each list, one at a time and in order.
 	OnList func(kind arrowwalk.ListKind, index int64, members []host.Member)
-	// OnAddresses is given the addresses of all bricks that have not left.
+	// OnAddresses is called with the addresses of all bricks that have not left,
+	// after each list from an agent.
 	OnAddresses  func(addresses []string)
-	NoStartTimes bool // the bricks' starts are not told; for proofs that must fail
+	NoStartTimes bool // omit the bricks' start times; for negative tests only
 }
 
-// Follower keeps a watch on the list, and opens it again when it ends.
+// Follower keeps a watch on the list of bricks and reopens it when it ends. It is
+// safe for concurrent use.
 type Follower struct {
-	opt   Options
-	stop  context.CancelFunc
-	done  chan struct{}
-	moved chan struct{}
+	opt            Options
+	cancel         context.CancelFunc
+	done           chan struct{} // closed when all watches have ended
+	addressChanged chan struct{} // buffered; signals a new address
 
 	watches sync.WaitGroup
 
-	mu      sync.Mutex
-	address string
-	index   int64 // of the last list
-	book    book
-	current *watch // the latest one
-	old     *watch // at the address before; it serves until current has answered
-	first   chan struct{}
-	reached bool // first is closed
+	mu          sync.Mutex
+	address     string
+	index       int64 // of the latest list
+	addresses   addressBook
+	current     *watch // opened last
+	previous    *watch // at the previous address; used until current delivers data
+	ready       chan struct{}
+	readyClosed bool
 }
 
-// Start follows the list from what was known on: known is told first, as a
-// stored list. Stop ends it.
+// Start delivers known as a stored list and then follows the agent's list from its
+// index on, until Stop.
 func Start(known *List, opt Options) *Follower {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &Follower{opt: opt, stop: cancel, done: make(chan struct{}), book: book{}, address: opt.Address,
-		index: known.Index, moved: make(chan struct{}, 1), first: make(chan struct{})}
-	f.book.take(known)
-	f.tell(arrowwalk.ListStored, known)
+	f := &Follower{opt: opt, cancel: cancel, done: make(chan struct{}), addresses: addressBook{}, address: opt.Address,
+		index: known.Index, addressChanged: make(chan struct{}, 1), ready: make(chan struct{})}
+	f.addresses.apply(known)
+	f.deliver(arrowwalk.ListStored, known)
 	go f.run(ctx)
 	return f
 }
 
-// tell hands a list to the module.
-func (f *Follower) tell(kind arrowwalk.ListKind, l *List) {
+// deliver passes a list to the OnList callback.
+func (f *Follower) deliver(kind arrowwalk.ListKind, l *List) {
 	members := l.Members(f.opt.Zones)
 	for i := range members {
 		if f.opt.NoStartTimes {
@@ -64,18 +66,19 @@
 	f.opt.OnList(kind, l.Index, members)
 }
 
-// Ready is closed when an agent has answered for the first time, and its
-// list is told.
-func (f *Follower) Ready() <-chan struct{} { return f.first }
+// Ready returns a channel that is closed when an agent has sent data for the first
+// time and its list, if any, has been delivered.
+func (f *Follower) Ready() <-chan struct{} { return f.ready }
 
-// Stop ends all watches.
+// Stop ends all watches and waits for them.
 func (f *Follower) Stop() {
-	f.stop()
+	f.cancel()
 	<-f.done
 }
 
-// SetAddress follows the agent at another address from now on; false: it is the one
-// that is followed. The old watch serves until the new one has answered.
+// SetAddress makes the Follower use the agent at another address. It returns false
+// if that address is already in use. The previous watch is used until the new one
+// delivers data.
 func (f *Follower) SetAddress(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -84,7 +87,7 @@
 	}
 	f.address = address
 	select {
-	case f.moved <- struct{}{}:
+	case f.addressChanged <- struct{}{}:
 	default:
 	}
 	return true
@@ -94,37 +97,37 @@
 func (f *Follower) run(ctx context.Context) {
 	defer close(f.done)
 	defer f.watches.Wait()
-	var wait backoff
+	var retry backoff
 	logged := false
 	for ctx.Err() == nil {
 		f.mu.Lock()
 		w := f.open(ctx, f.address)
 		f.current = w
 		f.mu.Unlock()
-		moved, err := f.watched(w)
-		if moved {
-			wait, logged = backoff{}, false
+		changed, err := f.waitForEnd(w)
+		if changed {
+			retry, logged = backoff{}, false
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if logged = logged && w.lived == 0; !logged {
-			f.opt.Log.Warn("the watch on discovery ended, asking again", "error", err)
+		if logged = logged && w.alive == 0; !logged {
+			f.opt.Log.Warn("watch on discovery ended, reconnecting", "error", err)
 			logged = true
 		}
-		if !f.pause(ctx, wait.next(w.lived)) {
-			wait = backoff{}
+		if !f.sleep(ctx, retry.next(w.alive)) {
+			retry = backoff{}
 		}
 	}
 }
 
-// watched waits until w ends, or the address is another one than w's.
-func (f *Follower) watched(w *watch) (moved bool, err error) {
+// waitForEnd waits until w ends or the address changes from w's to another.
+func (f *Follower) waitForEnd(w *watch) (changed bool, err error) {
 	for {
 		select {
-		case <-f.moved:
-			if f.leave(w) {
+		case <-f.addressChanged:
+			if f.replace(w) {
 				return true, nil
 			}
 		case err := <-w.ended:
@@ -133,23 +136,24 @@
 	}
 }
 
-// pause waits; false: the address is another one now.
-func (f *Follower) pause(ctx context.Context, wait time.Duration) bool {
-	timer := time.NewTimer(wait)
+// sleep waits for d or until ctx ends. It returns false at once if the address
+// changes.
+func (f *Follower) sleep(ctx context.Context, d time.Duration) bool {
+	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-f.moved:
+	case <-f.addressChanged:
 		return false
 	}
 	return true
 }
 
-// leave ends w's time as the current watch, unless it is at the address that is
-// followed: then it returns false. A watch that ever answered goes on until the
-// one that comes next does.
-func (f *Follower) leave(w *watch) bool {
+// replace makes w the previous watch and returns true, or returns false if w's
+// address is the one to use. If w never received data, it is dropped; otherwise it
+// goes on until the next watch receives data.
+func (f *Follower) replace(w *watch) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if w.address == f.address {
@@ -159,66 +163,67 @@
 		w.drop()
 		return true
 	}
-	if f.old != nil {
-		f.old.drop()
+	if f.previous != nil {
+		f.previous.drop()
 	}
-	f.old = w
+	f.previous = w
 	return true
 }
 
-// version returns the index to ask from.
-func (f *Follower) version() int64 {
+// currentIndex returns the index from which a new watch requests changes.
+func (f *Follower) currentIndex() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.index
 }
 
-// alive notes a sign of life. The first one of the current watch is the end of
-// the old one's service.
-func (f *Follower) alive(w *watch) {
+// markAlive records that w received data that shows its agent to be alive.
+func (f *Follower) markAlive(w *watch) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.answered(w)
-	f.ready(w)
+	f.recordData(w)
+	f.signalReady(w)
 }
 
-// ready tells that what the current watch has brought so far is told; the
-// caller holds f.mu.
-func (f *Follower) ready(w *watch) {
-	if w == f.current && !f.reached {
-		f.reached = true
-		close(f.first)
+// signalReady closes the Ready channel if w is the current watch. The caller holds
+// f.mu and has delivered what w received so far.
+func (f *Follower) signalReady(w *watch) {
+	if w == f.current && !f.readyClosed {
+		f.readyClosed = true
+		close(f.ready)
 	}
 }
 
-// answered notes a sign of life; the caller holds f.mu.
-func (f *Follower) answered(w *watch) {
+// recordData updates w's times. If w is the current watch, it also drops the
+// previous one. The caller holds f.mu.
+func (f *Follower) recordData(w *watch) {
 	now := time.Now()
 	if w.began.IsZero() {
 		w.began = now
 	}
-	w.lived = max(now.Sub(w.began), 1)
-	if w == f.current && f.old != nil {
-		f.old.drop()
-		f.old = nil
+	w.alive = max(now.Sub(w.began), 1)
+	if w == f.current && f.previous != nil {
+		f.previous.drop()
+		f.previous = nil
 	}
 }
 
-// take takes a list of a watch, unless a newer watch has answered. A change
-// that is older than what is known is passed over: the old watch has told it.
-func (f *Follower) take(w *watch, l *List) error {
+// applyList delivers a list that w received, unless w was dropped. A delta that is
+// older than the current index is ignored, since the previous watch has delivered
+// it.
+func (f *Follower) applyList(w *watch, l *List) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if w.dropped {
 		return context.Canceled
 	}
-	f.answered(w)
+	f.recordData(w)
 	if l.Snapshot || l.Index >= f.index {
 		f.index = l.Index
-		f.tell(l.Kind(), l)
-		f.book.take(l)
-		f.opt.OnAddresses(f.book.addresses())
+		f.deliver(l.Kind(), l)
+		f.addresses.apply(l)
+		f.opt.OnAddresses(f.addresses.addresses())
 	}
-	f.ready(w)
+	f.signalReady(w)
 	return nil
 }
--- a/internal/platform/discovery/watch.go
+++ b/internal/platform/discovery/watch.go
@@ -13,60 +13,62 @@
 	"arrowwalk/internal/http1"
 )
 
-// Times of one watch. An empty line comes every 2 s; after silenceMax without
-// a sign of life the watch is broken. What it misses counts as told 6 s after
-// it fell silent, and a change 6 s after discovery had it and could be reached:
-// the longest way there is a call that was accepted while discovery was down
-// (answerMax), the longest wait and one more call (backoff_test.go adds up).
+// Timeouts of a watch. The agent sends an empty line every 2 s, so a watch without
+// data for idleTimeout is broken. Every change must be delivered within 6 s after
+// discovery has it and is reachable, and what a silent watch misses within 6 s
+// after it fell silent. The longest path is a watch that is accepted while
+// discovery is down (firstDataTimeout), the longest backoff and one more watch;
+// backoff_test.go checks the sums.
 const (
-	dialMax    = time.Second
-	answerMax  = 2500 * time.Millisecond // from the request to a first sign of life
-	silenceMax = 3 * time.Second
+	dialTimeout      = time.Second
+	firstDataTimeout = 2500 * time.Millisecond // from the request to the first data
+	idleTimeout      = 3 * time.Second
 )
 
-// watch is one call to an agent.
+// watch is one streaming request to an agent. While it runs, the Follower's mutex
+// guards began, alive and dropped.
 type watch struct {
-	f       *Follower
-	address string
-	ctx     context.Context
-	cancel  context.CancelFunc
-	ended   chan error // has room for the one end
-	began   time.Time  // of its first sign of life; f.mu
-	lived   time.Duration
-	dropped bool // what it brings no longer counts; f.mu
+	follower *Follower
+	address  string
+	ctx      context.Context
+	cancel   context.CancelFunc
+	ended    chan error    // receives the error with which the watch ended; buffered
+	began    time.Time     // when the first data was received
+	alive    time.Duration // from the first to the last data
+	dropped  bool          // further lists from the watch are ignored
 }
 
-// open starts a watch at an address.
+// open starts a watch on the agent at address.
 func (f *Follower) open(ctx context.Context, address string) *watch {
-	w := &watch{f: f, address: address, ended: make(chan error, 1)}
+	w := &watch{follower: f, address: address, ended: make(chan error, 1)}
 	w.ctx, w.cancel = context.WithCancel(ctx)
 	f.watches.Go(func() { w.ended <- w.run() })
 	return w
 }
 
-// drop ends the watch; what it still brings does not count. The caller holds
+// drop ends the watch; lists that still arrive on it are ignored. The caller holds
 // the Follower's mutex.
 func (w *watch) drop() {
 	w.dropped = true
 	w.cancel()
 }
 
-// run keeps the watch until it breaks.
+// run connects to the agent and processes its lists until the watch fails.
 func (w *watch) run() error {
 	defer w.cancel()
-	dial, cancel := context.WithTimeout(w.ctx, dialMax)
+	dialCtx, cancel := context.WithTimeout(w.ctx, dialTimeout)
 	defer cancel()
 	var d net.Dialer
-	nc, err := d.DialContext(dial, "tcp", w.address)
+	nc, err := d.DialContext(dialCtx, "tcp", w.address)
 	if err != nil {
 		return err
 	}
 	defer nc.Close()
 	defer context.AfterFunc(w.ctx, func() { nc.SetDeadline(time.Unix(1, 0)) })()
-	if err := w.until(nc, answerMax); err != nil {
+	if err := w.setTimeout(nc, firstDataTimeout); err != nil {
 		return err
 	}
-	if _, err := fmt.Fprintf(nc, "GET /v1/servers?watch=1&from=%d HTTP/1.1\r\nHost: %s\r\n\r\n", w.f.version(), w.address); err != nil {
+	if _, err := fmt.Fprintf(nc, "GET /v1/servers?watch=1&from=%d HTTP/1.1\r\nHost: %s\r\n\r\n", w.follower.currentIndex(), w.address); err != nil {
 		return err
 	}
 	in := bufio.NewReaderSize(nc, 4<<10)
@@ -75,54 +77,55 @@
 		return err
 	}
 	if head.Status != 200 {
-		return fmt.Errorf("discovery answers %d", head.Status)
+		return fmt.Errorf("discovery returned status %d", head.Status)
 	}
 	var body http1.Body
 	body.Reset(in, head.Framing)
 	return w.follow(nc, &body)
 }
 
-// until sets by when a sign of life must come, unless the watch is to end.
-func (w *watch) until(nc net.Conn, span time.Duration) error {
-	if err := nc.SetDeadline(time.Now().Add(span)); err != nil {
+// setTimeout sets the connection's deadline, or returns an error if the watch was
+// cancelled.
+func (w *watch) setTimeout(nc net.Conn, timeout time.Duration) error {
+	if err := nc.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return err
 	}
-	return w.ctx.Err() // after the deadline: a cancel that comes now sets its own
+	return w.ctx.Err() // after the deadline is set: a later cancellation sets its own
 }
 
-// follow takes what the watch brings. Bytes that complete nothing don't put
-// off the time by which a sign of life must come.
+// follow processes the stream of lists. Only data that shows the agent to be alive
+// renews the idle timeout, bytes that complete nothing do not.
 func (w *watch) follow(nc net.Conn, body io.Reader) error {
-	var f frames
+	var s splitter
 	buf := make([]byte, 4<<10)
 	for {
 		n, err := body.Read(buf)
-		alive, bad := f.feed(buf[:n], w.take)
+		alive, feedErr := s.feed(buf[:n], w.handleObject)
 		switch {
-		case bad != nil:
-			return bad
+		case feedErr != nil:
+			return feedErr
 		case errors.Is(err, io.EOF):
 			return io.ErrUnexpectedEOF
 		case err != nil:
 			return err
 		}
 		if alive {
-			w.f.alive(w)
-			if err := w.until(nc, silenceMax); err != nil {
+			w.follower.markAlive(w)
+			if err := w.setTimeout(nc, idleTimeout); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// take reads one object and hands it on.
-func (w *watch) take(object []byte) error {
+// handleObject parses one object as a list and passes it to the Follower.
+func (w *watch) handleObject(object []byte) error {
 	l := &List{}
 	if err := json.Unmarshal(object, l); err != nil {
-		return fmt.Errorf("a list of discovery: %w", err)
+		return fmt.Errorf("parse list from discovery: %w", err)
 	}
-	if err := l.sift(); err != nil {
-		w.f.opt.Log.Warn("entries of discovery are passed over", "index", l.Index, "error", err)
+	if err := l.dropInvalid(); err != nil {
+		w.follower.opt.Log.Warn("ignoring invalid endpoints from discovery", "index", l.Index, "error", err)
 	}
-	return w.f.take(w, l)
+	return w.follower.applyList(w, l)
 }
--- a/internal/platform/discovery/watch_test.go
+++ b/internal/platform/discovery/watch_test.go
@@ -12,27 +12,27 @@
 	"arrowwalk/internal/http1"
 )
 
-// script is an agent whose watches are answered by hand.
-type script struct {
-	t     *testing.T
-	ln    net.Listener
-	calls chan *heldWatch
+// scriptedAgent is an agent whose watches the test answers itself.
+type scriptedAgent struct {
+	t       *testing.T
+	ln      net.Listener
+	watches chan *agentWatch
 }
 
-// heldWatch is a call that the test answers.
-type heldWatch struct {
+// agentWatch is the agent's side of a watch.
+type agentWatch struct {
 	t    *testing.T
 	nc   net.Conn
-	from int64
+	from int64 // index in the request
 }
 
-func newScript(t *testing.T) *script {
+func newScriptedAgent(t *testing.T) *scriptedAgent {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{t: t, ln: ln, calls: make(chan *heldWatch, 100)}
+	a := &scriptedAgent{t: t, ln: ln, watches: make(chan *agentWatch, 100)}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -41,183 +41,192 @@
 			if err != nil {
 				return
 			}
-			w := &heldWatch{t: t, nc: nc}
+			w := &agentWatch{t: t, nc: nc}
 			var q http1.Request
 			if err := http1.NewReader(bufio.NewReader(nc), http1.DefaultLimits).ReadRequest(&q); err == nil {
 				fmt.Sscanf(q.Target, "/v1/servers?watch=1&from=%d", &w.from)
 			}
-			s.calls <- w
+			a.watches <- w
 		}
 	}()
 	t.Cleanup(func() {
 		ln.Close()
 		<-done
-		close(s.calls)
-		for w := range s.calls {
+		close(a.watches)
+		for w := range a.watches {
 			w.nc.Close()
 		}
 	})
-	return s
+	return a
 }
 
-// next returns the next call.
-func (s *script) next() *heldWatch {
-	s.t.Helper()
+// next waits for the next watch.
+func (a *scriptedAgent) next() *agentWatch {
+	a.t.Helper()
 	select {
-	case w := <-s.calls:
-		s.t.Cleanup(func() { w.nc.Close() })
+	case w := <-a.watches:
+		a.t.Cleanup(func() { w.nc.Close() })
 		return w
 	case <-time.After(20 * time.Second):
-		s.t.Fatal("no call comes")
+		a.t.Fatal("no watch was opened")
 		return nil
 	}
 }
 
-func (w *heldWatch) begin() {
+// sendHead begins the response.
+func (w *agentWatch) sendHead() {
 	fmt.Fprint(w.nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-func (w *heldWatch) say(text string) { fmt.Fprintf(w.nc, "%x\r\n%s\r\n", len(text), text) }
+// sendChunk sends text as one chunk of the body.
+func (w *agentWatch) sendChunk(text string) { fmt.Fprintf(w.nc, "%x\r\n%s\r\n", len(text), text) }
 
-func (w *heldWatch) list(index int, snapshot bool, name, status string) {
-	w.say(fmt.Sprintf("{\n \"index\": %d,\n \"snapshot\": %t,\n \"endpoints\": [\n  {\"name\": %q, \"address\": \"127.0.0.1:1\", \"zone\": \"a\", \"status\": %q}\n ]\n}\n", index, snapshot, name, status))
+// sendList sends a list of one endpoint.
+func (w *agentWatch) sendList(index int, snapshot bool, name, status string) {
+	w.sendChunk(fmt.Sprintf("{\n \"index\": %d,\n \"snapshot\": %t,\n \"endpoints\": [\n  {\"name\": %q, \"address\": \"127.0.0.1:1\", \"zone\": \"a\", \"status\": %q}\n ]\n}\n", index, snapshot, name, status))
 }
 
-// over waits until the follower has ended the call.
-func (w *heldWatch) over() {
+// waitClosed waits until the Follower has closed the watch.
+func (w *agentWatch) waitClosed() {
 	w.t.Helper()
 	w.nc.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if n, err := w.nc.Read(make([]byte, 1)); n > 0 || err == nil {
-		w.t.Fatal("the watch goes on")
-	} else if late, ok := err.(net.Error); ok && late.Timeout() {
+		w.t.Fatal("the Follower sent more data")
+	} else if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
 		w.t.Fatal("the watch is kept open")
 	}
 }
 
-func followed(t *testing.T, s *script) (*Follower, *told) {
-	c := &told{news: make(chan struct{}, 1)}
-	f := Start(&List{Index: 7}, Options{Address: s.ln.Addr().String(), Zones: NewZoneIndex([]string{"a"}),
-		Log: slog.New(slog.DiscardHandler), OnList: c.take, OnAddresses: c.reached})
+// follow starts a Follower of the agent that knows a list with index 7.
+func follow(t *testing.T, agent *scriptedAgent) (*Follower, *recorder) {
+	rec := &recorder{changed: make(chan struct{}, 1)}
+	f := Start(&List{Index: 7}, Options{Address: agent.ln.Addr().String(), Zones: NewZoneIndex([]string{"a"}),
+		Log: slog.New(slog.DiscardHandler), OnList: rec.onList, OnAddresses: rec.onAddresses})
 	t.Cleanup(f.Stop)
-	return f, c
+	return f, rec
 }
 
-// A list over many lines is told, a whole list that lacks a brick included, and
-// half of one is dropped with its watch.
+// A list over several lines is delivered, and so is a snapshot that lacks a brick.
+// A truncated list is discarded with its watch.
 func TestIndentedListsInPieces(t *testing.T) {
-	s := newScript(t)
-	_, c := followed(t, s)
-	w := s.next()
-	w.begin()
-	w.list(8, true, "a", "active")
-	c.await(t, fmt.Sprint(arrowwalk.ListSnapshot, "@8 a:0"))
-	w.say("{\n \"index\": 9, \"snapshot\": true,\n")
+	agent := newScriptedAgent(t)
+	_, rec := follow(t, agent)
+	w := agent.next()
+	w.sendHead()
+	w.sendList(8, true, "a", "active")
+	rec.await(t, fmt.Sprint(arrowwalk.ListSnapshot, "@8 a:0"))
+	w.sendChunk("{\n \"index\": 9, \"snapshot\": true,\n")
 	w.nc.Close()
-	w = s.next()
+	w = agent.next()
 	if w.from != 8 {
-		t.Errorf("asked from %d: half a list counts", w.from)
+		t.Errorf("requested from index %d: a truncated list counts", w.from)
 	}
-	w.begin()
-	w.say("\"endpoints\": []}") // the other half
-	w.over()
-	w = s.next()
-	w.begin()
-	w.list(10, true, "b", "active")
-	c.await(t, fmt.Sprint(arrowwalk.ListSnapshot, "@10 b:0"))
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.addr) > 1 {
-		t.Errorf("reached are %v", c.addr)
+	w.sendHead()
+	w.sendChunk("\"endpoints\": []}") // the second half
+	w.waitClosed()
+	w = agent.next()
+	w.sendHead()
+	w.sendList(10, true, "b", "active")
+	rec.await(t, fmt.Sprint(arrowwalk.ListSnapshot, "@10 b:0"))
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	if len(rec.addresses) > 1 {
+		t.Errorf("addresses %v, want one", rec.addresses)
 	}
 }
 
-// Bytes that never make a value are silence, from the first one on and behind a
-// list; what is asked for then is what the last list did not tell.
+// An agent that keeps sending bytes of an object that never ends counts as silent,
+// on a new watch and after a list. The next watch requests what the last complete
+// list did not contain.
 func TestTrickleIsSilence(t *testing.T) {
 	for name, c := range map[string]struct {
-		told int
-		max  time.Duration
-	}{"first": {7, answerMax}, "behind a list": {8, silenceMax}} {
+		index   int
+		timeout time.Duration
+	}{"first": {7, firstDataTimeout}, "behind a list": {8, idleTimeout}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			trickle(t, c.told, c.max)
+			testUnfinishedObject(t, c.index, c.timeout)
 		})
 	}
 }
 
-func trickle(t *testing.T, told int, most time.Duration) {
-	s := newScript(t)
-	_, _ = followed(t, s)
-	w := s.next()
-	w.begin()
-	if told > 7 {
-		w.list(told, true, "a", "active")
+// testUnfinishedObject sends a list with the given index, unless it is the known
+// one, and then an object without an end. The Follower must give up the watch
+// after timeout.
+func testUnfinishedObject(t *testing.T, index int, timeout time.Duration) {
+	agent := newScriptedAgent(t)
+	_, _ = follow(t, agent)
+	w := agent.next()
+	w.sendHead()
+	if index > 7 {
+		w.sendList(index, true, "a", "active")
 	}
 	began := time.Now()
-	w.say("{")
-	gone := make(chan struct{})
-	go func() { // a byte each 20 ms until the call is ended
-		defer close(gone)
-		tick := time.NewTicker(20 * time.Millisecond)
-		defer tick.Stop()
-		for range tick.C {
-			if _, err := fmt.Fprint(w.nc, "1\r\n \r\n"); err != nil || time.Since(began) > 3*most {
+	w.sendChunk("{")
+	done := make(chan struct{})
+	go func() { // a byte every 20 ms until the Follower closes the watch
+		defer close(done)
+		ticker := time.NewTicker(20 * time.Millisecond)
+		defer ticker.Stop()
+		for range ticker.C {
+			if _, err := fmt.Fprint(w.nc, "1\r\n \r\n"); err != nil || time.Since(began) > 3*timeout {
 				return
 			}
 		}
 	}()
-	again := s.next()
-	if took := time.Since(began); took > 2*most || again.from != int64(told) {
-		t.Errorf("asked again after %s, from %d", took, again.from)
+	next := agent.next()
+	if took := time.Since(began); took > 2*timeout || next.from != int64(index) {
+		t.Errorf("reopened after %s from index %d", took, next.from)
 	}
 	w.nc.Close()
-	<-gone
+	<-done
 }
 
-// After a move the old watch serves until the new one has answered, and no
-// longer; a change that it told is not taken back.
+// After a change of the address the previous watch is used until the new one
+// delivers data, and no longer. A change that it delivered is not undone by an
+// older one.
 func TestOldWatchServesUntilTheNewOneAnswers(t *testing.T) {
-	before, after := newScript(t), newScript(t)
-	f, c := followed(t, before)
+	before, after := newScriptedAgent(t), newScriptedAgent(t)
+	f, rec := follow(t, before)
 	old := before.next()
-	old.begin()
-	old.list(8, true, "a", "active")
-	c.await(t, fmt.Sprint(arrowwalk.ListSnapshot, "@8 a:0"))
+	old.sendHead()
+	old.sendList(8, true, "a", "active")
+	rec.await(t, fmt.Sprint(arrowwalk.ListSnapshot, "@8 a:0"))
 	if !f.SetAddress(after.ln.Addr().String()) {
-		t.Fatal("not moved")
+		t.Fatal("SetAddress reports no change")
 	}
-	next := after.next() // it has asked, and is not answered
-	old.list(9, false, "a", "leaving")
-	c.await(t, fmt.Sprint(arrowwalk.ListDelta, "@9 a:1"))
-	next.begin()
-	next.list(8, false, "a", "active") // older than what is known
-	old.over()
-	next.list(10, false, "a", "left")
-	c.await(t, fmt.Sprint(arrowwalk.ListDelta, "@10 a:2"))
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.list) != 4 {
-		t.Errorf("told: %q", c.list)
+	next := after.next() // requested and not answered yet
+	old.sendList(9, false, "a", "leaving")
+	rec.await(t, fmt.Sprint(arrowwalk.ListDelta, "@9 a:1"))
+	next.sendHead()
+	next.sendList(8, false, "a", "active") // older than the current index
+	old.waitClosed()
+	next.sendList(10, false, "a", "left")
+	rec.await(t, fmt.Sprint(arrowwalk.ListDelta, "@10 a:2"))
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	if len(rec.lists) != 4 {
+		t.Errorf("delivered: %q", rec.lists)
 	}
 }
 
-// A watch that was never answered ends with a move at once, and several moves
-// end at the last address.
+// A watch that never received data ends as soon as the address changes, and after
+// several changes the last address is used.
 func TestMovesInARow(t *testing.T) {
-	a, b, last := newScript(t), newScript(t), newScript(t)
-	f, c := followed(t, a)
+	a, b, last := newScriptedAgent(t), newScriptedAgent(t), newScriptedAgent(t)
+	f, rec := follow(t, a)
 	silent := a.next()
 	f.SetAddress(b.ln.Addr().String())
 	f.SetAddress(last.ln.Addr().String())
-	silent.over()
+	silent.waitClosed()
 	w := last.next()
-	w.begin()
-	w.list(8, true, "z", "active")
-	c.await(t, fmt.Sprint(arrowwalk.ListSnapshot, "@8 z:0"))
+	w.sendHead()
+	w.sendList(8, true, "z", "active")
+	rec.await(t, fmt.Sprint(arrowwalk.ListSnapshot, "@8 z:0"))
 	<-f.Ready()
 	select {
-	case <-last.calls:
-		t.Error("the last address is asked twice")
+	case <-last.watches:
+		t.Error("two watches on the last address")
 	default:
 	}
 }
