--- a/internal/platform/budget.go
+++ b/internal/platform/budget.go
@@ -6,37 +6,37 @@
 	"runtime/debug"
 )
 
-// budget is how the limits are shared out among what uses them.
-type budget struct {
-	clients int   // connections of clients
-	easy    int   // connections of clients from which on idle ones are closed
-	bricks  int   // connections to bricks
-	bodies  int64 // bytes of clients' bodies held at once
-	answers int64 // bytes of bricks' answers held at once
-	heap    int64 // bytes that the runtime tries to stay under
+// resourceBudget divides a host's limits among their users.
+type resourceBudget struct {
+	clientConns           int   // client connections
+	idleEvictionThreshold int   // client connections from which idle ones are evicted
+	brickConns            int   // connections to bricks
+	requestBytes          int64 // request bodies held at once
+	responseBytes         int64 // response bodies held at once
+	heapBytes             int64 // the runtime's soft memory limit
 }
 
-// Kept back of the descriptors for the listener, discovery's watch, the
-// runtime's own and standard streams.
-const ownSockets = 24
+// reservedDescriptors is the number of descriptors kept for the listener, the
+// watch on discovery, the runtime and the standard streams.
+const reservedDescriptors = 24
 
-// share divides the limits. Clients hold at most a third of the descriptors for
-// requests; the rest of their part is for those that are silent or refused. A
-// brick's connection is needed for each open request at most. Clients that keep
-// connections for good would use up their third, and then cannot connect: idle
-// ones are closed from a half of it on.
-func share(l Limits) budget {
-	sockets := l.Sockets - ownSockets
-	memory := int64(l.MemoryMB * (1 << 20))
-	clients := sockets * 6 / 10
-	return budget{clients: clients, easy: l.Sockets / 6, bricks: sockets - clients, bodies: memory / 8, answers: memory / 4, heap: memory * 6 / 10}
+// divideLimits divides the limits. Clients use at most a third of the descriptors
+// for requests; the rest of their share is for silent and rejected connections.
+// Each request in progress needs at most one connection to a brick. Clients that
+// keep their connections open for good could use up their third so that nobody
+// else can connect, so idle connections are evicted from half of it on.
+func divideLimits(l Limits) resourceBudget {
+	descriptors := l.Sockets - reservedDescriptors
+	memoryBytes := int64(l.MemoryMB * (1 << 20))
+	clientConns := descriptors * 6 / 10
+	return resourceBudget{clientConns: clientConns, idleEvictionThreshold: l.Sockets / 6, brickConns: descriptors - clientConns, requestBytes: memoryBytes / 8, responseBytes: memoryBytes / 4, heapBytes: memoryBytes * 6 / 10}
 }
 
-// apply tells the runtime what it may use.
-func (b budget) apply(l Limits) {
+// apply sets the runtime's processor and memory limits.
+func (b resourceBudget) apply(l Limits) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
-	debug.SetMemoryLimit(b.heap)
+	debug.SetMemoryLimit(b.heapBytes)
 }
 
-// ApplyLimits has the runtime of this process keep the configuration's limits.
-func (c *Config) ApplyLimits() { share(c.Limits).apply(c.Limits) }
+// ApplyLimits makes the runtime of this process observe the configured limits.
+func (c *Config) ApplyLimits() { divideLimits(c.Limits).apply(c.Limits) }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -11,7 +11,7 @@
 	"arrowwalk/internal/settings"
 )
 
-// Config is what the platform tells a host at its start.
+// Config is the configuration that the platform passes to a host.
 type Config struct {
 	Name        string
 	Listen      string
@@ -21,15 +21,15 @@
 	Settings    *settings.Settings
 }
 
-// Limits are what a host may use of its machine.
+// Limits are the resources of the machine that a host may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// file is the configuration file's form.
-type file struct {
+// configFile is the format of the configuration file.
+type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
@@ -39,22 +39,22 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// fileMax bounds the configuration file, bytes.
-const fileMax = 16 << 20
+// maxConfigBytes is the largest configuration file that is accepted.
+const maxConfigBytes = 16 << 20
 
-// LoadConfig reads the configuration that the variables of the platform name; an
-// error names the variable, or the file and its field.
+// LoadConfig reads the configuration file that the environment variable GW_CONFIG
+// names. An error names the variable, or the file and its field.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
-		return nil, fmt.Errorf("GW_CONFIG: it is not set; it must name the configuration file")
+		return nil, fmt.Errorf("GW_CONFIG: not set, must name the configuration file")
 	}
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	if info.Size() > fileMax {
-		return nil, fmt.Errorf("GW_CONFIG: %s: over %d bytes", path, fileMax)
+	if info.Size() > maxConfigBytes {
+		return nil, fmt.Errorf("GW_CONFIG: %s: larger than %d bytes", path, maxConfigBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -67,16 +67,18 @@
 	return cfg, nil
 }
 
-// ParseConfig reads a configuration. Name, listening address and discovery may be
-// left to the variables; where the file has them, it counts: it may be newer.
+// ParseConfig parses a configuration. The name and the addresses may be set by
+// environment variables instead. The name and discovery's address in the file have
+// precedence, since the file may be newer; the listening address of GW_LISTEN has
+// precedence over the file's.
 func ParseConfig(text []byte, getenv func(string) string) (*Config, error) {
-	f := file{Name: getenv("GW_NAME"), Listen: getenv("GW_LISTEN"), Discovery: getenv("GW_DISCOVERY")}
+	f := configFile{Name: getenv("GW_NAME"), Listen: getenv("GW_LISTEN"), Discovery: getenv("GW_DISCOVERY")}
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, err
 	}
 	cfg := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, KnownBricks: &discovery.List{}}
-	if variable := getenv("GW_LISTEN"); variable != "" {
-		cfg.Listen = variable // where the platform's clients connect
+	if listen := getenv("GW_LISTEN"); listen != "" {
+		cfg.Listen = listen // the address to which the platform's clients connect
 	}
 	for _, a := range [...]struct{ field, value string }{{"listen", cfg.Listen}, {"discovery", cfg.Discovery}} {
 		if host, port, err := net.SplitHostPort(a.value); err != nil || host == "" || port == "" {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,7 +1,7 @@
-// Package platform runs the host on the users' platform: its configuration,
-// limits and signals, with the platform's protocol towards clients (entry),
-// bricks (exit) and discovery (discovery). It decides nothing that the module
-// decides.
+// Package platform runs a host on the users' platform. It reads the platform's
+// configuration, applies its resource limits, starts the servers and clients of
+// its protocol (packages frontend, upstream and discovery) and shuts them down
+// gracefully. Scheduling is left to the scheduler.
 package platform
 
 import (
@@ -19,193 +19,204 @@
 	"arrowwalk/internal/platform/upstream"
 )
 
-// Times of a planned restart, which is killed no sooner than killSpare after
-// the longest deadline, or after deadlineMax where that is longer. Clients go
-// on using the connections they have, and reach no other host on them: they are
-// served for as long as the answers still come in time.
+// Timeline of a graceful shutdown. The platform kills the process no sooner than
+// killGrace after the longest deadline of a request, or after maxDeadline if that
+// is shorter. Clients continue to use their open connections and cannot reach
+// another host on them, so they are served for as long as responses can still be
+// on time. The times named beforeEnd count back from the kill.
 const (
-	killSpare   = 700 * time.Millisecond
-	deadlineMax = 3 * time.Second
-	newMax      = 650 * time.Millisecond // new connections come no later
-	tellMin     = 500 * time.Millisecond // before the end: from then on clients are told to connect anew
-	idleMin     = 350 * time.Millisecond // connections between requests are closed
-	answerMin   = 200 * time.Millisecond // and all that is taken has its final answer
-	exitMin     = 100 * time.Millisecond
+	killGrace             = 700 * time.Millisecond
+	maxDeadline           = 3 * time.Second
+	newConnsPeriod        = 650 * time.Millisecond // after the signal; clients open no new connections later
+	reconnectBeforeEnd    = 500 * time.Millisecond // responses ask clients to reconnect
+	closeIdleBeforeEnd    = 350 * time.Millisecond // connections between requests are closed
+	lastResponseBeforeEnd = 200 * time.Millisecond // every received request has its final response
+	exitBeforeEnd         = 100 * time.Millisecond
 )
 
-// Times of what the host does again and again.
 const (
-	lookEvery  = 5 * time.Millisecond
-	sweepEvery = time.Second
-	listMax    = 1500 * time.Millisecond // a host whose agent is silent starts without it
-	restMin    = 20 * time.Millisecond   // a second answer of a brick may come late, and would be taken for the next request's
-	idlePart   = 0.8                     // of the settings' idle time, for which connections are reused
+	shutdownPollInterval = 5 * time.Millisecond
+	idleSweepInterval    = time.Second
+	firstListTimeout     = 1500 * time.Millisecond // then the host starts without the agent's list
+
+	// brickReuseDelay is how long a connection to a brick rests before its next
+	// request. A brick may send a duplicate response late, which would be taken for
+	// the response to that request.
+	brickReuseDelay = 20 * time.Millisecond
+
+	// idleFraction is the part of the idle timeout in the settings for which
+	// connections are reused, so that they are dropped before the brick closes them.
+	idleFraction = 0.8
 )
 
 // Instance is a running host.
 type Instance struct {
-	cfg    *Config
-	log    *slog.Logger
-	host   *host.Host
-	sender *upstream.Sender
-	server *frontend.Server
-	follow *discovery.Follower
-	quit   chan struct{}
-	wg     sync.WaitGroup
+	cfg      *Config
+	log      *slog.Logger
+	host     *host.Host
+	sender   *upstream.Sender
+	server   *frontend.Server
+	follower *discovery.Follower
+	done     chan struct{} // closed by Stop
+	wg       sync.WaitGroup
 }
 
-// DisabledGuards that can be taken out, for proofs that must fail.
+// DisabledGuards switches off individual guards. It exists for negative tests,
+// which show that the checks notice a missing guard.
 type DisabledGuards struct {
-	AcceptDoubleFraming bool // a length beside a transfer coding is taken
-	ReuseDirtyConns     bool // a connection with bytes behind its answer is used again
-	NoEviction          bool // silent connections are kept
-	NoArrivalAge        bool // what is found in a client's socket is taken for fresh
-	NoStartTimes        bool // bricks are taken for warm, whenever they started
-	NoReuseDelay        bool // a brick's connection is used again at once
-	NoDisconnectCheck   bool // nobody looks whether a waiting client has gone
-	NoDescriptorReserve bool // clients may take all descriptors
-	NoShutdownDeadline  bool // a planned restart leaves the deadlines of what was taken
+	AcceptDoubleFraming bool // accept Content-Length together with Transfer-Encoding
+	ReuseDirtyConns     bool // reuse a connection with excess bytes after a response
+	NoEviction          bool // keep connections on which nothing was ever received
+	NoArrivalAge        bool // treat data found in a client's socket as just arrived
+	NoStartTimes        bool // treat every brick as warm, whenever it started
+	NoReuseDelay        bool // reuse a connection to a brick at once
+	NoDisconnectCheck   bool // do not check whether waiting clients have disconnected
+	NoDescriptorReserve bool // let clients use all descriptors
+	NoShutdownDeadline  bool // do not limit deadlines to the end of a shutdown
 }
 
-// Start serves as cfg says until Stop.
-func Start(cfg *Config, log *slog.Logger, without DisabledGuards) (*Instance, error) {
+// Start starts a host as configured. It serves until Stop.
+func Start(cfg *Config, log *slog.Logger, disabled DisabledGuards) (*Instance, error) {
 	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	set, b := cfg.Settings, share(cfg.Limits)
-	if without.NoDescriptorReserve {
-		b.clients = 2 * cfg.Limits.Sockets
+	settings, budget := cfg.Settings, divideLimits(cfg.Limits)
+	if disabled.NoDescriptorReserve {
+		budget.clientConns = 2 * cfg.Limits.Sockets
 	}
-	h, err := host.New(host.Options{Settings: set.Settings, Log: log})
+	h, err := host.New(host.Options{Settings: settings.Settings, Log: log})
 	if err != nil {
 		ln.Close()
 		return nil, err
 	}
-	if len(set.Unknown) > 0 {
-		log.Info("settings that this host does not know are passed over", "keys", set.Unknown)
+	if len(settings.Unknown) > 0 {
+		log.Info("ignoring unknown settings", "keys", settings.Unknown)
 	}
-	p := &Instance{cfg: cfg, log: log, host: h, quit: make(chan struct{})}
-	rest := restMin
-	if without.NoReuseDelay {
-		rest = 0
+	inst := &Instance{cfg: cfg, log: log, host: h, done: make(chan struct{})}
+	reuseDelay := brickReuseDelay
+	if disabled.NoReuseDelay {
+		reuseDelay = 0
 	}
-	p.sender = upstream.NewSender(upstream.Options{Host: h, LoadFields: set.Reports, DialTimeout: span(set.DialTimeout, time.Second),
-		IdleTimeout: time.Duration(idlePart * float64(span(set.IdleClose, 10*time.Second))), MaxConns: b.bricks, ReuseDelay: rest,
-		MaxClientWait: p.longest(), MaxResponseBytes: b.answers, ReuseDirtyConns: without.ReuseDirtyConns})
-	p.follow = discovery.Start(cfg.KnownBricks, discovery.Options{Address: cfg.Discovery, Zones: discovery.NewZoneIndex(set.Zones),
-		Log: log, OnList: h.Nodes, OnAddresses: p.sender.CloseIdleExcept, NoStartTimes: without.NoStartTimes})
-	p.awaitList()
-	p.server = frontend.Start(ln, frontend.Options{Host: h, Sender: p.sender, Settings: &p.cfg.Settings.Settings, Log: log,
-		MaxConns: b.clients, IdleEvictionThreshold: b.easy, MaxBodyBytes: b.bodies, NoEviction: without.NoEviction, AcceptDoubleFraming: without.AcceptDoubleFraming, NoArrivalAge: without.NoArrivalAge,
-		NoDisconnectCheck: without.NoDisconnectCheck, NoShutdownDeadline: without.NoShutdownDeadline})
-	p.wg.Add(1)
-	go p.sweep()
-	return p, nil
+	inst.sender = upstream.NewSender(upstream.Options{Host: h, LoadFields: settings.Reports, DialTimeout: durationOr(settings.DialTimeout, time.Second),
+		IdleTimeout: time.Duration(idleFraction * float64(durationOr(settings.IdleClose, 10*time.Second))), MaxConns: budget.brickConns, ReuseDelay: reuseDelay,
+		MaxClientWait: inst.longestDeadline(), MaxResponseBytes: budget.responseBytes, ReuseDirtyConns: disabled.ReuseDirtyConns})
+	inst.follower = discovery.Start(cfg.KnownBricks, discovery.Options{Address: cfg.Discovery, Zones: discovery.NewZoneIndex(settings.Zones),
+		Log: log, OnList: h.Nodes, OnAddresses: inst.sender.CloseIdleExcept, NoStartTimes: disabled.NoStartTimes})
+	inst.awaitFirstList()
+	inst.server = frontend.Start(ln, frontend.Options{Host: h, Sender: inst.sender, Settings: &inst.cfg.Settings.Settings, Log: log,
+		MaxConns: budget.clientConns, IdleEvictionThreshold: budget.idleEvictionThreshold, MaxBodyBytes: budget.requestBytes, NoEviction: disabled.NoEviction, AcceptDoubleFraming: disabled.AcceptDoubleFraming, NoArrivalAge: disabled.NoArrivalAge,
+		NoDisconnectCheck: disabled.NoDisconnectCheck, NoShutdownDeadline: disabled.NoShutdownDeadline})
+	inst.wg.Add(1)
+	go inst.sweepIdle()
+	return inst, nil
 }
 
-// awaitList waits for the agent's first answer, for a bounded time: what it has
-// counts as told from the first moment on, and clients come once this host
-// serves.
-func (p *Instance) awaitList() {
-	timer := time.NewTimer(listMax)
+// awaitFirstList waits up to firstListTimeout for the agent's first list. The host
+// is expected to know that list from the start, and clients connect as soon as the
+// host serves.
+func (inst *Instance) awaitFirstList() {
+	timer := time.NewTimer(firstListTimeout)
 	defer timer.Stop()
 	select {
-	case <-p.follow.Ready():
+	case <-inst.follower.Ready():
 	case <-timer.C:
-		p.log.Warn("discovery does not answer, starting with the bricks that were known", "waited", listMax)
+		inst.log.Warn("discovery does not respond, starting with the known bricks", "waited", firstListTimeout)
 	}
 }
 
-// span returns a time of the settings, or another where they do not tell.
-func span(t arrowwalk.Micros, otherwise time.Duration) time.Duration {
+// durationOr converts a time in the settings, or returns defaultValue if it is not
+// set.
+func durationOr(t arrowwalk.Micros, defaultValue time.Duration) time.Duration {
 	if t <= 0 {
-		return otherwise
+		return defaultValue
 	}
 	return time.Duration(t) * time.Microsecond
 }
 
-// longest returns the longest that a client waits.
-func (p *Instance) longest() time.Duration {
-	var most arrowwalk.Micros
-	for _, c := range p.cfg.Settings.Classes {
-		most = max(most, c.Deadline)
+// longestDeadline returns the longest deadline of all classes.
+func (inst *Instance) longestDeadline() time.Duration {
+	var longest arrowwalk.Micros
+	for _, c := range inst.cfg.Settings.Classes {
+		longest = max(longest, c.Deadline)
 	}
-	return time.Duration(most) * time.Microsecond
+	return time.Duration(longest) * time.Microsecond
 }
 
 // Addr returns the address that clients connect to.
-func (p *Instance) Addr() string { return p.server.Addr() }
-
-// sweep closes the connections to bricks that were idle for too long.
-func (p *Instance) sweep() {
-	defer p.wg.Done()
-	tick := time.NewTicker(sweepEvery)
-	defer tick.Stop()
+func (inst *Instance) Addr() string { return inst.server.Addr() }
+
+// sweepIdle closes the connections to bricks whose idle timeout has passed, until
+// Stop.
+func (inst *Instance) sweepIdle() {
+	defer inst.wg.Done()
+	ticker := time.NewTicker(idleSweepInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-p.quit:
+		case <-inst.done:
 			return
-		case <-tick.C:
-			p.sender.CloseExpired()
+		case <-ticker.C:
+			inst.sender.CloseExpired()
 		}
 	}
 }
 
-// Reload follows what a new configuration changes: discovery's address. What
-// else it has is for the next start.
-func (p *Instance) Reload(cfg *Config) {
-	if p.follow.SetAddress(cfg.Discovery) {
-		p.log.Info("discovery is asked at another address", "address", cfg.Discovery)
+// Reload applies a new configuration. Only discovery's address takes effect at
+// once, the rest at the next start.
+func (inst *Instance) Reload(cfg *Config) {
+	if inst.follower.SetAddress(cfg.Discovery) {
+		inst.log.Info("discovery address changed", "address", cfg.Discovery)
 	}
 }
 
-// Stop ends the host as a planned restart does: new connections are taken and
-// requests served for as long as there is time, then clients are told to connect
-// anew, and what is taken gets its answer. It returns sooner where no client is
-// left.
-func (p *Instance) Stop(ctx context.Context) {
+// Stop shuts the host down gracefully. It accepts connections and serves requests
+// for as long as there is time, then asks clients to reconnect elsewhere and
+// answers the requests in progress. It returns earlier if no client is left, or if
+// ctx ends.
+func (inst *Instance) Stop(ctx context.Context) {
 	began := time.Now()
-	end := began.Add(min(p.longest(), deadlineMax) + killSpare)
-	empty := func() bool { return time.Since(began) > newMax && p.server.ConnCount() == 0 }
-	p.server.Drain(end.Add(-tellMin), end.Add(-answerMin))
-	p.wait(ctx, end.Add(-idleMin), empty)
-	p.server.CloseListener()
-	p.wait(ctx, end.Add(-exitMin), func() bool {
-		p.server.CloseIdle()
-		if !time.Now().Before(end.Add(-answerMin)) {
-			p.server.ExpireReads()
+	end := began.Add(min(inst.longestDeadline(), maxDeadline) + killGrace)
+	noClients := func() bool { return time.Since(began) > newConnsPeriod && inst.server.ConnCount() == 0 }
+	inst.server.Drain(end.Add(-reconnectBeforeEnd), end.Add(-lastResponseBeforeEnd))
+	inst.waitUntil(ctx, end.Add(-closeIdleBeforeEnd), noClients)
+	inst.server.CloseListener()
+	inst.waitUntil(ctx, end.Add(-exitBeforeEnd), func() bool {
+		inst.server.CloseIdle()
+		if !time.Now().Before(end.Add(-lastResponseBeforeEnd)) {
+			inst.server.ExpireReads()
 		}
-		return p.server.ConnCount() == 0
+		return inst.server.ConnCount() == 0
 	})
-	p.server.Stop()
-	p.follow.Stop()
-	p.host.Close()
-	p.sender.Close()
-	close(p.quit)
-	p.wg.Wait()
+	inst.server.Stop()
+	inst.follower.Stop()
+	inst.host.Close()
+	inst.sender.Close()
+	close(inst.done)
+	inst.wg.Wait()
 }
 
-// wait waits until a time, or until done says so; nil: never.
-func (p *Instance) wait(ctx context.Context, until time.Time, done func() bool) {
-	tick := time.NewTicker(lookEvery)
-	defer tick.Stop()
-	for time.Now().Before(until) {
-		if done != nil && done() {
+// waitUntil waits until deadline, until condition returns true, or until ctx ends.
+// A nil condition is never true.
+func (inst *Instance) waitUntil(ctx context.Context, deadline time.Time, condition func() bool) {
+	ticker := time.NewTicker(shutdownPollInterval)
+	defer ticker.Stop()
+	for time.Now().Before(deadline) {
+		if condition != nil && condition() {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// LogAttrs returns what an operator would look at first.
-func (p *Instance) LogAttrs() []any {
-	s, h := p.server.Stats(), p.host.Stats()
-	open, idle, dialed := p.sender.Counts()
+// LogAttrs returns the most important counters as log attributes.
+func (inst *Instance) LogAttrs() []any {
+	s, h := inst.server.Stats(), inst.host.Stats()
+	open, idle, dialed := inst.sender.Counts()
 	return []any{"requests", s.Requests, "bad", s.Rejected, "gone", s.ClientsGone, "evicted", s.Evicted, "turned", s.TurnedAway,
 		"draining", s.Draining, "open", s.Open, "conns", s.Conns, "brick_conns", open, "brick_idle", idle, "dialed", dialed,
 		"ended", h.Ended, "attempts", h.Attempts, "stalls", h.Stalls, "stall_max", h.StallMax, "step_mean", h.StepMean}
--- a/internal/platform/start_test.go
+++ b/internal/platform/start_test.go
@@ -10,57 +10,57 @@
 	standin "arrowwalk/internal/standin/platform"
 )
 
-// startAt starts a host whose agent and listener are given.
-func startAt(t *testing.T, agent string) *Instance {
+// startWithAgent starts a host that uses the agent at an address.
+func startWithAgent(t *testing.T, agentAddr string) *Instance {
 	t.Helper()
-	cfg, err := ParseConfig([]byte(configText("127.0.0.1:2", agent, "127.0.0.1:1", "127.0.0.1:0")), none)
+	cfg, err := ParseConfig([]byte(configText("127.0.0.1:2", agentAddr, "127.0.0.1:1", "127.0.0.1:0")), emptyEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := Start(cfg, slog.New(slog.DiscardHandler), DisabledGuards{})
+	inst, err := Start(cfg, slog.New(slog.DiscardHandler), DisabledGuards{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return inst
 }
 
-// What the agent has is known before a host serves its first client: the
-// configuration's list lacks both bricks.
+// A host knows the agent's list before it serves its first client. The list in its
+// configuration lacks both bricks.
 func TestFirstListBeforeTheFirstClient(t *testing.T) {
 	book := standin.NewBook(41)
-	book.Tell(standin.Endpoint{Name: "a", Address: "127.0.0.1:9", Zone: "a", Status: "active"}, // in one list, as the first one is
+	book.Tell(standin.Endpoint{Name: "a", Address: "127.0.0.1:9", Zone: "a", Status: "active"}, // in one message, like a first list
 		standin.Endpoint{Name: "b", Address: "127.0.0.1:8", Zone: "a", Status: "active"})
 	agent, err := standin.NewAgent(book)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer agent.Stop()
-	p := startAt(t, agent.Addr())
-	defer p.Stop(context.Background())
-	if s := p.host.State(); len(s.Members) != 2 {
-		t.Errorf("%d bricks are known", len(s.Members))
+	inst := startWithAgent(t, agent.Addr())
+	defer inst.Stop(context.Background())
+	if s := inst.host.State(); len(s.Members) != 2 {
+		t.Errorf("%d bricks are known, want 2", len(s.Members))
 	}
 }
 
-// A host whose agent takes the call and says nothing, or is not there, starts
-// all the same, in time.
+// A host starts in time even if its agent accepts the connection and sends
+// nothing, or refuses connections.
 func TestStartsBesideASilentAgent(t *testing.T) {
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // the kernel takes the call, nobody answers
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // the kernel accepts connections, nobody answers
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone.Close()
-	for _, agent := range []string{silent.Addr().String(), gone.Addr().String()} {
+	closed.Close()
+	for _, agentAddr := range []string{silent.Addr().String(), closed.Addr().String()} {
 		began := time.Now()
-		p := startAt(t, agent)
-		if took := time.Since(began); took < listMax || took > 6*time.Second {
+		inst := startWithAgent(t, agentAddr)
+		if took := time.Since(began); took < firstListTimeout || took > 6*time.Second {
 			t.Errorf("started after %s", took)
 		}
-		p.Stop(context.Background())
+		inst.Stop(context.Background())
 	}
 }
