--- a/cmd/arrowwalk/members.go
+++ b/cmd/arrowwalk/members.go
@@ -47,17 +47,17 @@
 		fmt.Fprintln(g.out, "damaged:", d)
 	}
 	if l == nil {
-		return cache.ErrNone
+		return cache.ErrNotFound
 	}
 	now := time.Now()
 	fmt.Fprintf(g.out, "version %d of %s, generation %d, taken %s ago; %.3f changes a brick and day\n",
-		l.Version, l.Source, l.Generation, now.Sub(time.UnixMicro(l.Taken)).Round(time.Second), l.Rate.PerHour()*24)
+		l.Version, l.Source, l.Generation, now.Sub(time.UnixMicro(l.AcceptedAt)).Round(time.Second), l.ChangeRate.PerBrickHour()*24)
 	w := tabwriter.NewWriter(g.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "brick\taddress\tzone\tshard\tstate\tconfirmed\tserved\tif started now")
 	for _, e := range l.Bricks {
-		age := now.Sub(time.UnixMicro(e.Confirmed))
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\n", e.Name, e.Address, e.Zone, e.Shard, orReady(e.State), ago(now, e.Confirmed),
-			ago(now, e.Served), l.Rate.LevelOf(age, e.Confirmed > 0))
+		age := now.Sub(time.UnixMicro(e.LastConfirmed))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\n", e.Name, e.Address, e.Zone, e.Shard, orReady(e.State), ago(now, e.LastConfirmed),
+			ago(now, e.LastServed), l.ChangeRate.LevelAtAge(age, e.LastConfirmed > 0))
 	}
 	return w.Flush()
 }
@@ -90,7 +90,7 @@
 		return fmt.Errorf("%d damages", len(damage))
 	}
 	if l, _ := cache.Load(m.Cache); l == nil {
-		return cache.ErrNone
+		return cache.ErrNotFound
 	}
 	fmt.Fprintln(g.out, m.Cache+": good")
 	return nil
@@ -104,7 +104,7 @@
 func (m *membersExport) Run(g *globals) error {
 	l, _ := cache.Load(m.Cache)
 	if l == nil {
-		return cache.ErrNone
+		return cache.ErrNotFound
 	}
 	text, err := json.MarshalIndent(l, "", " ")
 	if err != nil {
@@ -142,9 +142,9 @@
 		return err
 	}
 	defer dir.Close()
-	if old, _ := cache.Load(m.Cache); old != nil && l.Taken < old.Taken && !m.Older {
+	if old, _ := cache.Load(m.Cache); old != nil && l.AcceptedAt < old.AcceptedAt && !m.Older {
 		return fmt.Errorf("%s: taken %s before the list that is kept; --older takes it all the same", m.File,
-			time.Duration(old.Taken-l.Taken)*time.Microsecond)
+			time.Duration(old.AcceptedAt-l.AcceptedAt)*time.Microsecond)
 	}
 	return dir.Save(l)
 }
--- a/cmd/arrowwalk/operate.go
+++ b/cmd/arrowwalk/operate.go
@@ -67,20 +67,20 @@
 	return err
 }
 
-func printRunning(g *globals, list []control.Running) error {
+func printRunning(g *globals, list []control.RunningRequest) error {
 	w := tabwriter.NewWriter(g.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "request\tclass\tage\tstage\tbrick\ttries\tunits")
 	for _, r := range list {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%.2f\n", r.ID, r.Class, time.Duration(r.AgeUS)*time.Microsecond, r.Stage, r.Brick, r.Tries, r.Units)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%.2f\n", r.ID, r.Class, time.Duration(r.AgeUS)*time.Microsecond, r.Stage, r.Brick, r.Attempts, r.Units)
 	}
 	return w.Flush()
 }
 
 func printSnapshot(g *globals, s *control.Snapshot) error {
 	fmt.Fprintf(g.out, "host %s: taken %d, served %d, refused %d, failed %d; queued %d, sent %d; %d connections, %d KiB of bodies\n",
-		s.Host, s.Taken, s.Served, s.Refused, s.Failed, s.Queued, s.Sent, s.Conns, (s.Memory+s.Spool)>>10)
+		s.Host, s.Accepted, s.Served, s.Refused, s.Failed, s.Queued, s.Sent, s.Connections, (s.BodyMemoryBytes+s.SpoolBytes)>>10)
 	if s.Stalls > 0 {
-		fmt.Fprintf(g.out, "the host stood still %d times, for %v at most\n", s.Stalls, time.Duration(s.Longest)*time.Microsecond)
+		fmt.Fprintf(g.out, "the host stood still %d times, for %v at most\n", s.Stalls, time.Duration(s.MaxStallUS)*time.Microsecond)
 	}
 	w := tabwriter.NewWriter(g.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "brick\tstate\tby\tshard\tzone\ttrust\tutil\tout\tunits out\tserved\tfailed\tp50\tp99")
@@ -93,19 +93,19 @@
 		if b.Cold {
 			state += " (cold)"
 		}
-		if b.Bad > 0 {
-			state += fmt.Sprintf(", %d blocks damaged", b.Bad)
+		if b.QuarantinedBlocks > 0 {
+			state += fmt.Sprintf(", %d blocks damaged", b.QuarantinedBlocks)
 		}
-		by := string(b.By)
-		if b.Who != "" {
-			by += ": " + b.Who
+		by := string(b.Origin)
+		if b.Operator != "" {
+			by += ": " + b.Operator
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t%.2f\t%d\t%s\t%s\t%s\n", b.Status.Brick, state, by, b.Shard, b.Zone, b.Trust, util,
-			b.Requests, b.UnitsOut, b.Served, failures(b.Failed), b.P50, b.P99)
+			b.OutstandingRequests, b.OutstandingUnits, b.Served, failures(b.Failed), b.P50, b.P99)
 	}
 	fmt.Fprintln(w, "\nvolume\tplan\tserved\trefused\tfailed\tshards\tquadrant\tpaced at\treserve left")
 	for _, v := range s.Volumes {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%v\t%s\t%.1f\t%.1f\n", v.Name, v.Plan, v.Served, v.Refused, v.Failed, v.Shards, v.Quadrant, v.Rate, v.Reserve)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%v\t%s\t%.1f\t%.1f\n", v.Name, v.Plan, v.Served, v.Refused, v.Failed, v.Shards, v.Quadrant, v.TokenRate, v.Reserve)
 	}
 	return w.Flush()
 }
@@ -168,19 +168,19 @@
 func order(g *globals, c *control.Client, o drains.Order) error {
 	var id [12]byte
 	rand.Read(id[:])
-	o.ID, o.Who = hex.EncodeToString(id[:]), os.Getenv("USER")
+	o.ID, o.Operator = hex.EncodeToString(id[:]), os.Getenv("USER")
 	r, err := c.Call(control.Request{Op: control.OpOrder, Order: o})
 	if err != nil {
 		return err
 	}
 	text := fmt.Sprintf("order %d: %s is %s", r.Result.Number, o.Brick, r.Result.After.State)
-	if r.Result.After.By != drains.ByNobody {
-		text += " by " + string(r.Result.After.By)
+	if r.Result.After.Origin != drains.ByNone {
+		text += " by " + string(r.Result.After.Origin)
 	}
 	if r.Result.Note != "" {
 		text += " (" + r.Result.Note + ")"
 	}
-	fmt.Fprintf(g.out, "%s, in effect at %s\n", text, time.UnixMicro(r.Effect).Format("15:04:05.000"))
+	fmt.Fprintf(g.out, "%s, in effect at %s\n", text, time.UnixMicro(r.EffectiveAt).Format("15:04:05.000"))
 	return nil
 }
 
@@ -194,10 +194,10 @@
 			return err
 		}
 		for _, b := range r.Snapshot.Bricks {
-			if b.Status.Brick != brick || b.Requests == last {
+			if b.Status.Brick != brick || b.OutstandingRequests == last {
 				continue
 			}
-			if last = b.Requests; last == 0 {
+			if last = b.OutstandingRequests; last == 0 {
 				fmt.Fprintf(g.out, "%s is idle\n", brick)
 				return nil
 			}
@@ -227,9 +227,9 @@
 	if err != nil {
 		return err
 	}
-	after := max(0, r.Snapshot.Event-int64(e.Most))
+	after := max(0, r.Snapshot.LastEvent-int64(e.Most))
 	if !e.Follow {
-		r, err := c.Call(control.Request{Op: control.OpEvents, After: after, Most: e.Most})
+		r, err := c.Call(control.Request{Op: control.OpEvents, After: after, MaxEvents: e.Most})
 		if err != nil {
 			return err
 		}
--- a/cmd/arrowwalk/rehearse.go
+++ b/cmd/arrowwalk/rehearse.go
@@ -238,7 +238,7 @@
 		return l
 	}
 	s := answer.Snapshot
-	l.Host, l.Taken = s.Host, s.Taken
+	l.Host, l.Taken = s.Host, s.Accepted
 	for _, b := range s.Bricks {
 		l.Bricks = append(l.Bricks, record.Brick{Name: b.Status.Brick, Shard: b.Shard, State: string(b.State), Cold: b.Cold, Util: b.Util, P50: b.P50})
 	}
--- a/cmd/arrowwalk/serve.go
+++ b/cmd/arrowwalk/serve.go
@@ -192,8 +192,8 @@
 	g.log.Info("brick serves", "name", b.Name, "address", server.Addr())
 	if len(b.Coord) > 0 {
 		entry := membership.Entry{Name: b.Name, Address: server.Addr(), Zone: b.Zone, Shard: b.Shard, Started: server.Started()}
-		r, err := membership.Register(membership.ZKOptions{Servers: b.Coord, Root: b.Root, Session: b.Session,
-			Shape: membership.Shape{Zones: []string{b.Zone}, Shards: b.Shard + 1}, Log: g.log}, entry)
+		r, err := membership.Register(membership.ZKOptions{Servers: b.Coord, Root: b.Root, SessionTimeout: b.Session,
+			Topology: membership.Topology{Zones: []string{b.Zone}, Shards: b.Shard + 1}, Log: g.log}, entry)
 		if err != nil {
 			return err
 		}
--- a/cmd/arrowwalk/volume.go
+++ b/cmd/arrowwalk/volume.go
@@ -24,20 +24,20 @@
 		return err
 	}
 	defer c.Close()
-	r, err := c.Call(control.Request{Op: control.OpVolume, Block: order})
+	r, err := c.Call(control.Request{Op: control.OpVolume, VolumeOrder: order})
 	if err != nil {
 		return err
 	}
 	if asJSON {
 		e := json.NewEncoder(g.out)
 		e.SetIndent("", " ")
-		return e.Encode(r.Blocks)
+		return e.Encode(r.Volumes)
 	}
 	w := tabwriter.NewWriter(g.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "volume\tMiB\tblock\tplan\tholder\tepoch\trequests\terrors\tsocket")
-	for _, v := range r.Blocks {
+	for _, v := range r.Volumes {
 		socket := v.Socket
-		if v.Over {
+		if v.Superseded {
 			socket += " (attached anew elsewhere)"
 		}
 		fmt.Fprintf(w, "%s\t%.1f\t%d\t%s\t%s\t%d\t%d\t%d\t%s\n", v.Name, float64(v.Bytes)/(1<<20), v.Block, v.Plan, v.Holder, v.Epoch, v.Requests, v.Errors, socket)
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	return volumeOrder(g, v.Socket, &control.VolumeOrder{Action: "create", Name: v.Name, Bytes: int64(size), Block: v.Block, Plan: v.Plan}, false)
+	return volumeOrder(g, v.Socket, &control.VolumeOrder{Action: "create", Name: v.Name, SizeBytes: int64(size), BlockBytes: v.Block, Plan: v.Plan}, false)
 }
 
 type volumeResizeCmd struct {
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	return volumeOrder(g, v.Socket, &control.VolumeOrder{Action: "resize", Name: v.Name, Bytes: int64(size)}, false)
+	return volumeOrder(g, v.Socket, &control.VolumeOrder{Action: "resize", Name: v.Name, SizeBytes: int64(size)}, false)
 }
 
 type volumeDeleteCmd struct {
--- a/internal/bench/kept.go
+++ b/internal/bench/kept.go
@@ -106,8 +106,8 @@
 		ages[bricks[i].id.Name] = age
 	}
 	// What the host learned in 30 days before.
-	learned := trust.Rate{Changes: rate * 30 * keptBricks, Hours: 30 * 24 * keptBricks}
-	doubts := trust.NewDoubts(ids, ages, learned)
+	learned := trust.ChangeRate{Changes: rate * 30 * keptBricks, BrickHours: 30 * 24 * keptBricks}
+	doubts := trust.NewVerifier(ids, ages, learned)
 	var row KeptRow
 	total := 0.0
 	for now := time.Duration(0); now < keptDay; now += keptEvery {
@@ -125,12 +125,12 @@
 			return b.fate
 		}
 		for {
-			ask := doubts.Ask(now, 16)
+			ask := doubts.StartProbes(now, 16)
 			if len(ask) == 0 {
 				break
 			}
 			for _, id := range ask {
-				doubts.Saw(id.Name, evidenceOf(fate(&bricks[id.Shard])), 0, now)
+				doubts.Observe(id.Name, evidenceOf(fate(&bricks[id.Shard])), 0, now)
 			}
 		}
 		for i := range bricks {
@@ -155,7 +155,7 @@
 			default:
 				row.TLost++
 			}
-			doubts.Saw(b.id.Name, evidenceOf(f), 0, now)
+			doubts.Observe(b.id.Name, evidenceOf(f), 0, now)
 		}
 	}
 	row.Wait, row.Blind, row.Trust = row.Wait/total, row.Blind/total, row.Trust/total
@@ -164,8 +164,8 @@
 	return row
 }
 
-func evidenceOf(f brickFate) trust.Evidence {
-	return [...]trust.Evidence{trust.Answered, trust.Other, trust.Refused, trust.Silent}[f]
+func evidenceOf(f brickFate) trust.Observation {
+	return [...]trust.Observation{trust.Answered, trust.WrongBrick, trust.ConnRefused, trust.TimedOut}[f]
 }
 
 // KeptMarkdown writes the rows as a table.
--- a/internal/bench/rings.go
+++ b/internal/bench/rings.go
@@ -106,8 +106,8 @@
 		defer cancel()
 		g.Stop(ctx)
 	}()
-	for _, q := range []control.VolumeOrder{{Action: "create", Name: "bench", Bytes: ringDisk, Block: 512, Plan: cfg.Plans[0].Name}, {Action: "export", Name: "bench"}} {
-		if _, err := g.Volume(&q); err != nil {
+	for _, q := range []control.VolumeOrder{{Action: "create", Name: "bench", SizeBytes: ringDisk, BlockBytes: 512, Plan: cfg.Plans[0].Name}, {Action: "export", Name: "bench"}} {
+		if _, err := g.ExecuteVolumeOrder(&q); err != nil {
 			return err
 		}
 	}
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -14,10 +14,10 @@
 	Host string // the gateway's label
 }
 
-// Refused is a request that the gateway did not carry out.
-type Refused struct{ Code, Reason string }
+// Refusal is a request that the gateway did not carry out.
+type Refusal struct{ Code, Reason string }
 
-func (r *Refused) Error() string { return r.Reason }
+func (r *Refusal) Error() string { return r.Reason }
 
 // Dial connects to the control end of a gateway.
 func Dial(path string) (*Client, error) {
@@ -28,7 +28,7 @@
 	c := &Client{nc: nc}
 	nc.SetDeadline(time.Now().Add(5 * time.Second))
 	var hello Hello
-	if err = writeFrame(nc, Hello{Version: Version}); err == nil {
+	if err = writeFrame(nc, Hello{Version: ProtocolVersion}); err == nil {
 		err = readFrame(nc, &hello)
 	}
 	if err == nil && hello.Refused != "" {
@@ -63,7 +63,7 @@
 		return nil, fmt.Errorf("control: %w", err)
 	}
 	if r.Code != "" {
-		return nil, &Refused{r.Code, r.Error}
+		return nil, &Refusal{r.Code, r.Error}
 	}
 	return r, nil
 }
--- a/internal/control/console/run.go
+++ b/internal/control/console/run.go
@@ -20,7 +20,7 @@
 func Run(ctx context.Context, socket string, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	m := &model{socket: socket, state: State{Link: "connecting"}}
+	m := &model{socket: socket, state: State{LinkError: "connecting"}}
 	p := tea.NewProgram(m, tea.WithContext(ctx), tea.WithInput(in), tea.WithOutput(out))
 	done := make(chan struct{})
 	go func() {
@@ -40,7 +40,7 @@
 type (
 	linkMsg    string            // what is wrong with the connection; "": nothing
 	newsMsg    *control.Response // of the watch
-	runningMsg []control.Running
+	runningMsg []control.RunningRequest
 	costMsg    struct {
 		brick string
 		cost  *drains.Cost
@@ -124,19 +124,19 @@
 	case tea.WindowSizeMsg:
 		s.Width, s.Height = msg.Width, msg.Height
 	case tea.KeyPressMsg:
-		return m, m.do(s.Key(msg.String()))
+		return m, m.do(s.HandleKey(msg.String()))
 	case linkMsg:
-		s.Link = string(msg)
+		s.LinkError = string(msg)
 	case newsMsg:
-		s.Take(msg)
+		s.Update(msg)
 		if s.Screen == Requests {
 			return m, m.fetch()
 		}
 	case runningMsg:
 		s.Running = msg
 	case costMsg:
-		if s.Asking != nil && s.Asking.Brick == msg.brick {
-			s.Asking.Cost = msg.cost
+		if s.Confirmation != nil && s.Confirmation.Brick == msg.brick {
+			s.Confirmation.Cost = msg.cost
 		}
 	case noteMsg:
 		s.Note = string(msg)
@@ -144,15 +144,15 @@
 	return m, nil
 }
 
-func (m *model) do(d Do) tea.Cmd {
+func (m *model) do(d Action) tea.Cmd {
 	switch {
 	case d.Quit:
 		return tea.Quit
-	case d.Cost != "":
-		return m.cost(d.Cost)
+	case d.FetchCost != "":
+		return m.cost(d.FetchCost)
 	case d.Order != nil:
 		return m.order(*d.Order)
-	case d.Fetch:
+	case d.FetchRunning:
 		return m.fetch()
 	}
 	return nil
@@ -195,7 +195,7 @@
 func (m *model) order(o drains.Order) tea.Cmd {
 	var id [12]byte
 	rand.Read(id[:])
-	o.ID, o.Who = hex.EncodeToString(id[:]), os.Getenv("USER")
+	o.ID, o.Operator = hex.EncodeToString(id[:]), os.Getenv("USER")
 	return func() tea.Msg {
 		var err error
 		for range orderTries {
@@ -205,9 +205,9 @@
 				if r.Result.Note != "" {
 					text += " (" + r.Result.Note + ")"
 				}
-				return noteMsg(text + ", in effect at " + time.UnixMicro(r.Effect).Format("15:04:05.000"))
+				return noteMsg(text + ", in effect at " + time.UnixMicro(r.EffectiveAt).Format("15:04:05.000"))
 			}
-			var refused *control.Refused
+			var refused *control.Refusal
 			if errors.As(err, &refused) {
 				break
 			}
--- a/internal/control/console/view.go
+++ b/internal/control/console/view.go
@@ -34,30 +34,30 @@
 	Width, Height int
 	Screen        Screen
 	Help          bool
-	Row           int    // the chosen row of bricks; the first shown of the others
-	Link          string // "" while connected, else what is wrong
+	SelectedRow   int    // the chosen row of bricks; the first shown of the others
+	LinkError     string // "" while connected, else what is wrong
 	Snapshot      *control.Snapshot
-	Running       []control.Running
+	Running       []control.RunningRequest
 	Events        []control.Event
 	Rates         []float64            // requests ended a second, by snapshot
 	Utils         map[string][]float64 // by brick, by snapshot
-	Asking        *Question
+	Confirmation  *Confirmation
 	Note          string // what the last command did
-	Watching      string // brick whose drain is followed until it is idle
+	WatchedBrick  string // brick whose drain is followed until it is idle
 }
 
-// Question is a confirmation that waits for a key.
-type Question struct {
-	Brick string
-	Kind  drains.Kind
-	Cost  *drains.Cost // nil: not known yet
-	Out   int
+// Confirmation is a confirmation that waits for a key.
+type Confirmation struct {
+	Brick               string
+	Kind                drains.Kind
+	Cost                *drains.Cost // nil: not known yet
+	OutstandingRequests int
 }
 
 const historyMost = 600 // snapshots: five minutes
 
-// Take brings a new snapshot and events into the state.
-func (s *State) Take(r *control.Response) {
+// Update brings a new snapshot and events into the state.
+func (s *State) Update(r *control.Response) {
 	for _, e := range r.Events {
 		if n := len(s.Events); n == 0 || e.Number > s.Events[n-1].Number {
 			s.Events = append(s.Events, e)
@@ -79,15 +79,15 @@
 	}
 	for _, b := range r.Snapshot.Bricks {
 		s.Utils[b.Status.Brick] = push(s.Utils[b.Status.Brick], max(0, b.Util))
-		if b.Status.Brick == s.Watching {
-			s.Note = fmt.Sprintf("%s is %s: %d requests out", s.Watching, b.State, b.Requests)
-			if b.Requests == 0 {
-				s.Note = fmt.Sprintf("%s is %s and idle", s.Watching, b.State)
-				s.Watching = ""
+		if b.Status.Brick == s.WatchedBrick {
+			s.Note = fmt.Sprintf("%s is %s: %d requests out", s.WatchedBrick, b.State, b.OutstandingRequests)
+			if b.OutstandingRequests == 0 {
+				s.Note = fmt.Sprintf("%s is %s and idle", s.WatchedBrick, b.State)
+				s.WatchedBrick = ""
 			}
 		}
 	}
-	s.Row = min(s.Row, max(0, s.rows()-1))
+	s.SelectedRow = min(s.SelectedRow, max(0, s.rows()-1))
 }
 
 func push(list []float64, v float64) []float64 {
@@ -123,88 +123,88 @@
 	return list
 }
 
-// Chosen returns the brick under the cursor.
-func (s *State) Chosen() (control.BrickStatus, bool) {
+// SelectedBrick returns the brick under the cursor.
+func (s *State) SelectedBrick() (control.BrickStatus, bool) {
 	list := s.sorted()
-	if s.Screen != Bricks || s.Row >= len(list) {
+	if s.Screen != Bricks || s.SelectedRow >= len(list) {
 		return control.BrickStatus{}, false
 	}
-	return list[s.Row], true
+	return list[s.SelectedRow], true
 }
 
-// Do is what a key asks for.
-type Do struct {
-	Quit  bool
-	Cost  string // ask what draining this brick would cost
-	Order *drains.Order
-	Fetch bool // the requests that run
+// Action is what a key asks for.
+type Action struct {
+	Quit         bool
+	FetchCost    string // ask what draining this brick would cost
+	Order        *drains.Order
+	FetchRunning bool // the requests that run
 }
 
-// Key takes in a key, by its name as bubbletea gives it.
-func (s *State) Key(key string) Do {
+// HandleKey takes in a key, by its name as bubbletea gives it.
+func (s *State) HandleKey(key string) Action {
 	if key == "ctrl+c" {
-		return Do{Quit: true}
+		return Action{Quit: true}
 	}
-	if s.Asking != nil {
+	if s.Confirmation != nil {
 		return s.answer(key)
 	}
 	if s.Help {
 		s.Help = false
-		return Do{Quit: key == "q"}
+		return Action{Quit: key == "q"}
 	}
 	switch key {
 	case "q":
-		return Do{Quit: true}
+		return Action{Quit: true}
 	case "?", "h":
 		s.Help = true
 	case "1", "2", "3", "4":
-		s.Screen, s.Row = Screen(key[0]-'1'), 0
-		return Do{Fetch: s.Screen == Requests}
+		s.Screen, s.SelectedRow = Screen(key[0]-'1'), 0
+		return Action{FetchRunning: s.Screen == Requests}
 	case "tab":
-		s.Screen, s.Row = (s.Screen+1)%4, 0
-		return Do{Fetch: s.Screen == Requests}
+		s.Screen, s.SelectedRow = (s.Screen+1)%4, 0
+		return Action{FetchRunning: s.Screen == Requests}
 	case "up", "k":
-		s.Row = max(0, s.Row-1)
+		s.SelectedRow = max(0, s.SelectedRow-1)
 	case "down", "j":
-		s.Row = min(max(0, s.rows()-1), s.Row+1)
+		s.SelectedRow = min(max(0, s.rows()-1), s.SelectedRow+1)
 	case "d", "u":
 		return s.ask(key)
 	}
-	return Do{}
+	return Action{}
 }
 
-func (s *State) ask(key string) Do {
-	b, ok := s.Chosen()
+func (s *State) ask(key string) Action {
+	b, ok := s.SelectedBrick()
 	if !ok {
-		return Do{}
+		return Action{}
 	}
 	if key == "u" {
-		s.Asking = &Question{Brick: b.Status.Brick, Kind: drains.Undrain}
-		return Do{}
+		s.Confirmation = &Confirmation{Brick: b.Status.Brick, Kind: drains.Undrain}
+		return Action{}
 	}
-	s.Asking = &Question{Brick: b.Status.Brick, Kind: drains.Drain, Out: b.Requests}
-	return Do{Cost: b.Status.Brick}
+	s.Confirmation = &Confirmation{Brick: b.Status.Brick, Kind: drains.Drain, OutstandingRequests: b.OutstandingRequests}
+	return Action{FetchCost: b.Status.Brick}
 }
 
 // answer takes in the key that answers a question: y, or f where data would be
 // out of reach; any other key is a no.
-func (s *State) answer(key string) Do {
-	q := s.Asking
+func (s *State) answer(key string) Action {
+	q := s.Confirmation
 	force := key == "f"
-	s.Asking = nil
+	s.Confirmation = nil
 	switch {
 	case q.Kind == drains.Drain && q.Cost == nil: // not before its price is known
 		s.Note = "nothing was ordered"
-		return Do{}
+		return Action{}
 	case key == "y" && (q.Kind == drains.Undrain || !q.Cost.Unreachable), force && q.Kind == drains.Drain:
 		if q.Kind == drains.Drain {
-			s.Watching = q.Brick
+			s.WatchedBrick = q.Brick
 		}
 		s.Note = fmt.Sprintf("ordering to %s %s", q.Kind, q.Brick)
-		return Do{Order: &drains.Order{Kind: q.Kind, Brick: q.Brick, Force: force}}
+		return Action{Order: &drains.Order{Kind: q.Kind, Brick: q.Brick, Force: force}}
 	}
 	s.Note = "nothing was ordered"
-	return Do{}
+	return Action{}
 }
 
 // least is the smallest screen on which the tables fit.
@@ -259,8 +259,8 @@
 
 func (s *State) header() []string {
 	title := "arrowwalk: " + screenNames[s.Screen]
-	if s.Link != "" {
-		title += "   NO CONNECTION: " + s.Link
+	if s.LinkError != "" {
+		title += "   NO CONNECTION: " + s.LinkError
 	}
 	if s.Snapshot == nil {
 		return []string{title, ""}
@@ -268,8 +268,8 @@
 	x := s.Snapshot
 	return []string{title + "   host " + x.Host,
 		fmt.Sprintf("taken %d  served %d  refused %d  failed %d  queued %d  sent %d  connections %d  bodies %d KiB",
-			x.Taken, x.Served, x.Refused, x.Failed, x.Queued, x.Sent, x.Conns, (x.Memory+x.Spool)>>10),
-		fmt.Sprintf("requests a second %8.0f  %s", last(s.Rates), Spark(s.Rates, 40)), ""}
+			x.Accepted, x.Served, x.Refused, x.Failed, x.Queued, x.Sent, x.Connections, (x.BodyMemoryBytes+x.SpoolBytes)>>10),
+		fmt.Sprintf("requests a second %8.0f  %s", last(s.Rates), Sparkline(s.Rates, 40)), ""}
 }
 
 func last(list []float64) float64 {
@@ -279,8 +279,8 @@
 	return list[len(list)-1]
 }
 
-// Spark draws the last width values as bars, the highest of them full.
-func Spark(list []float64, width int) string {
+// Sparkline draws the last width values as bars, the highest of them full.
+func Sparkline(list []float64, width int) string {
 	bars := []rune("▁▂▃▄▅▆▇█")
 	list = list[max(0, len(list)-width):]
 	most := 0.0
@@ -301,18 +301,18 @@
 func (s *State) bricks(room int) []string {
 	out := []string{"  brick            state     util last min  queue  out units/cap     p50     p99 failed"}
 	list := s.sorted()
-	first := max(0, s.Row-(room-4))
+	first := max(0, s.SelectedRow-(room-4))
 	for i, b := range list[first:] {
 		mark := "  "
-		if first+i == s.Row {
+		if first+i == s.SelectedRow {
 			mark = "> "
 		}
 		state := string(b.State)
 		if b.Cold && b.State == drains.Ready {
 			state = "cold"
 		}
-		if b.Bad > 0 {
-			state = fmt.Sprintf("BAD %d", b.Bad)
+		if b.QuarantinedBlocks > 0 {
+			state = fmt.Sprintf("BAD %d", b.QuarantinedBlocks)
 		}
 		if b.Full {
 			state = "FULL"
@@ -322,9 +322,9 @@
 			util = fmt.Sprintf("%3.0f%%", 100*b.Util)
 		}
 		out = append(out, fmt.Sprintf("%s%-16.16s %-8.8s %s %-8s %6s %4d %5.1f/%-4.1f %7s %7s %6d", mark, b.Status.Brick, state, util,
-			Spark(s.Utils[b.Status.Brick], 8), short(time.Duration(b.QueueUS)*time.Microsecond), b.Requests, b.UnitsOut, b.Cap, short(b.P50), short(b.P99), total(b.Failed)))
+			Sparkline(s.Utils[b.Status.Brick], 8), short(time.Duration(b.QueueUS)*time.Microsecond), b.OutstandingRequests, b.OutstandingUnits, b.Cap, short(b.P50), short(b.P99), total(b.Failed)))
 	}
-	if b, ok := s.Chosen(); ok {
+	if b, ok := s.SelectedBrick(); ok {
 		out = append(out, "", "  "+s.why(b))
 	}
 	return out
@@ -333,10 +333,10 @@
 // why tells of the chosen brick what does not fit into its row.
 func (s *State) why(b control.BrickStatus) string {
 	text := fmt.Sprintf("%s: shard %d, %s, %s, %s", b.Status.Brick, b.Shard, b.Zone, b.Address, b.Trust)
-	if b.By != drains.ByNobody {
-		text += "; " + string(b.State) + " by " + string(b.By)
-		if b.Who != "" {
-			text += " (" + b.Who + ", " + time.UnixMicro(b.Since).Format("15:04:05") + ")"
+	if b.Origin != drains.ByNone {
+		text += "; " + string(b.State) + " by " + string(b.Origin)
+		if b.Operator != "" {
+			text += " (" + b.Operator + ", " + time.UnixMicro(b.Since).Format("15:04:05") + ")"
 		}
 	}
 	for _, reason := range slices.Sorted(maps.Keys(b.Failed)) {
@@ -367,10 +367,10 @@
 func (s *State) volumes() []string {
 	out := []string{"  collection          plan          served   refused   failed  quadrant  paced at  reserve"}
 	for i, v := range s.Snapshot.Volumes {
-		if i >= s.Row {
+		if i >= s.SelectedRow {
 			paced := "-"
-			if v.Rate > 0 {
-				paced = fmt.Sprintf("%.1f/s", v.Rate)
+			if v.TokenRate > 0 {
+				paced = fmt.Sprintf("%.1f/s", v.TokenRate)
 			}
 			out = append(out, fmt.Sprintf("  %-19.19s %-10.10s %9d %9d %8d  %-8s %9s %8.1f", v.Name, v.Plan, v.Served, v.Refused, v.Failed, v.Quadrant, paced, v.Reserve))
 		}
@@ -381,8 +381,8 @@
 func (s *State) requests() []string {
 	out := []string{"  request                        class      age stage   brick            tries"}
 	for i, r := range s.Running {
-		if i >= s.Row {
-			out = append(out, fmt.Sprintf("  %-30.30s %-5.5s %8s %-7.7s %-16.16s %5d", r.ID, r.Class, short(time.Duration(r.AgeUS)*time.Microsecond), r.Stage, r.Brick, r.Tries))
+		if i >= s.SelectedRow {
+			out = append(out, fmt.Sprintf("  %-30.30s %-5.5s %8s %-7.7s %-16.16s %5d", r.ID, r.Class, short(time.Duration(r.AgeUS)*time.Microsecond), r.Stage, r.Brick, r.Attempts))
 		}
 	}
 	return out
@@ -390,15 +390,15 @@
 
 func (s *State) events(room int) []string {
 	out := []string{"  number  time          kind      what"}
-	from := max(0, len(s.Events)-(room-1)-s.Row)
-	for _, e := range s.Events[from:max(from, len(s.Events)-s.Row)] {
+	from := max(0, len(s.Events)-(room-1)-s.SelectedRow)
+	for _, e := range s.Events[from:max(from, len(s.Events)-s.SelectedRow)] {
 		out = append(out, fmt.Sprintf("  %6d  %s  %-8.8s  %s", e.Number, time.UnixMicro(e.At).Format("15:04:05.000"), e.Kind, e.Text))
 	}
 	return out
 }
 
 func (s *State) prompt() string {
-	q := s.Asking
+	q := s.Confirmation
 	switch {
 	case q == nil:
 		return s.Note
@@ -411,9 +411,9 @@
 		if len(q.Cost.Volumes) > 0 {
 			who = strings.Join(q.Cost.Volumes, ", ")
 		}
-		return fmt.Sprintf("drain %s? %d out; OUT OF REACH: %s. f drains all the same", q.Brick, q.Out, who)
+		return fmt.Sprintf("drain %s? %d out; OUT OF REACH: %s. f drains all the same", q.Brick, q.OutstandingRequests, who)
 	}
-	return fmt.Sprintf("drain %s? %d requests out may end, shard %d goes on elsewhere. y drains", q.Brick, q.Out, q.Cost.Shard)
+	return fmt.Sprintf("drain %s? %d requests out may end, shard %d goes on elsewhere. y drains", q.Brick, q.OutstandingRequests, q.Cost.Shard)
 }
 
 var help = []string{
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -18,7 +18,7 @@
 	"go.uber.org/goleak"
 
 	"arrowwalk/internal/control/drains"
-	"arrowwalk/internal/control/record"
+	"arrowwalk/internal/control/orderlog"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -26,23 +26,23 @@
 // still is a gateway at which nothing happens.
 type still struct{ big int }
 
-func (s still) Volume(*VolumeOrder) ([]VolumeInfo, error) { return nil, nil }
+func (s still) ExecuteVolumeOrder(*VolumeOrder) ([]VolumeInfo, error) { return nil, nil }
 
 func (s still) Snapshot() *Snapshot {
 	return &Snapshot{Host: "still", Bricks: make([]BrickStatus, s.big)}
 }
-func (still) Running() []Running { return []Running{{ID: "r"}} }
-func (still) Label() string      { return "still" }
+func (still) RunningRequests() []RunningRequest { return []RunningRequest{{ID: "r"}} }
+func (still) HostLabel() string                 { return "still" }
 
 var site = []drains.Brick{{Name: "a", Shard: 0, State: drains.Ready}, {Name: "a2", Shard: 0, State: drains.Ready}, {Name: "b", Shard: 1, State: drains.Ready}}
 
-func serve(t *testing.T, book *record.Book, source Source) (*Desk, string) {
+func serve(t *testing.T, book *orderlog.Log, source Gateway) (*Controller, string) {
 	t.Helper()
-	desk, err := NewDesk(book)
+	desk, err := NewController(book)
 	if err != nil {
 		t.Fatal(err)
 	}
-	desk.Listed(site)
+	desk.UpdateBricks(site)
 	path := filepath.Join(t.TempDir(), "s")
 	s, err := Listen(path, desk, source, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -69,36 +69,36 @@
 // answer when they are repeated, and hold after a restart.
 func TestOrdersAndRecord(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "orders.db")
-	book, err := record.Open(file)
+	book, err := orderlog.Open(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	desk, path := serve(t, book, still{})
 	applied := 0
-	desk.Apply(func() {
+	desk.SetApplyFunc(func() {
 		applied++
-		if kept, err := book.After(0, 100); err != nil || len(kept) == 0 {
+		if kept, err := book.EntriesAfter(0, 100); err != nil || len(kept) == 0 {
 			t.Error("an order is carried out before it is recorded")
 		}
 	})
 	c := dial(t, path)
 	order := func(o drains.Order) (*Response, error) { return c.Call(Request{Op: OpOrder, Order: o}) }
-	first, err := order(drains.Order{ID: "1", Kind: drains.Drain, Brick: "a", Who: "op", Reason: "disk"})
-	if err != nil || !first.Result.Done || first.Effect == 0 || !strings.HasPrefix(first.Result.After.Who, "op (uid ") {
+	first, err := order(drains.Order{ID: "1", Kind: drains.Drain, Brick: "a", Operator: "op", Reason: "disk"})
+	if err != nil || !first.Result.Changed || first.EffectiveAt == 0 || !strings.HasPrefix(first.Result.After.Operator, "op (uid ") {
 		t.Fatalf("%+v %v", first, err)
 	}
 	again, err := order(drains.Order{ID: "1", Kind: drains.Drain, Brick: "a"})
 	if err != nil || again.Result.Number != first.Result.Number || applied != 1 {
 		t.Errorf("a repeat: %+v %v, applied %d times", again, err, applied)
 	}
-	var refused *Refused
+	var refused *Refusal
 	if _, err := order(drains.Order{ID: "2", Kind: drains.Drain, Brick: "b"}); !errors.As(err, &refused) || refused.Code != "unreachable" {
 		t.Errorf("the last brick of a shard: %v", err)
 	}
 	if _, err := c.Call(Request{Op: "dance"}); !errors.As(err, &refused) || refused.Code != "bad_request" {
 		t.Errorf("unknown operation: %v", err)
 	}
-	if r, err := c.Call(Request{Op: OpEvents, Most: 100}); err != nil || len(r.Events) != 4 || r.Events[3].Entry == nil || r.Events[3].Entry.Order.Reason != "disk" {
+	if r, err := c.Call(Request{Op: OpEvents, MaxEvents: 100}); err != nil || len(r.Events) != 4 || r.Events[3].Entry == nil || r.Events[3].Entry.Order.Reason != "disk" {
 		t.Errorf("events: %+v %v", r, err)
 	}
 	if r, err := c.Call(Request{Op: OpCost, Brick: "b"}); err != nil || !r.Cost.Unreachable {
@@ -108,23 +108,23 @@
 		t.Errorf("running: %+v %v", r, err)
 	}
 	book.Close()
-	if _, err := order(drains.Order{ID: "3", Kind: drains.Undrain, Brick: "a"}); !errors.As(err, &refused) || refused.Code != "not_recorded" || desk.State("a") != drains.Draining {
-		t.Errorf("an order that cannot be recorded: %v, %s", err, desk.State("a"))
+	if _, err := order(drains.Order{ID: "3", Kind: drains.Undrain, Brick: "a"}); !errors.As(err, &refused) || refused.Code != "not_recorded" || desk.BrickState("a") != drains.Draining {
+		t.Errorf("an order that cannot be recorded: %v, %s", err, desk.BrickState("a"))
 	}
 
-	if book, err = record.Open(file); err != nil {
+	if book, err = orderlog.Open(file); err != nil {
 		t.Fatal(err)
 	}
 	defer book.Close()
-	later, err := NewDesk(book)
+	later, err := NewController(book)
 	if err != nil {
 		t.Fatal(err)
 	}
-	later.Listed(site)
-	if s := later.Statuses()[0]; s.State != drains.Draining || s.By != drains.ByHand || s.Number != 1 {
+	later.UpdateBricks(site)
+	if s := later.Statuses()[0]; s.State != drains.Draining || s.Origin != drains.ByOperator || s.Number != 1 {
 		t.Errorf("after a restart: %+v", s)
 	}
-	if _, _, err := later.Order(drains.Order{Kind: drains.Undrain, Brick: "a"}); err != nil {
+	if _, _, err := later.SubmitOrder(drains.Order{Kind: drains.Undrain, Brick: "a"}); err != nil {
 		t.Error(err)
 	}
 }
@@ -171,7 +171,7 @@
 		t.Fatal(err)
 	}
 	for i := range events {
-		desk.Event("test", "", fmt.Sprint("event ", i))
+		desk.PublishEvent("test", "", fmt.Sprint("event ", i))
 	}
 	wg.Wait()
 	f := desk.subscribe(0)
@@ -182,7 +182,7 @@
 		t.Errorf("a slow watcher's feed: %d events, %d snapshots missed, %v", len(got), missed, ok)
 	}
 	for range feedMost + 1 {
-		desk.Event("flood", "", "")
+		desk.PublishEvent("flood", "", "")
 	}
 	if _, _, _, ok := f.take(); ok {
 		t.Error("a watcher that lost events is not cut off")
--- a/internal/control/desk.go
+++ b/internal/control/desk.go
@@ -6,21 +6,21 @@
 	"time"
 
 	"arrowwalk/internal/control/drains"
-	"arrowwalk/internal/control/meters"
-	"arrowwalk/internal/control/record"
+	"arrowwalk/internal/control/orderlog"
+	"arrowwalk/internal/control/trafficstats"
 )
 
-// Desk is what stands behind the socket: the board of drains, the record of
+// Controller is what stands behind the socket: the board of drains, the record of
 // orders, the meters and the events. It is safe for concurrent use.
-type Desk struct {
-	Meters *meters.Board
-	Stage  func(string) // called as an order is "recorded" and "applied"; may be nil
+type Controller struct {
+	Stats   *trafficstats.Collector
+	OnStage func(string) // called as an order is "recorded" and "applied"; may be nil
 
 	mu     sync.Mutex
-	board  *drains.Board
-	book   *record.Book // nil: orders are not kept
-	apply  func()       // has the host told of changed states; returns when it has taken them
-	events []Event      // the last ones
+	board  *drains.Registry
+	book   *orderlog.Log // nil: orders are not kept
+	apply  func()        // has the host told of changed states; returns when it has taken them
+	events []Event       // the last ones
 	last   int64
 	feeds  map[*feed]struct{}
 }
@@ -28,10 +28,10 @@
 // eventsMost is how many events are kept for those who ask later.
 const eventsMost = 4096
 
-// NewDesk plays the kept orders again. book may be nil: orders are forgotten
+// NewController plays the kept orders again. book may be nil: orders are forgotten
 // at the end then.
-func NewDesk(book *record.Book) (*Desk, error) {
-	d := &Desk{Meters: meters.NewBoard(), board: drains.NewBoard(), book: book, feeds: map[*feed]struct{}{}}
+func NewController(book *orderlog.Log) (*Controller, error) {
+	d := &Controller{Stats: trafficstats.NewCollector(), board: drains.NewRegistry(), book: book, feeds: map[*feed]struct{}{}}
 	if book != nil {
 		if err := book.Replay(d.board); err != nil {
 			return nil, fmt.Errorf("play orders again: %w", err)
@@ -40,23 +40,23 @@
 	return d, nil
 }
 
-// Apply sets who has the host told when an order changed something.
-func (d *Desk) Apply(do func()) {
+// SetApplyFunc sets who has the host told when an order changed something.
+func (d *Controller) SetApplyFunc(do func()) {
 	d.mu.Lock()
 	d.apply = do
 	d.mu.Unlock()
 }
 
-// Listed takes in discovery's word.
-func (d *Desk) Listed(list []drains.Brick) {
+// UpdateBricks takes in discovery's word.
+func (d *Controller) UpdateBricks(list []drains.Brick) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	before := map[string]drains.State{}
-	for _, s := range d.board.All() {
+	for _, s := range d.board.Statuses() {
 		before[s.Brick] = s.State
 	}
-	d.board.Discovery(list)
-	for _, s := range d.board.All() {
+	d.board.UpdateBricks(list)
+	for _, s := range d.board.Statuses() {
 		if old, known := before[s.Brick]; known && old != s.State || !known {
 			d.event("brick", s.Brick, fmt.Sprintf("%s is %s%s", s.Brick, s.State, byWhom(s)), nil)
 		}
@@ -64,17 +64,17 @@
 }
 
 func byWhom(s drains.Status) string {
-	if s.By == drains.ByNobody {
+	if s.Origin == drains.ByNone {
 		return ""
 	}
-	return " by " + string(s.By)
+	return " by " + string(s.Origin)
 }
 
-// Self takes in a brick's own word, and tells whether that is new.
-func (d *Desk) Self(brick string, draining bool) bool {
+// SetSelfDraining takes in a brick's own word, and tells whether that is new.
+func (d *Controller) SetSelfDraining(brick string, draining bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.board.Self(brick, draining) {
+	if !d.board.SetSelfDraining(brick, draining) {
 		return false
 	}
 	s := d.board.Status(brick)
@@ -82,37 +82,37 @@
 	return true
 }
 
-// State returns what may be sent to a brick.
-func (d *Desk) State(brick string) drains.State {
+// BrickState returns what may be sent to a brick.
+func (d *Controller) BrickState(brick string) drains.State {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.board.Status(brick).State
 }
 
 // Statuses returns all bricks' states.
-func (d *Desk) Statuses() []drains.Status {
+func (d *Controller) Statuses() []drains.Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.board.All()
+	return d.board.Statuses()
 }
 
-// Cost returns what draining a brick would take away.
-func (d *Desk) Cost(brick string) drains.Cost {
-	volumes := d.Meters.ByShard()
+// DrainCost returns what draining a brick would take away.
+func (d *Controller) DrainCost(brick string) drains.Cost {
+	volumes := d.Stats.VolumesByShard()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.board.Cost(brick, volumes)
 }
 
-// Order decides on an order, records it, carries it out and returns when the
+// SubmitOrder decides on an order, records it, carries it out and returns when the
 // host had taken it. It is on disk before anything follows from it: a crash in
 // between leaves an order that the next start carries out.
-func (d *Desk) Order(o drains.Order) (drains.Result, time.Time, error) {
-	volumes := d.Meters.ByShard()
+func (d *Controller) SubmitOrder(o drains.Order) (drains.Result, time.Time, error) {
+	volumes := d.Stats.VolumesByShard()
 	d.mu.Lock()
 	result, again, err := d.board.Preview(o, volumes)
 	if err == nil && !again && d.book != nil {
-		err = d.book.Append(record.Entry{Order: o, Result: result})
+		err = d.book.Append(orderlog.Entry{Order: o, Result: result})
 	}
 	if err == nil && !again {
 		d.stage("recorded")
@@ -122,31 +122,31 @@
 		return result, time.Now(), err
 	}
 	d.board.Apply(o)
-	d.event(string(o.Kind), o.Brick, fmt.Sprintf("%s orders to %s %s: now %s%s", o.Who, o.Kind, o.Brick, result.After.State, byWhom(result.After)),
-		&record.Entry{Order: o, Result: result})
+	d.event(string(o.Kind), o.Brick, fmt.Sprintf("%s orders to %s %s: now %s%s", o.Operator, o.Kind, o.Brick, result.After.State, byWhom(result.After)),
+		&orderlog.Entry{Order: o, Result: result})
 	apply := d.apply
 	d.mu.Unlock()
-	if apply != nil && result.Done {
+	if apply != nil && result.Changed {
 		apply()
 	}
 	d.stage("applied")
 	return result, time.Now(), nil
 }
 
-func (d *Desk) stage(name string) {
-	if d.Stage != nil {
-		d.Stage(name)
+func (d *Controller) stage(name string) {
+	if d.OnStage != nil {
+		d.OnStage(name)
 	}
 }
 
-// Event tells of something that happened.
-func (d *Desk) Event(kind, brick, text string) {
+// PublishEvent tells of something that happened.
+func (d *Controller) PublishEvent(kind, brick, text string) {
 	d.mu.Lock()
 	d.event(kind, brick, text, nil)
 	d.mu.Unlock()
 }
 
-func (d *Desk) event(kind, brick, text string, entry *record.Entry) {
+func (d *Controller) event(kind, brick, text string, entry *orderlog.Entry) {
 	d.last++
 	e := Event{Number: d.last, At: time.Now().UnixMicro(), Kind: kind, Brick: brick, Text: text, Entry: entry}
 	if len(d.events) >= eventsMost {
@@ -158,8 +158,8 @@
 	}
 }
 
-// Events returns at most most kept events with numbers over after.
-func (d *Desk) Events(after int64, most int) []Event {
+// EventsAfter returns at most most kept events with numbers over after.
+func (d *Controller) EventsAfter(after int64, most int) []Event {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []Event
@@ -171,8 +171,8 @@
 	return out
 }
 
-// LastEvent returns the last event's number.
-func (d *Desk) LastEvent() int64 {
+// LastEventNumber returns the last event's number.
+func (d *Controller) LastEventNumber() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.last
@@ -192,7 +192,7 @@
 // feedMost is how many events wait for a watcher that does not read.
 const feedMost = 2048
 
-func (d *Desk) subscribe(after int64) *feed {
+func (d *Controller) subscribe(after int64) *feed {
 	f := &feed{ready: make(chan struct{}, 1)}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -205,7 +205,7 @@
 	return f
 }
 
-func (d *Desk) unsubscribe(f *feed) {
+func (d *Controller) unsubscribe(f *feed) {
 	d.mu.Lock()
 	delete(d.feeds, f)
 	d.mu.Unlock()
--- a/internal/control/drains/drains.go
+++ b/internal/control/drains/drains.go
@@ -34,15 +34,15 @@
 	Gone     State = "gone"
 )
 
-// By says whose word a state follows from.
-type By string
+// Origin says whose word a state follows from.
+type Origin string
 
 // Whose word it is.
 const (
-	ByHand      By = "hand"
-	ByDiscovery By = "discovery"
-	ByBrick     By = "brick"
-	ByNobody    By = ""
+	ByOperator  Origin = "hand"
+	ByDiscovery Origin = "discovery"
+	ByBrick     Origin = "brick"
+	ByNone      Origin = ""
 )
 
 // Kind is what an order asks for.
@@ -57,35 +57,35 @@
 
 // Order is an operator's command.
 type Order struct {
-	ID     string `json:"id"` // the sender's: the same one again has the same answer
-	Kind   Kind   `json:"kind"`
-	Brick  string `json:"brick"`
-	Number int64  `json:"number,omitempty"` // of Cancel: the drain that is meant
-	Force  bool   `json:"force,omitempty"`  // also where data can no longer be reached
-	Who    string `json:"who"`
-	At     int64  `json:"at"` // microseconds since 1970
-	Reason string `json:"reason,omitempty"`
+	ID       string `json:"id"` // the sender's: the same one again has the same answer
+	Kind     Kind   `json:"kind"`
+	Brick    string `json:"brick"`
+	Number   int64  `json:"number,omitempty"` // of Cancel: the drain that is meant
+	Force    bool   `json:"force,omitempty"`  // also where data can no longer be reached
+	Operator string `json:"who"`
+	At       int64  `json:"at"` // microseconds since 1970
+	Reason   string `json:"reason,omitempty"`
 }
 
 // Status is a brick's state and why it is so.
 type Status struct {
-	Brick  string `json:"brick"`
-	Shard  int    `json:"shard"`
-	State  State  `json:"state"`
-	By     By     `json:"by,omitempty"`
-	Who    string `json:"who,omitempty"`    // of ByHand
-	Since  int64  `json:"since,omitempty"`  // of ByHand, microseconds since 1970
-	Number int64  `json:"number,omitempty"` // of ByHand: the order
-	Also   []By   `json:"also,omitempty"`   // who else says that it drains
+	Brick        string   `json:"brick"`
+	Shard        int      `json:"shard"`
+	State        State    `json:"state"`
+	Origin       Origin   `json:"by,omitempty"`
+	Operator     string   `json:"who,omitempty"`    // of ByHand
+	Since        int64    `json:"since,omitempty"`  // of ByHand, microseconds since 1970
+	Number       int64    `json:"number,omitempty"` // of ByHand: the order
+	OtherOrigins []Origin `json:"also,omitempty"`   // who else says that it drains
 }
 
 // Result is what became of an order.
 type Result struct {
-	Number int64  `json:"number"` // of the order, from 1; 0: it was not taken
-	Done   bool   `json:"done"`   // it changed something
-	Note   string `json:"note,omitempty"`
-	Before Status `json:"before"`
-	After  Status `json:"after"`
+	Number  int64  `json:"number"` // of the order, from 1; 0: it was not taken
+	Changed bool   `json:"done"`   // it changed something
+	Note    string `json:"note,omitempty"`
+	Before  Status `json:"before"`
+	After   Status `json:"after"`
 }
 
 // Refusal is an order that was not taken.
@@ -111,8 +111,8 @@
 	self      bool // the brick says that it drains
 }
 
-// Board holds all orders in force and all words.
-type Board struct {
+// Registry holds all orders in force and all words.
+type Registry struct {
 	hands map[string]hand
 	words map[string]word
 	last  int64             // number of the last order
@@ -123,9 +123,9 @@
 // seenMost is how many orders are remembered for repeats.
 const seenMost = 1024
 
-// NewBoard returns an empty board.
-func NewBoard() *Board {
-	return &Board{hands: map[string]hand{}, words: map[string]word{}, seen: map[string]Result{}}
+// NewRegistry returns an empty board.
+func NewRegistry() *Registry {
+	return &Registry{hands: map[string]hand{}, words: map[string]word{}, seen: map[string]Result{}}
 }
 
 // Brick is what discovery says of one brick.
@@ -136,8 +136,8 @@
 	Started int64 // a brick that has started anew takes its word back
 }
 
-// Discovery takes in a complete list.
-func (b *Board) Discovery(list []Brick) {
+// UpdateBricks takes in a complete list.
+func (b *Registry) UpdateBricks(list []Brick) {
 	next := make(map[string]word, len(list))
 	for _, e := range list {
 		old := b.words[e.Name]
@@ -146,10 +146,10 @@
 	b.words = next
 }
 
-// Self takes in what a brick says of itself, and tells whether that is new. A
+// SetSelfDraining takes in what a brick says of itself, and tells whether that is new. A
 // brick that drains gets no work and so says nothing more: its word holds until
 // it starts anew, says otherwise, or is undrained by hand.
-func (b *Board) Self(name string, draining bool) bool {
+func (b *Registry) SetSelfDraining(name string, draining bool) bool {
 	w, ok := b.words[name]
 	if !ok || w.self == draining {
 		return false
@@ -160,38 +160,38 @@
 }
 
 // Status returns a brick's state.
-func (b *Board) Status(name string) Status {
+func (b *Registry) Status(name string) Status {
 	w, known := b.words[name]
 	h, byHand := b.hands[name]
 	s := Status{Brick: name, Shard: w.shard, State: Ready}
 	says := []struct {
-		by By
+		by Origin
 		so bool
-	}{{ByHand, byHand}, {ByDiscovery, w.discovery == Draining}, {ByBrick, w.self}}
+	}{{ByOperator, byHand}, {ByDiscovery, w.discovery == Draining}, {ByBrick, w.self}}
 	for _, one := range says {
 		if !one.so {
 			continue
 		}
 		if s.State == Ready {
-			s.State, s.By = Draining, one.by
+			s.State, s.Origin = Draining, one.by
 		} else {
-			s.Also = append(s.Also, one.by)
+			s.OtherOrigins = append(s.OtherOrigins, one.by)
 		}
 	}
 	if byHand {
-		s.Who, s.Since, s.Number = h.who, h.at, h.number
+		s.Operator, s.Since, s.Number = h.who, h.at, h.number
 	}
 	if !known || w.discovery == Gone {
-		if s.By != ByNobody {
-			s.Also = append([]By{s.By}, s.Also...)
+		if s.Origin != ByNone {
+			s.OtherOrigins = append([]Origin{s.Origin}, s.OtherOrigins...)
 		}
-		s.State, s.By = Gone, ByDiscovery
+		s.State, s.Origin = Gone, ByDiscovery
 	}
 	return s
 }
 
-// All returns the state of every brick that is known or drained by hand.
-func (b *Board) All() []Status {
+// Statuses returns the state of every brick that is known or drained by hand.
+func (b *Registry) Statuses() []Status {
 	names := map[string]bool{}
 	for name := range b.words {
 		names[name] = true
@@ -215,7 +215,7 @@
 
 // Cost returns what draining a brick would take away. volumes names those that
 // have been served out of each shard.
-func (b *Board) Cost(name string, volumes map[int][]string) Cost {
+func (b *Registry) Cost(name string, volumes map[int][]string) Cost {
 	w := b.words[name]
 	c := Cost{Shard: w.shard, Unreachable: true, Volumes: slices.Sorted(slices.Values(volumes[w.shard]))}
 	for other, ow := range b.words {
@@ -226,10 +226,10 @@
 	return c
 }
 
-// Take decides on an order. The error is a *Refusal; nothing has changed then.
+// Submit decides on an order. The error is a *Refusal; nothing has changed then.
 // An order with an id that was taken before changes nothing and has the answer
 // that the first one had.
-func (b *Board) Take(o Order, volumes map[int][]string) (Result, error) {
+func (b *Registry) Submit(o Order, volumes map[int][]string) (Result, error) {
 	r, again, err := b.Preview(o, volumes)
 	if err != nil || again {
 		return r, err
@@ -239,18 +239,18 @@
 
 // Preview returns what Take would, without any change, and whether the order
 // is a repeat: so that it can be recorded first.
-func (b *Board) Preview(o Order, volumes map[int][]string) (r Result, again bool, err error) {
+func (b *Registry) Preview(o Order, volumes map[int][]string) (r Result, again bool, err error) {
 	if first, again := b.seen[o.ID]; again && o.ID != "" {
 		return first, true, nil
 	}
 	if err := b.refuse(o, volumes); err != nil {
 		return Result{}, false, err
 	}
-	trial := &Board{hands: maps.Clone(b.hands), words: maps.Clone(b.words), last: b.last, seen: map[string]Result{}}
+	trial := &Registry{hands: maps.Clone(b.hands), words: maps.Clone(b.words), last: b.last, seen: map[string]Result{}}
 	return trial.Apply(o), false, nil
 }
 
-func (b *Board) refuse(o Order, volumes map[int][]string) error {
+func (b *Registry) refuse(o Order, volumes map[int][]string) error {
 	before := b.Status(o.Brick)
 	_, known := b.words[o.Brick]
 	_, byHand := b.hands[o.Brick]
@@ -291,27 +291,27 @@
 
 // Apply carries out an order that was taken, also when a record is played
 // again; it cannot fail.
-func (b *Board) Apply(o Order) Result {
+func (b *Registry) Apply(o Order) Result {
 	b.last++
 	r := Result{Number: b.last, Before: b.Status(o.Brick)}
 	if o.Kind == Undrain {
-		r.Done = b.Self(o.Brick, false)
+		r.Changed = b.SetSelfDraining(o.Brick, false)
 	}
 	switch _, byHand := b.hands[o.Brick]; {
 	case o.Kind == Drain && byHand:
 		r.Note = "it was drained by hand already"
 	case o.Kind == Drain:
-		b.hands[o.Brick] = hand{b.last, o.Who, o.At}
-		r.Done = true
+		b.hands[o.Brick] = hand{b.last, o.Operator, o.At}
+		r.Changed = true
 	case byHand: // undrain and cancel
 		delete(b.hands, o.Brick)
-		r.Done = true
-	case !r.Done:
+		r.Changed = true
+	case !r.Changed:
 		r.Note = "it was not drained by hand"
 	}
 	r.After = b.Status(o.Brick)
 	if o.Kind != Drain && r.After.State == Draining {
-		r.Note = strings.TrimPrefix(r.Note+fmt.Sprintf("; it stays drained by %s", r.After.By), "; ")
+		r.Note = strings.TrimPrefix(r.Note+fmt.Sprintf("; it stays drained by %s", r.After.Origin), "; ")
 	}
 	if o.ID != "" {
 		b.remember(o.ID, r)
@@ -319,7 +319,7 @@
 	return r
 }
 
-func (b *Board) remember(id string, r Result) {
+func (b *Registry) remember(id string, r Result) {
 	if len(b.order) >= seenMost {
 		delete(b.seen, b.order[0])
 		b.order = b.order[1:]
@@ -328,8 +328,8 @@
 	b.order = append(b.order, id)
 }
 
-// Worst orders states for a table: those that need a look first.
-func Worst(a, b Status) int {
+// CompareUrgency orders states for a table: those that need a look first.
+func CompareUrgency(a, b Status) int {
 	rank := map[State]int{Draining: 0, Gone: 1, Ready: 2}
 	return cmp.Or(cmp.Compare(rank[a.State], rank[b.State]), cmp.Compare(a.Brick, b.Brick))
 }
--- a/internal/control/drains/drains_test.go
+++ b/internal/control/drains/drains_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-func board(list ...Brick) *Board {
-	b := NewBoard()
-	b.Discovery(list)
+func board(list ...Brick) *Registry {
+	b := NewRegistry()
+	b.UpdateBricks(list)
 	return b
 }
 
@@ -21,23 +21,23 @@
 		hand, self bool
 		discovery  State
 		state      State
-		by         By
-		also       []By
+		by         Origin
+		also       []Origin
 	}{
-		{false, false, Ready, Ready, ByNobody, nil},
-		{true, false, Ready, Draining, ByHand, nil},
+		{false, false, Ready, Ready, ByNone, nil},
+		{true, false, Ready, Draining, ByOperator, nil},
 		{false, true, Ready, Draining, ByBrick, nil},
-		{false, true, Draining, Draining, ByDiscovery, []By{ByBrick}},
-		{true, true, Draining, Draining, ByHand, []By{ByDiscovery, ByBrick}},
-		{true, false, Gone, Gone, ByDiscovery, []By{ByHand}},
+		{false, true, Draining, Draining, ByDiscovery, []Origin{ByBrick}},
+		{true, true, Draining, Draining, ByOperator, []Origin{ByDiscovery, ByBrick}},
+		{true, false, Gone, Gone, ByDiscovery, []Origin{ByOperator}},
 		{false, false, Gone, Gone, ByDiscovery, nil},
 	} {
 		b := board(Brick{"a", 0, c.discovery, 0}, Brick{"spare", 0, Ready, 0})
-		b.Self("a", c.self)
+		b.SetSelfDraining("a", c.self)
 		if c.hand {
-			b.Apply(Order{Kind: Drain, Brick: "a", Who: "op", At: 5})
+			b.Apply(Order{Kind: Drain, Brick: "a", Operator: "op", At: 5})
 		}
-		if s := b.Status("a"); s.State != c.state || s.By != c.by || !reflect.DeepEqual(s.Also, c.also) || c.hand && (s.Who != "op" || s.Number != 1) {
+		if s := b.Status("a"); s.State != c.state || s.Origin != c.by || !reflect.DeepEqual(s.OtherOrigins, c.also) || c.hand && (s.Operator != "op" || s.Number != 1) {
 			t.Errorf("%+v: %+v", c, s)
 		}
 	}
@@ -68,7 +68,7 @@
 		{Order{Kind: Undrain, Brick: "c"}, "", true, "it stays drained by discovery", Draining},
 		{Order{Kind: Undrain, Brick: "a"}, "", true, "", Ready},
 	} {
-		r, err := b.Take(c.order, volumes)
+		r, err := b.Submit(c.order, volumes)
 		var refusal *Refusal
 		errors.As(err, &refusal)
 		if c.refused != "" {
@@ -77,33 +77,33 @@
 			}
 			continue
 		}
-		if err != nil || r.Done != c.done || r.After.State != c.after || !strings.Contains(r.Note, c.note) {
+		if err != nil || r.Changed != c.done || r.After.State != c.after || !strings.Contains(r.Note, c.note) {
 			t.Errorf("order %d: %+v, %v", i, r, err)
 		}
 	}
 	b = board(Brick{"b", 1, Ready, 5})
-	if !b.Self("b", true) || b.Self("b", true) || b.Status("b").By != ByBrick {
+	if !b.SetSelfDraining("b", true) || b.SetSelfDraining("b", true) || b.Status("b").Origin != ByBrick {
 		t.Errorf("the brick's own word: %+v", b.Status("b"))
 	}
-	b.Discovery([]Brick{{"b", 1, Ready, 5}})
-	if b.Status("b").By != ByBrick {
+	b.UpdateBricks([]Brick{{"b", 1, Ready, 5}})
+	if b.Status("b").Origin != ByBrick {
 		t.Error("a new list takes the brick's word back")
 	}
-	if r := b.Apply(Order{Kind: Undrain, Brick: "b"}); !r.Done || r.After.State != Ready {
+	if r := b.Apply(Order{Kind: Undrain, Brick: "b"}); !r.Changed || r.After.State != Ready {
 		t.Errorf("an undrain of a brick that drains by its own word: %+v", r)
 	}
-	b.Self("b", true)
-	b.Discovery([]Brick{{"b", 1, Ready, 6}})
+	b.SetSelfDraining("b", true)
+	b.UpdateBricks([]Brick{{"b", 1, Ready, 6}})
 	if b.Status("b").State != Ready {
 		t.Error("a brick that has started anew is drained by its old word")
 	}
 	b.Apply(Order{Kind: Drain, Brick: "b"})
-	b.Discovery(nil)
+	b.UpdateBricks(nil)
 	if s := b.Status("b"); s.State != Gone {
 		t.Errorf("a drained brick that left: %+v", s)
 	}
-	b.Discovery([]Brick{{"b", 1, Ready, 0}})
-	if s := b.Status("b"); s.State != Draining || s.By != ByHand {
+	b.UpdateBricks([]Brick{{"b", 1, Ready, 0}})
+	if s := b.Status("b"); s.State != Draining || s.Origin != ByOperator {
 		t.Errorf("a brick drained by hand that came back: %+v", s)
 	}
 }
@@ -119,25 +119,25 @@
 		for i := range 60 {
 			if rnd.Intn(4) == 0 {
 				list[rnd.Intn(3)].State = []State{Ready, Draining, Gone}[rnd.Intn(3)]
-				first.Discovery(list)
+				first.UpdateBricks(list)
 			}
 			o := Order{ID: fmt.Sprint(i - rnd.Intn(3)), Kind: []Kind{Drain, Undrain, Cancel}[rnd.Intn(3)], Brick: list[rnd.Intn(3)].Name,
-				Number: int64(rnd.Intn(20)), Force: rnd.Intn(2) == 0, Who: fmt.Sprint("op", i%2), At: int64(i)}
+				Number: int64(rnd.Intn(20)), Force: rnd.Intn(2) == 0, Operator: fmt.Sprint("op", i%2), At: int64(i)}
 			_, again := first.seen[o.ID]
-			if r, err := first.Take(o, nil); err == nil && !again {
+			if r, err := first.Submit(o, nil); err == nil && !again {
 				record = append(record, o)
 				if r.Number != int64(len(record)) {
 					t.Fatalf("seed %d: order %d has number %d", seed, len(record), r.Number)
 				}
 			}
 		}
-		second := NewBoard()
+		second := NewRegistry()
 		for _, o := range record {
 			second.Apply(o)
 		}
-		second.Discovery(list)
-		a, _ := json.Marshal(first.All())
-		b, _ := json.Marshal(second.All())
+		second.UpdateBricks(list)
+		a, _ := json.Marshal(first.Statuses())
+		b, _ := json.Marshal(second.Statuses())
 		if string(a) != string(b) {
 			t.Fatalf("seed %d:\n%s\n%s", seed, a, b)
 		}
--- a/internal/control/record/record.go
+++ b/internal/control/orderlog/record.go
@@ -1,7 +1,7 @@
 // Package record keeps the orders that operators gave, in an embedded store
 // (bbolt) that survives a crash: an order is on disk before it is carried out,
 // and a start plays all of them again.
-package record
+package orderlog
 
 import (
 	"encoding/binary"
@@ -21,8 +21,8 @@
 	Result drains.Result `json:"result"`
 }
 
-// Book is an open record. It is safe for concurrent use.
-type Book struct{ db *bbolt.DB }
+// Log is an open record. It is safe for concurrent use.
+type Log struct{ db *bbolt.DB }
 
 var (
 	bucketOrders = []byte("orders")
@@ -38,7 +38,7 @@
 const lockWait = time.Second
 
 // Open opens or makes the record in a file, for its owner only.
-func Open(path string) (*Book, error) {
+func Open(path string) (*Log, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWait})
 	if err != nil {
 		return nil, fmt.Errorf("open record of orders %s: %w", path, err)
@@ -63,16 +63,16 @@
 		db.Close()
 		return nil, fmt.Errorf("open record of orders %s: %w", path, err)
 	}
-	return &Book{db}, nil
+	return &Log{db}, nil
 }
 
 // Close closes the record.
-func (b *Book) Close() error { return b.db.Close() }
+func (b *Log) Close() error { return b.db.Close() }
 
 func key(number int64) []byte { return binary.BigEndian.AppendUint64(nil, uint64(number)) }
 
 // Append keeps an entry under its number; it is on disk when this returns.
-func (b *Book) Append(e Entry) error {
+func (b *Log) Append(e Entry) error {
 	text, err := json.Marshal(e)
 	if err != nil {
 		return err
@@ -86,8 +86,8 @@
 	})
 }
 
-// After returns at most most entries with numbers over number, in order.
-func (b *Book) After(number int64, most int) ([]Entry, error) {
+// EntriesAfter returns at most most entries with numbers over number, in order.
+func (b *Log) EntriesAfter(number int64, most int) ([]Entry, error) {
 	var out []Entry
 	err := b.db.View(func(tx *bbolt.Tx) error {
 		c := tx.Bucket(bucketOrders).Cursor()
@@ -104,9 +104,9 @@
 }
 
 // Replay carries out all kept orders on a board.
-func (b *Book) Replay(board *drains.Board) error {
+func (b *Log) Replay(board *drains.Registry) error {
 	for last := int64(0); ; {
-		entries, err := b.After(last, 1000)
+		entries, err := b.EntriesAfter(last, 1000)
 		if err != nil {
 			return err
 		}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -13,19 +13,19 @@
 	"arrowwalk/internal/control/drains"
 )
 
-// Source is what the socket shows: the running gateway.
-type Source interface {
+// Gateway is what the socket shows: the running gateway.
+type Gateway interface {
 	Snapshot() *Snapshot
-	Running() []Running
-	Label() string
-	// Volume does an order on block volumes, and tells of those it names.
-	Volume(q *VolumeOrder) ([]VolumeInfo, error)
+	RunningRequests() []RunningRequest
+	HostLabel() string
+	// ExecuteVolumeOrder does an order on block volumes, and tells of those it names.
+	ExecuteVolumeOrder(q *VolumeOrder) ([]VolumeInfo, error)
 }
 
 // Server is the control end on a Unix socket.
 type Server struct {
-	desk   *Desk
-	source Source
+	desk   *Controller
+	source Gateway
 	log    *slog.Logger
 	ln     *net.UnixListener
 
@@ -45,7 +45,7 @@
 
 // Listen serves the control end at path, for the owner alone, until Close.
 // A socket that a crash left behind is replaced, a live one is not.
-func Listen(path string, desk *Desk, source Source, log *slog.Logger) (*Server, error) {
+func Listen(path string, desk *Controller, source Gateway, log *slog.Logger) (*Server, error) {
 	if c, err := net.Dial("unix", path); err == nil {
 		c.Close()
 		return nil, fmt.Errorf("control socket %s: another gateway serves it", path)
@@ -168,9 +168,9 @@
 	if err := readFrame(c, &hello); err != nil {
 		return
 	}
-	mine := Hello{Version: Version, Host: s.source.Label()}
-	if hello.Version != Version {
-		mine.Refused = fmt.Sprintf("version %d of the protocol, this gateway speaks %d", hello.Version, Version)
+	mine := Hello{Version: ProtocolVersion, Host: s.source.HostLabel()}
+	if hello.Version != ProtocolVersion {
+		mine.Refused = fmt.Sprintf("version %d of the protocol, this gateway speaks %d", hello.Version, ProtocolVersion)
 	}
 	if s.write(c, mine) != nil || mine.Refused != "" {
 		return
@@ -216,11 +216,11 @@
 	case OpStatus:
 		out.Snapshot = s.source.Snapshot()
 	case OpRunning:
-		out.Running = s.source.Running()
+		out.Running = s.source.RunningRequests()
 	case OpEvents:
-		out.Events = s.desk.Events(q.After, min(max(q.Most, 1), eventsMost))
+		out.Events = s.desk.EventsAfter(q.After, min(max(q.MaxEvents, 1), eventsMost))
 	case OpCost:
-		cost := s.desk.Cost(q.Brick)
+		cost := s.desk.DrainCost(q.Brick)
 		out.Cost = &cost
 	case OpVolume:
 		s.volume(q, out)
@@ -233,30 +233,30 @@
 }
 
 func (s *Server) volume(q *Request, out *Response) {
-	if q.Block == nil {
+	if q.VolumeOrder == nil {
 		out.Code, out.Error = "bad_request", "no volume order"
 		return
 	}
-	list, err := s.source.Volume(q.Block)
+	list, err := s.source.ExecuteVolumeOrder(q.VolumeOrder)
 	if err != nil {
 		out.Code, out.Error = "refused", err.Error()
 		return
 	}
-	out.Blocks = list
-	if q.Block.Action != "list" {
-		s.desk.Event("volume", "", fmt.Sprintf("%s of volume %s", q.Block.Action, q.Block.Name))
-		s.log.Info("volume order taken", "action", q.Block.Action, "volume", q.Block.Name)
+	out.Volumes = list
+	if q.VolumeOrder.Action != "list" {
+		s.desk.PublishEvent("volume", "", fmt.Sprintf("%s of volume %s", q.VolumeOrder.Action, q.VolumeOrder.Name))
+		s.log.Info("volume order taken", "action", q.VolumeOrder.Action, "volume", q.VolumeOrder.Name)
 	}
 }
 
 func (s *Server) order(q *Request, uid uint32, out *Response) {
 	o := q.Order
-	o.Who = fmt.Sprintf("uid %d", uid) // as the kernel tells it, whatever the sender says
-	if q.Order.Who != "" {
-		o.Who = fmt.Sprintf("%.64s (uid %d)", q.Order.Who, uid)
+	o.Operator = fmt.Sprintf("uid %d", uid) // as the kernel tells it, whatever the sender says
+	if q.Order.Operator != "" {
+		o.Operator = fmt.Sprintf("%.64s (uid %d)", q.Order.Operator, uid)
 	}
 	o.At = time.Now().UnixMicro()
-	result, at, err := s.desk.Order(o)
+	result, at, err := s.desk.SubmitOrder(o)
 	var refusal *drains.Refusal
 	switch {
 	case errors.As(err, &refusal):
@@ -265,8 +265,8 @@
 		out.Code, out.Error = "not_recorded", err.Error()
 		s.log.Error("order not recorded", "brick", o.Brick, "kind", string(o.Kind), "error", err)
 	default:
-		out.Result, out.Effect = &result, at.UnixMicro()
-		s.log.Info("order taken", "kind", string(o.Kind), "brick", o.Brick, "who", o.Who, "number", result.Number, "state", string(result.After.State))
+		out.Result, out.EffectiveAt = &result, at.UnixMicro()
+		s.log.Info("order taken", "kind", string(o.Kind), "brick", o.Brick, "who", o.Operator, "number", result.Number, "state", string(result.After.State))
 	}
 }
 
@@ -292,7 +292,7 @@
 			return
 		}
 		events, shot, missed, ok := f.take()
-		if !ok || s.write(c, &Response{ID: q.ID, Events: events, Snapshot: shot, Missed: missed}) != nil {
+		if !ok || s.write(c, &Response{ID: q.ID, Events: events, Snapshot: shot, MissedSnapshots: missed}) != nil {
 			return
 		}
 	}
--- a/internal/control/meters/meters.go
+++ b/internal/control/trafficstats/meters.go
@@ -1,6 +1,6 @@
 // Package meters adds up what operators look at: for each brick and volume
 // counts, latencies and load, out of what attempts and answers showed.
-package meters
+package trafficstats
 
 import (
 	"maps"
@@ -24,8 +24,8 @@
 	Full    bool // the brick answered that it has no room
 }
 
-// Brick is what is known of a brick's traffic through this host.
-type Brick struct {
+// BrickStats is what is known of a brick's traffic through this host.
+type BrickStats struct {
 	Name     string            `json:"name"`
 	Util     float64           `json:"util"` // last told; -1: never
 	Served   uint64            `json:"served"`
@@ -37,8 +37,8 @@
 	Full     bool              `json:"full"`      // its last answer to a write was that it has no room
 }
 
-// Volume is what is known of a collection's traffic through this host.
-type Volume struct {
+// VolumeStats is what is known of a collection's traffic through this host.
+type VolumeStats struct {
 	Name    string `json:"name"`
 	Plan    string `json:"plan"`
 	Served  uint64 `json:"served"`
@@ -54,34 +54,34 @@
 )
 
 type brickMeter struct {
-	Brick
+	BrickStats
 	now, last *hdrhistogram.Histogram
 	from      time.Time
 }
 
 type volumeMeter struct {
-	Volume
+	VolumeStats
 	shards map[int]bool
 }
 
-// Board holds the meters. It is safe for concurrent use.
-type Board struct {
+// Collector holds the meters. It is safe for concurrent use.
+type Collector struct {
 	mu      sync.Mutex
 	bricks  map[string]*brickMeter
 	volumes map[string]*volumeMeter
 }
 
-// NewBoard returns an empty board.
-func NewBoard() *Board {
-	return &Board{bricks: map[string]*brickMeter{}, volumes: map[string]*volumeMeter{}}
+// NewCollector returns an empty board.
+func NewCollector() *Collector {
+	return &Collector{bricks: map[string]*brickMeter{}, volumes: map[string]*volumeMeter{}}
 }
 
 // histogram counts microseconds up to a minute with two digits.
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 2) }
 
-// Attempt takes in the end of an attempt, and tells whether the brick has run
+// RecordAttempt takes in the end of an attempt, and tells whether the brick has run
 // out of room, or has room again, by it.
-func (b *Board) Attempt(a Attempt, now time.Time) (turned bool) {
+func (b *Collector) RecordAttempt(a Attempt, now time.Time) (turned bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	m := b.bricks[a.Brick]
@@ -89,7 +89,7 @@
 		if len(b.bricks) >= bricksMost {
 			return false
 		}
-		m = &brickMeter{Brick: Brick{Name: a.Brick, Util: -1, Failed: map[string]uint64{}}, now: histogram(), last: histogram(), from: now}
+		m = &brickMeter{BrickStats: BrickStats{Name: a.Brick, Util: -1, Failed: map[string]uint64{}}, now: histogram(), last: histogram(), from: now}
 		b.bricks[a.Brick] = m
 	}
 	m.turn(now)
@@ -121,18 +121,18 @@
 	}
 }
 
-// End is how a client's request of a collection ended.
-type End int
+// Outcome is how a client's request of a collection ended.
+type Outcome int
 
 // The ends.
 const (
-	Served End = iota
+	Served Outcome = iota
 	Refused
 	Failed
 )
 
-// Answer takes in the end of a task of a collection at a shard.
-func (b *Board) Answer(volume, plan string, shard int, end End) {
+// RecordOutcome takes in the end of a task of a collection at a shard.
+func (b *Collector) RecordOutcome(volume, plan string, shard int, end Outcome) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	v := b.volumes[volume]
@@ -140,7 +140,7 @@
 		if len(b.volumes) >= volumesMost {
 			return
 		}
-		v = &volumeMeter{Volume: Volume{Name: volume, Plan: plan}, shards: map[int]bool{}}
+		v = &volumeMeter{VolumeStats: VolumeStats{Name: volume, Plan: plan}, shards: map[int]bool{}}
 		b.volumes[volume] = v
 	}
 	switch end {
@@ -155,13 +155,13 @@
 }
 
 // Bricks returns all bricks' figures, by name.
-func (b *Board) Bricks(now time.Time) map[string]Brick {
+func (b *Collector) Bricks(now time.Time) map[string]BrickStats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make(map[string]Brick, len(b.bricks))
+	out := make(map[string]BrickStats, len(b.bricks))
 	for name, m := range b.bricks {
 		m.turn(now)
-		one := m.Brick
+		one := m.BrickStats
 		one.Failed = maps.Clone(m.Failed)
 		both := histogram()
 		both.Merge(m.now)
@@ -174,21 +174,21 @@
 }
 
 // Volumes returns all collections' figures, by name.
-func (b *Board) Volumes() []Volume {
+func (b *Collector) Volumes() []VolumeStats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var out []Volume
+	var out []VolumeStats
 	for _, name := range slices.Sorted(maps.Keys(b.volumes)) {
 		v := b.volumes[name]
-		one := v.Volume
+		one := v.VolumeStats
 		one.Shards = slices.Sorted(maps.Keys(v.shards))
 		out = append(out, one)
 	}
 	return out
 }
 
-// ByShard names the collections that were served from each shard.
-func (b *Board) ByShard() map[int][]string {
+// VolumesByShard names the collections that were served from each shard.
+func (b *Collector) VolumesByShard() map[int][]string {
 	out := map[int][]string{}
 	for _, v := range b.Volumes() {
 		for _, s := range v.Shards {
--- a/internal/emul/hosts.go
+++ b/internal/emul/hosts.go
@@ -31,7 +31,7 @@
 	down      []outage // crashes, which excuse that there is no answer
 
 	gate     *trust.Gate
-	doubts   *trust.Doubts
+	doubts   *trust.Verifier
 	known    []arrowwalk.Node // the last list that was taken
 	knownAt  int64
 	told     map[arrowwalk.NodeID]int // open entries of the trace
@@ -108,7 +108,7 @@
 	first := h.run == 1
 	h.gate = trust.NewGate(10*time.Second, 10*time.Second, 3, len(h.known))
 	if first {
-		h.gate.Offer(trust.Offer{Source: "list", Version: 1, Bricks: len(s.lists[0].nodes)})
+		h.gate.Decide(trust.Offer{Source: "list", Version: 1, BrickCount: len(s.lists[0].nodes)})
 		s.take(h, arrowwalk.ListSnapshot, &s.lists[0])
 	} else {
 		s.restore(h)
@@ -126,7 +126,7 @@
 		ids = append(ids, trust.Identity{Name: string(n.ID), Shard: n.Shard, Started: int64(n.Started)})
 		ages[string(n.ID)] = time.Duration(s.now-h.knownAt) * time.Microsecond
 	}
-	h.doubts = trust.NewDoubts(ids, ages, trust.Rate{})
+	h.doubts = trust.NewVerifier(ids, ages, trust.ChangeRate{})
 	nodes := make([]arrowwalk.Node, len(h.known))
 	for i, n := range h.known {
 		nodes[i] = s.doubted(h, n)
@@ -156,7 +156,7 @@
 	if h.doubts == nil {
 		return
 	}
-	for _, id := range h.doubts.Ask(time.Duration(s.now)*time.Microsecond, 4) {
+	for _, id := range h.doubts.StartProbes(time.Duration(s.now)*time.Microsecond, 4) {
 		for _, b := range s.bricks {
 			if b.Name == id.Name {
 				wait := 2 * s.delay()
@@ -178,11 +178,11 @@
 	what := trust.Answered
 	switch {
 	case b.mute || b.Fallen || s.lost(h.id, b):
-		what = trust.Silent
+		what = trust.TimedOut
 	case b.Dead:
-		what = trust.Refused
+		what = trust.ConnRefused
 	}
-	if !h.doubts.Saw(b.Name, what, b.Started, time.Duration(s.now)*time.Microsecond) {
+	if !h.doubts.Observe(b.Name, what, b.Started, time.Duration(s.now)*time.Microsecond) {
 		return
 	}
 	for _, n := range h.known {
@@ -194,8 +194,8 @@
 
 // heard offers a list to a host's gate.
 func (s *Sim) heard(h *hostSim, l *list) {
-	answer, _ := h.gate.Offer(trust.Offer{Source: "list", Version: l.version, Bricks: len(l.nodes), At: time.Duration(s.now) * time.Microsecond})
-	if answer == trust.Take {
+	answer, _ := h.gate.Decide(trust.Offer{Source: "list", Version: l.version, BrickCount: len(l.nodes), At: time.Duration(s.now) * time.Microsecond})
+	if answer == trust.Accept {
 		h.doubts = nil
 		s.take(h, arrowwalk.ListSnapshot, l)
 	}
--- a/internal/endtoend/drain_test.go
+++ b/internal/endtoend/drain_test.go
@@ -108,7 +108,7 @@
 		t.Error("the other brick serves nothing")
 	}
 	snap, err := c.Call(control.Request{Op: control.OpStatus})
-	if err != nil || len(snap.Snapshot.Bricks) != 2 || snap.Snapshot.Bricks[1].By != drains.ByHand || snap.Snapshot.Bricks[0].Served == 0 || len(snap.Snapshot.Volumes) != 1 {
+	if err != nil || len(snap.Snapshot.Bricks) != 2 || snap.Snapshot.Bricks[1].Origin != drains.ByOperator || snap.Snapshot.Bricks[0].Served == 0 || len(snap.Snapshot.Volumes) != 1 {
 		t.Errorf("status: %+v %v", snap, err)
 	}
 	close(done)
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -11,8 +11,8 @@
 	"arrowwalk"
 	"arrowwalk/internal/control"
 	"arrowwalk/internal/control/drains"
-	"arrowwalk/internal/control/meters"
-	"arrowwalk/internal/control/record"
+	"arrowwalk/internal/control/orderlog"
+	"arrowwalk/internal/control/trafficstats"
 	"arrowwalk/internal/front/s3"
 	"arrowwalk/internal/host"
 )
@@ -22,25 +22,25 @@
 func (g *Gateway) openDesk() error {
 	var err error
 	if g.opt.Control != "" {
-		if g.book, err = record.Open(filepath.Join(g.opt.Data, "orders.db")); err != nil {
+		if g.book, err = orderlog.Open(filepath.Join(g.opt.Data, "orders.db")); err != nil {
 			return err
 		}
 	}
-	g.desk, err = control.NewDesk(g.book)
+	g.desk, err = control.NewController(g.book)
 	return err
 }
 
 // startControl opens the operators' socket.
 func (g *Gateway) startControl() error {
 	if at, ok := strings.CutPrefix(g.opt.DropGuard, "crash-"); ok { // ends outright there, for a proof
-		g.desk.Stage = func(stage string) {
+		g.desk.OnStage = func(stage string) {
 			if stage == at {
 				syscall.Kill(syscall.Getpid(), syscall.SIGKILL)
 				select {}
 			}
 		}
 	}
-	g.desk.Apply(func() {
+	g.desk.SetApplyFunc(func() {
 		if g.opt.DropGuard == "apply" { // recorded, and not carried out: a proof must see it
 			return
 		}
@@ -64,12 +64,12 @@
 		list = append(list, drains.Brick{Name: string(m.ID), Shard: m.Shard, State: states[m.State], Started: int64(m.Started)})
 	}
 	slices.SortFunc(list, func(a, b drains.Brick) int { return cmp.Compare(a.Name, b.Name) })
-	g.desk.Listed(list)
+	g.desk.UpdateBricks(list)
 }
 
 // overlay makes of a member what the desk decides.
 func (g *Gateway) overlay(m *host.Member) {
-	if g.desk.State(string(m.ID)) == drains.Draining && m.State == arrowwalk.Ready {
+	if g.desk.BrickState(string(m.ID)) == drains.Draining && m.State == arrowwalk.Ready {
 		m.State = arrowwalk.Draining
 	}
 }
@@ -81,8 +81,8 @@
 		return
 	}
 	g.words.Store(brick, draining)
-	if g.desk.Self(brick, draining) {
-		g.keeper.Nudge()
+	if g.desk.SetSelfDraining(brick, draining) {
+		g.keeper.RefreshAsync()
 	}
 }
 
@@ -91,27 +91,27 @@
 	if bucket == "" { // a chore of the gateway's own: no collection's
 		return
 	}
-	ends := map[host.End]meters.End{host.Served: meters.Served, host.Refused: meters.Refused, host.Failed: meters.Failed}
+	ends := map[host.End]trafficstats.Outcome{host.Served: trafficstats.Served, host.Refused: trafficstats.Refused, host.Failed: trafficstats.Failed}
 	if e, ok := ends[end]; ok {
-		g.desk.Meters.Answer(bucket, g.opt.Config.Plans[plan].Name, shard, e)
+		g.desk.Stats.RecordOutcome(bucket, g.opt.Config.Plans[plan].Name, shard, e)
 	}
 }
 
-// Label names this run of this host (control.Source).
-func (g *Gateway) Label() string { return g.host.Label() }
+// HostLabel names this run of this host (control.Source).
+func (g *Gateway) HostLabel() string { return g.host.Label() }
 
-// Running lists the requests that the host owes an answer (control.Source).
-func (g *Gateway) Running() []control.Running {
+// RunningRequests lists the requests that the host owes an answer (control.Source).
+func (g *Gateway) RunningRequests() []control.RunningRequest {
 	state := g.host.State()
 	if state == nil {
 		return nil
 	}
-	out := make([]control.Running, 0, len(state.Running))
+	out := make([]control.RunningRequest, 0, len(state.Running))
 	for _, r := range state.Running {
-		out = append(out, control.Running{ID: r.Label, Class: g.host.Settings().Classes[r.Class].Name, Units: r.Units,
-			AgeUS: r.Age.Microseconds(), Stage: r.Stage, Brick: r.Brick, Tries: r.Tries, Volume: uint64(r.Volume)})
+		out = append(out, control.RunningRequest{ID: r.Label, Class: g.host.Settings().Classes[r.Class].Name, Units: r.Units,
+			AgeUS: r.Age.Microseconds(), Stage: r.Stage, Brick: r.Brick, Attempts: r.Tries, Volume: uint64(r.Volume)})
 	}
-	slices.SortFunc(out, func(a, b control.Running) int { return cmp.Compare(b.AgeUS, a.AgeUS) })
+	slices.SortFunc(out, func(a, b control.RunningRequest) int { return cmp.Compare(b.AgeUS, a.AgeUS) })
 	return out
 }
 
@@ -119,9 +119,9 @@
 func (g *Gateway) Snapshot() *control.Snapshot {
 	now := time.Now()
 	stats, front, use := g.host.Stats(), g.front.Stats(), g.spool.Usage()
-	s := &control.Snapshot{At: now.UnixMicro(), Host: g.host.Label(), Taken: stats.Taken,
-		Served: stats.Ended["served"], Refused: stats.Ended["refused"], Failed: stats.Ended["failed"], Conns: front.Conns,
-		Memory: use.Memory, Spool: use.File, Event: g.desk.LastEvent()}
+	s := &control.Snapshot{At: now.UnixMicro(), Host: g.host.Label(), Accepted: stats.Taken,
+		Served: stats.Ended["served"], Refused: stats.Ended["refused"], Failed: stats.Ended["failed"], Connections: front.Conns,
+		BodyMemoryBytes: use.Memory, SpoolBytes: use.File, LastEvent: g.desk.LastEventNumber()}
 	state := g.host.State()
 	if state == nil {
 		return s
@@ -145,22 +145,22 @@
 	for _, m := range state.Members {
 		members[string(m.ID)] = m
 	}
-	figures, levels := g.desk.Meters.Bricks(now), g.keeper.Levels()
+	figures, levels := g.desk.Stats.Bricks(now), g.keeper.TrustLevels()
 	bad := map[string]int{}
 	for _, e := range g.bricks {
 		bad[e.name] = e.dir.Quarantine()
 	}
 	n, longest := g.host.Stalls()
-	s.Stalls, s.Longest = n, longest.Microseconds()
+	s.Stalls, s.MaxStallUS = n, longest.Microseconds()
 	warm := arrowwalk.Micros(g.opt.Config.Rules.WarmWithinMS) * 1000
 	for _, st := range g.desk.Statuses() {
 		m := members[st.Brick]
-		b := control.BrickStatus{Status: st, Brick: figures[st.Brick], Address: m.Address, Zone: m.Zone, Trust: levels[st.Brick],
-			Requests: out[st.Brick], UnitsOut: units[st.Brick], Cap: views[m.ID].MaxUnitsInFlight, QueueUS: int64(views[m.ID].QueueDelay)}
-		if b.Brick.Name == "" {
-			b.Brick = meters.Brick{Name: st.Brick, Util: -1}
+		b := control.BrickStatus{Status: st, BrickStats: figures[st.Brick], Address: m.Address, Zone: m.Zone, Trust: levels[st.Brick],
+			OutstandingRequests: out[st.Brick], OutstandingUnits: units[st.Brick], Cap: views[m.ID].MaxUnitsInFlight, QueueUS: int64(views[m.ID].QueueDelay)}
+		if b.BrickStats.Name == "" {
+			b.BrickStats = trafficstats.BrickStats{Name: st.Brick, Util: -1}
 		}
-		b.Bad = bad[st.Brick]
+		b.QuarantinedBlocks = bad[st.Brick]
 		b.Cold = m.Started > 0 && arrowwalk.Micros(now.UnixMicro())-m.Started < warm
 		s.Bricks = append(s.Bricks, b)
 	}
@@ -174,9 +174,9 @@
 		views[v.ID] = v
 	}
 	var out []control.VolumeStatus
-	for _, v := range g.desk.Meters.Volumes() {
+	for _, v := range g.desk.Stats.Volumes() {
 		view := views[s3.VolumeID(v.Name)]
-		out = append(out, control.VolumeStatus{Volume: v, Quadrant: view.Quadrant, Rate: view.TokenRate, Measured: view.ServedRate, Reserve: view.ReserveUnits})
+		out = append(out, control.VolumeStatus{VolumeStats: v, Quadrant: view.Quadrant, TokenRate: view.TokenRate, MeasuredRate: view.ServedRate, Reserve: view.ReserveUnits})
 	}
 	return out
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,8 +23,8 @@
 	"arrowwalk/internal/brickd"
 	"arrowwalk/internal/config"
 	"arrowwalk/internal/control"
-	"arrowwalk/internal/control/meters"
-	"arrowwalk/internal/control/record"
+	"arrowwalk/internal/control/orderlog"
+	"arrowwalk/internal/control/trafficstats"
 	"arrowwalk/internal/front/s3"
 	"arrowwalk/internal/host"
 	"arrowwalk/internal/membership"
@@ -63,10 +63,10 @@
 	spool   *spool.Pool
 	file    *membership.FileSource
 	zk      *membership.ZKSource
-	keeper  *membership.Keeper
-	desk    *control.Desk
+	keeper  *membership.Tracker
+	desk    *control.Controller
 	exports *exports
-	book    *record.Book
+	book    *orderlog.Log
 	ctl     *control.Server
 	bricks  []*embedded
 	words   sync.Map         // brick to whether it last said that it drains
@@ -184,7 +184,7 @@
 	}
 	g.out[b.Name] = err
 	g.opt.Log.Error("going on without a brick", "brick", b.Name, "error", err)
-	g.desk.Event("without", b.Name, fmt.Sprintf("%s takes no part: %v", b.Name, err))
+	g.desk.PublishEvent("without", b.Name, fmt.Sprintf("%s takes no part: %v", b.Name, err))
 }
 
 // Out returns the embedded bricks that could not be started, and why.
@@ -213,9 +213,9 @@
 // the settings name, with what was kept of it before.
 func (g *Gateway) follow(list *membership.List) error {
 	cfg := g.opt.Config
-	shape := membership.Shape{Zones: cfg.Zones, Shards: cfg.Shards}
-	keeper, err := membership.StartKeeper(membership.KeeperOptions{Shape: shape, Host: g.host, Asker: asker{g.pool}, Cache: cfg.CacheDir,
-		Log: g.opt.Log, Reached: g.pool.Keep, Blind: g.opt.DropGuard == "expect", Listed: g.listed, Overlay: g.overlay})
+	shape := membership.Topology{Zones: cfg.Zones, Shards: cfg.Shards}
+	keeper, err := membership.StartTracker(membership.TrackerOptions{Topology: shape, Host: g.host, Prober: asker{g.pool}, CacheDir: cfg.CacheDir,
+		Log: g.opt.Log, OnAddresses: g.pool.Keep, TrustCache: g.opt.DropGuard == "expect", OnList: g.listed, Overlay: g.overlay})
 	if err != nil {
 		return err
 	}
@@ -223,8 +223,8 @@
 	switch {
 	case cfg.Discovery != nil:
 		g.zk, err = membership.FollowZK(membership.ZKOptions{Servers: cfg.Discovery.Servers, Root: cfg.Discovery.Root,
-			Session: config.MS(cfg.Discovery.SessionMS), Relist: config.MS(cfg.Discovery.RelistMS), Shape: shape, Log: g.opt.Log},
-			func(l *membership.List) { keeper.Offer("discovery", l) }, keeper.Failed)
+			SessionTimeout: config.MS(cfg.Discovery.SessionMS), RelistInterval: config.MS(cfg.Discovery.RelistMS), Topology: shape, Log: g.opt.Log},
+			func(l *membership.List) { keeper.Offer("discovery", l) }, keeper.ReportFailure)
 		return err
 	case cfg.NodesFile == "":
 		keeper.Offer("settings", list)
@@ -248,8 +248,8 @@
 // asker asks bricks who they are (membership.Asker).
 type asker struct{ pool *brick.Pool }
 
-// Ask asks the brick that should be name at address.
-func (a asker) Ask(ctx context.Context, address, name string) (trust.Evidence, int64) {
+// Probe asks the brick that should be name at address.
+func (a asker) Probe(ctx context.Context, address, name string) (trust.Observation, int64) {
 	at := &brick.Attempt{}
 	defer context.AfterFunc(ctx, at.Abort)()
 	deadline, ok := ctx.Deadline()
@@ -261,48 +261,48 @@
 }
 
 // evidence says what an attempt's end shows of the brick.
-func evidence(err error) trust.Evidence {
+func evidence(err error) trust.Observation {
 	var f *brick.Failure
 	switch {
 	case err == nil:
 		return trust.Answered
 	case errors.As(err, &f) && f.Reason == brick.ReasonWrongBrick:
-		return trust.Other
+		return trust.WrongBrick
 	case errors.As(err, &f) && f.Reason == brick.ReasonRefused:
-		return trust.Refused
+		return trust.ConnRefused
 	}
-	return trust.Silent
+	return trust.TimedOut
 }
 
 // seen passes on what an attempt showed.
 func (g *Gateway) seen(s attempts.Seen) {
 	full := s.Reason == brick.ReasonDiskFull
-	turned := g.desk.Meters.Attempt(meters.Attempt{Brick: s.Brick, Volume: s.Volume, Units: s.Units, Latency: s.Latency,
+	turned := g.desk.Stats.RecordAttempt(trafficstats.Attempt{Brick: s.Brick, Volume: s.Volume, Units: s.Units, Latency: s.Latency,
 		OK: s.Reason == "", Reason: string(s.Reason), Util: s.Util, Write: s.Write, Full: full}, time.Now())
 	switch {
 	case turned && full:
-		g.desk.Event("full", s.Brick, s.Brick+" has no room: it refuses writes, reads go on")
+		g.desk.PublishEvent("full", s.Brick, s.Brick+" has no room: it refuses writes, reads go on")
 	case turned:
-		g.desk.Event("room", s.Brick, s.Brick+" takes writes again")
+		g.desk.PublishEvent("room", s.Brick, s.Brick+" takes writes again")
 	}
 	if s.Identity != "" {
 		g.said(s.Brick, s.Draining)
 		if id, ok := brick.ParseIdentity(s.Identity); ok && id.Name == s.Brick {
-			g.keeper.Seen(s.Brick, trust.Answered, id.Started)
+			g.keeper.Observe(s.Brick, trust.Answered, id.Started)
 		}
 		return
 	}
 	switch s.Reason {
 	case brick.ReasonWrongBrick, brick.ReasonRefused:
-		g.keeper.Seen(s.Brick, evidence(&brick.Failure{Reason: s.Reason}), 0)
+		g.keeper.Observe(s.Brick, evidence(&brick.Failure{Reason: s.Reason}), 0)
 	case brick.ReasonTimeout, brick.ReasonDialTimeout:
-		g.keeper.Seen(s.Brick, trust.Silent, 0)
+		g.keeper.Observe(s.Brick, trust.TimedOut, 0)
 	}
 }
 
 // unready says why nothing can be served, or "".
 func (g *Gateway) unready() string {
-	if g.keeper.Known() {
+	if g.keeper.HasList() {
 		return ""
 	}
 	return "No brick is known yet: discovery has told none and no list is kept."
--- a/internal/gateway/volumes.go
+++ b/internal/gateway/volumes.go
@@ -92,7 +92,7 @@
 		}
 		if errors.As(err, &held) || errors.Is(err, volume.ErrNotFound) {
 			g.opt.Log.Error("volume not exported again", "volume", name, "error", err)
-			g.desk.Event("volume", "", fmt.Sprintf("%s is not exported again: %v", name, err))
+			g.desk.PublishEvent("volume", "", fmt.Sprintf("%s is not exported again: %v", name, err))
 			return
 		}
 		t := time.NewTimer(200 * time.Millisecond)
@@ -151,8 +151,8 @@
 	}
 }
 
-// Volume does an operator's order on block volumes (control.Source).
-func (g *Gateway) Volume(q *control.VolumeOrder) ([]control.VolumeInfo, error) {
+// ExecuteVolumeOrder does an operator's order on block volumes (control.Source).
+func (g *Gateway) ExecuteVolumeOrder(q *control.VolumeOrder) ([]control.VolumeInfo, error) {
 	x := g.exports
 	if x == nil {
 		return nil, errors.New("this gateway has no block volumes")
@@ -161,11 +161,11 @@
 	defer cancel()
 	switch q.Action {
 	case "create":
-		if _, err := x.store.Create(ctx, q.Name, q.Bytes, q.Block, q.Plan); err != nil {
+		if _, err := x.store.Create(ctx, q.Name, q.SizeBytes, q.BlockBytes, q.Plan); err != nil {
 			return nil, err
 		}
 	case "resize":
-		if _, err := x.store.Resize(ctx, q.Name, q.Bytes); err != nil {
+		if _, err := x.store.Resize(ctx, q.Name, q.SizeBytes); err != nil {
 			return nil, err
 		}
 	case "delete":
@@ -238,7 +238,7 @@
 		one := control.VolumeInfo{Record: *r}
 		x.mu.Lock()
 		if e := x.open[r.Name]; e != nil {
-			one.Socket, one.Requests, one.Errors, one.Over = e.socket, e.server.Stats.Requests.Load(), e.server.Stats.Errors.Load(), e.volume.Over()
+			one.Socket, one.Requests, one.Errors, one.Superseded = e.socket, e.server.Stats.Requests.Load(), e.server.Stats.Errors.Load(), e.volume.Over()
 		}
 		x.mu.Unlock()
 		out = append(out, one)
--- a/internal/membership/cache/cache.go
+++ b/internal/membership/cache/cache.go
@@ -31,24 +31,24 @@
 
 // Entry is a brick of a kept list.
 type Entry struct {
-	Name      string `json:"name"`
-	Address   string `json:"address"`
-	Zone      string `json:"zone"`
-	Shard     int    `json:"shard"`
-	State     string `json:"state,omitempty"`
-	Started   int64  `json:"started,omitempty"`   // microseconds since 1970
-	Confirmed int64  `json:"confirmed,omitempty"` // when a source or the brick last confirmed it; 0: never
-	Served    int64  `json:"served,omitempty"`    // when it last served this host; 0: never
+	Name          string `json:"name"`
+	Address       string `json:"address"`
+	Zone          string `json:"zone"`
+	Shard         int    `json:"shard"`
+	State         string `json:"state,omitempty"`
+	Started       int64  `json:"started,omitempty"`   // microseconds since 1970
+	LastConfirmed int64  `json:"confirmed,omitempty"` // when a source or the brick last confirmed it; 0: never
+	LastServed    int64  `json:"served,omitempty"`    // when it last served this host; 0: never
 }
 
 // Header is what is kept of the list as a whole.
 type Header struct {
-	Version    int64      `json:"version"` // of the source
-	Source     string     `json:"source"`
-	Taken      int64      `json:"taken"` // microseconds since 1970
-	Generation int64      `json:"generation"`
-	Count      int        `json:"count"`
-	Rate       trust.Rate `json:"rate"` // how often bricks changed, learned from all lists so far
+	Version    int64            `json:"version"` // of the source
+	Source     string           `json:"source"`
+	AcceptedAt int64            `json:"taken"` // microseconds since 1970
+	Generation int64            `json:"generation"`
+	Count      int              `json:"count"`
+	ChangeRate trust.ChangeRate `json:"rate"` // how often bricks changed, learned from all lists so far
 }
 
 // List is a kept list.
@@ -68,19 +68,19 @@
 
 // What callers branch on.
 var (
-	ErrLocked = errors.New("the cache is in use by another host")
-	ErrNone   = errors.New("no list is kept")
-	ErrFormat = errors.New("the cache is of another format")
+	ErrLocked   = errors.New("the cache is in use by another host")
+	ErrNotFound = errors.New("no list is kept")
+	ErrFormat   = errors.New("the cache is of another format")
 )
 
-// Damage is something wrong with a file of the cache.
-type Damage struct {
+// CorruptionError is something wrong with a file of the cache.
+type CorruptionError struct {
 	File   string
 	Line   int // from 1; 0: the file as a whole
 	Reason string
 }
 
-func (d *Damage) Error() string {
+func (d *CorruptionError) Error() string {
 	if d.Line == 0 {
 		return fmt.Sprintf("%s: %s", d.File, d.Reason)
 	}
@@ -133,7 +133,7 @@
 		}
 	}
 	if best == nil {
-		damage = append(damage, fmt.Errorf("%s: %w", path, ErrNone))
+		damage = append(damage, fmt.Errorf("%s: %w", path, ErrNotFound))
 	}
 	return best, damage
 }
@@ -168,14 +168,14 @@
 		return nil, err
 	}
 	if !st.Mode().IsRegular() {
-		return nil, &Damage{File: file, Reason: "not a regular file"}
+		return nil, &CorruptionError{File: file, Reason: "not a regular file"}
 	}
 	text, err := io.ReadAll(io.LimitReader(f, fileMost+1))
 	if err != nil {
 		return nil, fmt.Errorf("read cache %s: %w", file, err)
 	}
 	if len(text) > fileMost {
-		return nil, &Damage{File: file, Reason: fmt.Sprintf("over %d bytes", fileMost)}
+		return nil, &CorruptionError{File: file, Reason: fmt.Sprintf("over %d bytes", fileMost)}
 	}
 	return text, nil
 }
@@ -200,7 +200,7 @@
 func parse(file string, text []byte) (*List, []error) {
 	var damage []error
 	bad := func(line int, format string, args ...any) {
-		damage = append(damage, &Damage{file, line, fmt.Sprintf(format, args...)})
+		damage = append(damage, &CorruptionError{file, line, fmt.Sprintf(format, args...)})
 	}
 	if !bytes.HasSuffix(text, []byte("\n")) {
 		bad(0, "cut off after %d bytes", len(text))
--- a/internal/membership/cache/cache_test.go
+++ b/internal/membership/cache/cache_test.go
@@ -11,9 +11,9 @@
 )
 
 func list(version int64, n int) *List {
-	l := &List{Header: Header{Version: version, Source: "zk", Taken: 1_790_000_000_000_000}}
+	l := &List{Header: Header{Version: version, Source: "zk", AcceptedAt: 1_790_000_000_000_000}}
 	for i := range n {
-		l.Bricks = append(l.Bricks, Entry{Name: fmt.Sprint("brick-", i), Address: fmt.Sprintf("10.0.0.%d:9100", i), Zone: "zone-a", Shard: i, Confirmed: l.Taken})
+		l.Bricks = append(l.Bricks, Entry{Name: fmt.Sprint("brick-", i), Address: fmt.Sprintf("10.0.0.%d:9100", i), Zone: "zone-a", Shard: i, LastConfirmed: l.AcceptedAt})
 	}
 	return l
 }
@@ -34,7 +34,7 @@
 
 func TestTwoGenerations(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "cache")
-	if l, damage := Load(path); l != nil || len(damage) != 1 || !errors.Is(damage[0], ErrNone) {
+	if l, damage := Load(path); l != nil || len(damage) != 1 || !errors.Is(damage[0], ErrNotFound) {
 		t.Errorf("no cache: %v %v", l, damage)
 	}
 	save(t, path, list(1, 3), list(2, 4))
--- a/internal/membership/file.go
+++ b/internal/membership/file.go
@@ -13,7 +13,7 @@
 // says what is wrong.
 type FileSource struct {
 	path  string
-	shape Shape
+	shape Topology
 	log   *slog.Logger
 	tell  func(*List)
 	quit  chan struct{}
@@ -29,7 +29,7 @@
 // FollowFile reads the list in path, tells of it, and then of every change
 // until Close. tell is called from one goroutine at a time. The error is that
 // of the first reading; the file is followed all the same.
-func FollowFile(path string, shape Shape, log *slog.Logger, tell func(*List)) (*FileSource, error) {
+func FollowFile(path string, shape Topology, log *slog.Logger, tell func(*List)) (*FileSource, error) {
 	f := &FileSource{path: path, shape: shape, log: log, tell: tell, quit: make(chan struct{}), done: make(chan struct{})}
 	err := f.look()
 	go f.run()
--- a/internal/membership/follow_test.go
+++ b/internal/membership/follow_test.go
@@ -29,7 +29,7 @@
 }
 
 func options(s *coord.Server) ZKOptions {
-	return ZKOptions{Servers: []string{s.Addr()}, Session: 300 * time.Millisecond, Relist: 200 * time.Millisecond, Shape: shape}
+	return ZKOptions{Servers: []string{s.Addr()}, SessionTimeout: 300 * time.Millisecond, RelistInterval: 200 * time.Millisecond, Topology: shape}
 }
 
 func brickEntry(name string, shard int) Entry {
@@ -84,11 +84,11 @@
 }
 
 type asks map[string]struct {
-	what    trust.Evidence
+	what    trust.Observation
 	started int64
 }
 
-func (a asks) Ask(_ context.Context, _, name string) (trust.Evidence, int64) {
+func (a asks) Probe(_ context.Context, _, name string) (trust.Observation, int64) {
 	return a[name].what, a[name].started
 }
 
@@ -96,7 +96,7 @@
 // lost watches, gaps and a service that goes back in time or is wiped.
 func TestFollowDiscovery(t *testing.T) {
 	s, h := service(t), newTeller()
-	k, err := StartKeeper(KeeperOptions{Shape: shape, Host: h, Log: slog.New(slog.DiscardHandler)})
+	k, err := StartTracker(TrackerOptions{Topology: shape, Host: h, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	defer a.Close()
-	z, err := FollowZK(options(s), func(l *List) { k.Offer("zk", l) }, k.Failed)
+	z, err := FollowZK(options(s), func(l *List) { k.Offer("zk", l) }, k.ReportFailure)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,20 +168,20 @@
 			t.Fatal(err)
 		}
 		defer d.Close()
-		if err := d.Save(&cache.List{Header: cache.Header{Version: 7, Source: "zk", Taken: ago(time.Minute)}, Bricks: entries}); err != nil {
+		if err := d.Save(&cache.List{Header: cache.Header{Version: 7, Source: "zk", AcceptedAt: ago(time.Minute)}, Bricks: entries}); err != nil {
 			t.Fatal(err)
 		}
 		return path
 	}
 	kept := func(name string, age time.Duration) cache.Entry {
-		return cache.Entry{Name: name, Address: name + ":1", Zone: "z1", Started: 5, Confirmed: ago(age)}
+		return cache.Entry{Name: name, Address: name + ":1", Zone: "z1", Started: 5, LastConfirmed: ago(age)}
 	}
 	path := fill(t, kept("aged", time.Minute), kept("day", 24*time.Hour), kept("other", 24*time.Hour), kept("dead", 24*time.Hour),
 		kept("restarted", 24*time.Hour), cache.Entry{Name: "never", Address: "n:1", Zone: "z1"}, kept("moved", time.Minute))
 	h := newTeller()
-	answers := asks{"aged": {trust.Silent, 0}, "day": {trust.Answered, 5}, "other": {trust.Other, 0}, "dead": {trust.Refused, 0},
+	answers := asks{"aged": {trust.TimedOut, 0}, "day": {trust.Answered, 5}, "other": {trust.WrongBrick, 0}, "dead": {trust.ConnRefused, 0},
 		"restarted": {trust.Answered, 99}, "never": {trust.Answered, 1}, "moved": {trust.Answered, 5}}
-	k, err := StartKeeper(KeeperOptions{Shape: shape, Host: h, Asker: answers, Cache: path})
+	k, err := StartTracker(TrackerOptions{Topology: shape, Host: h, Prober: answers, CacheDir: path})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -215,15 +215,15 @@
 		t.Errorf("after discovery: %+v", m)
 	}
 	k.Close()
-	if l, damage := cache.Load(path); len(damage) != 0 || l.Version != 9 || len(l.Bricks) != 1 || l.Rate.Changes == 0 {
+	if l, damage := cache.Load(path); len(damage) != 0 || l.Version != 9 || len(l.Bricks) != 1 || l.ChangeRate.Changes == 0 {
 		t.Errorf("kept: %+v %v", l, damage)
 	}
 
-	if k, err = StartKeeper(KeeperOptions{Shape: shape, Host: newTeller(), Cache: path}); err != nil {
+	if k, err = StartTracker(TrackerOptions{Topology: shape, Host: newTeller(), CacheDir: path}); err != nil {
 		t.Fatal(err)
 	}
 	defer k.Close()
-	if _, err := StartKeeper(KeeperOptions{Shape: shape, Host: newTeller(), Cache: path}); !errors.Is(err, cache.ErrLocked) {
+	if _, err := StartTracker(TrackerOptions{Topology: shape, Host: newTeller(), CacheDir: path}); !errors.Is(err, cache.ErrLocked) {
 		t.Errorf("two hosts on one cache: %v", err)
 	}
 }
--- a/internal/membership/keeper.go
+++ b/internal/membership/keeper.go
@@ -15,34 +15,34 @@
 	"arrowwalk/internal/membership/trust"
 )
 
-// Teller is who is told of nodes: the host.
-type Teller interface {
+// NodeSink is who is told of nodes: the host.
+type NodeSink interface {
 	Nodes(kind arrowwalk.ListKind, version int64, members []host.Member)
 }
 
-// Asker asks a brick who it is.
-type Asker interface {
-	Ask(ctx context.Context, address, name string) (what trust.Evidence, started int64)
+// Prober asks a brick who it is.
+type Prober interface {
+	Probe(ctx context.Context, address, name string) (what trust.Observation, started int64)
 }
 
-// KeeperOptions of a Keeper.
-type KeeperOptions struct {
-	Shape   Shape
-	Host    Teller
-	Asker   Asker
-	Cache   string // directory of the kept list; "": none is kept
-	Log     *slog.Logger
-	Reached func(addresses []string) // told of the addresses in use; nil: nobody
-	Listed  func([]host.Member)      // told of each list before the host; nil: nobody
-	Overlay func(*host.Member)       // makes of a member what others than the source say; nil: nothing
-	Blind   bool                     // take a kept list for the truth; for measurements only
-	Wall    func() time.Time         // nil: time.Now
+// TrackerOptions of a Keeper.
+type TrackerOptions struct {
+	Topology    Topology
+	Host        NodeSink
+	Prober      Prober
+	CacheDir    string // directory of the kept list; "": none is kept
+	Log         *slog.Logger
+	OnAddresses func(addresses []string) // told of the addresses in use; nil: nobody
+	OnList      func([]host.Member)      // told of each list before the host; nil: nobody
+	Overlay     func(*host.Member)       // makes of a member what others than the source say; nil: nothing
+	TrustCache  bool                     // take a kept list for the truth; for measurements only
+	Now         func() time.Time         // nil: time.Now
 }
 
-// Keeper puts sources, the kept list and the decisions of trust together, and
+// Tracker puts sources, the kept list and the decisions of trust together, and
 // tells the host. One goroutine owns all its state.
-type Keeper struct {
-	opt    KeeperOptions
+type Tracker struct {
+	opt    TrackerOptions
 	log    *slog.Logger
 	dir    *cache.Dir
 	begun  time.Time
@@ -59,7 +59,7 @@
 	// The rest is the goroutine's.
 	gate    *trust.Gate
 	kept    *cache.List
-	doubts  *trust.Doubts
+	doubts  *trust.Verifier
 	states  map[string]string                // of the kept list's bricks
 	members map[arrowwalk.NodeID]host.Member // as the source, or the kept list, has them
 	told    map[arrowwalk.NodeID]host.Member // as the host was told
@@ -90,24 +90,24 @@
 
 type evidence struct {
 	name    string
-	what    trust.Evidence
+	what    trust.Observation
 	started int64
 }
 
 type failure struct{ err error }
 
-// StartKeeper opens the cache, tells the host of the kept list as far as it is
+// StartTracker opens the cache, tells the host of the kept list as far as it is
 // believed, and waits for sources. The error is that of the cache's lock: a
 // damaged or missing list is told in the log and the host starts without.
-func StartKeeper(opt KeeperOptions) (*Keeper, error) {
-	if opt.Wall == nil {
-		opt.Wall = time.Now
+func StartTracker(opt TrackerOptions) (*Tracker, error) {
+	if opt.Now == nil {
+		opt.Now = time.Now
 	}
 	if opt.Log == nil {
 		opt.Log = slog.New(slog.DiscardHandler)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	k := &Keeper{opt: opt, log: opt.Log, begun: time.Now(), inbox: make(chan any, 256), quit: make(chan struct{}), done: make(chan struct{}), stop: ctx}
+	k := &Tracker{opt: opt, log: opt.Log, begun: time.Now(), inbox: make(chan any, 256), quit: make(chan struct{}), done: make(chan struct{}), stop: ctx}
 	if err := k.open(); err != nil {
 		cancel()
 		return nil, err
@@ -125,28 +125,28 @@
 	return k, nil
 }
 
-func (k *Keeper) open() error {
-	if k.opt.Cache == "" {
+func (k *Tracker) open() error {
+	if k.opt.CacheDir == "" {
 		return nil
 	}
-	dir, err := cache.Open(k.opt.Cache)
+	dir, err := cache.Open(k.opt.CacheDir)
 	if errors.Is(err, cache.ErrLocked) {
 		return err
 	}
 	if err != nil { // a disk that takes nothing keeps nobody from serving
-		k.log.Error("node list will not be kept", "cache", k.opt.Cache, "error", err)
+		k.log.Error("node list will not be kept", "cache", k.opt.CacheDir, "error", err)
 	}
 	k.dir = dir
-	list, damage := cache.Load(k.opt.Cache)
+	list, damage := cache.Load(k.opt.CacheDir)
 	for _, d := range damage {
-		if !errors.Is(d, cache.ErrNone) {
+		if !errors.Is(d, cache.ErrNotFound) {
 			k.log.Error("kept node list damaged", "error", d)
 		}
 	}
 	k.kept = list
 	switch {
 	case list == nil:
-		k.log.Warn("no node list is kept: requests are refused until discovery tells one", "cache", k.opt.Cache)
+		k.log.Warn("no node list is kept: requests are refused until discovery tells one", "cache", k.opt.CacheDir)
 	case len(damage) > 0:
 		k.log.Warn("using the node list kept before", "generation", list.Generation, "version", list.Version, "bricks", len(list.Bricks))
 	}
@@ -154,12 +154,12 @@
 }
 
 // Close stops the keeper and writes what is not written yet.
-func (k *Keeper) Close() {
+func (k *Tracker) Close() {
 	k.once.Do(func() { close(k.quit) })
 	<-k.done
 }
 
-func (k *Keeper) send(m any) {
+func (k *Tracker) send(m any) {
 	select {
 	case k.inbox <- m:
 	case <-k.quit:
@@ -167,16 +167,16 @@
 }
 
 // Offer hands over a complete list of a source.
-func (k *Keeper) Offer(source string, l *List) { k.send(offer{source, l}) }
+func (k *Tracker) Offer(source string, l *List) { k.send(offer{source, l}) }
 
-// Failed tells that a source cannot be read at the moment.
-func (k *Keeper) Failed(err error) { k.send(failure{err}) }
+// ReportFailure tells that a source cannot be read at the moment.
+func (k *Tracker) ReportFailure(err error) { k.send(failure{err}) }
 
-// Seen takes in what a client's request showed of a brick. It is cheap where
+// Observe takes in what a client's request showed of a brick. It is cheap where
 // nothing is doubted.
-func (k *Keeper) Seen(name string, what trust.Evidence, started int64) {
+func (k *Tracker) Observe(name string, what trust.Observation, started int64) {
 	if what == trust.Answered {
-		k.served.Store(name, k.opt.Wall().UnixMicro())
+		k.served.Store(name, k.opt.Now().UnixMicro())
 	}
 	if !k.doubt.Load() {
 		return
@@ -187,12 +187,12 @@
 	}
 }
 
-// Known tells whether the host was told of any list.
-func (k *Keeper) Known() bool { return k.known.Load() }
+// HasList tells whether the host was told of any list.
+func (k *Tracker) HasList() bool { return k.known.Load() }
 
-func (k *Keeper) now() time.Duration { return time.Since(k.begun) }
+func (k *Tracker) now() time.Duration { return time.Since(k.begun) }
 
-func (k *Keeper) run() {
+func (k *Tracker) run() {
 	defer close(k.done)
 	tick := time.NewTicker(askTick)
 	defer tick.Stop()
@@ -210,7 +210,7 @@
 	}
 }
 
-func (k *Keeper) end() {
+func (k *Tracker) end() {
 	k.save(true)
 	k.asking.Wait()
 	if k.dir != nil {
@@ -218,7 +218,7 @@
 	}
 }
 
-func (k *Keeper) take(m any) {
+func (k *Tracker) take(m any) {
 	switch m := m.(type) {
 	case offer:
 		k.offered(m)
@@ -235,14 +235,14 @@
 }
 
 // offered decides on a list that a source tells.
-func (k *Keeper) offered(o offer) {
+func (k *Tracker) offered(o offer) {
 	k.failing = ""
-	answer, reason := k.gate.Offer(trust.Offer{Source: o.source, Version: o.list.Version, Bricks: len(o.list.Bricks), At: k.now()})
+	answer, reason := k.gate.Decide(trust.Offer{Source: o.source, Version: o.list.Version, BrickCount: len(o.list.Bricks), At: k.now()})
 	switch answer {
 	case trust.Hold:
 		k.log.Warn("node list held off", "source", o.source, "version", o.list.Version, "bricks", len(o.list.Bricks), "reason", reason)
 		return
-	case trust.Same:
+	case trust.Unchanged:
 		k.confirm()
 		return
 	}
@@ -250,38 +250,38 @@
 	k.keep(o)
 	k.live, k.doubts = true, nil
 	k.doubt.Store(false)
-	k.tell(arrowwalk.ListSnapshot, o.list.Version, o.list.Members(k.opt.Shape))
+	k.tell(arrowwalk.ListSnapshot, o.list.Version, o.list.Members(k.opt.Topology))
 }
 
 // keep makes an accepted list the one to be kept, and learns from what changed.
-func (k *Keeper) keep(o offer) {
-	now := k.opt.Wall().UnixMicro()
-	next := &cache.List{Header: cache.Header{Version: o.list.Version, Source: o.source, Taken: now}}
+func (k *Tracker) keep(o offer) {
+	now := k.opt.Now().UnixMicro()
+	next := &cache.List{Header: cache.Header{Version: o.list.Version, Source: o.source, AcceptedAt: now}}
 	before := map[string]cache.Entry{}
 	if k.kept != nil {
-		next.Rate = k.kept.Rate.Learn(identities(k.kept.Bricks), identitiesOf(o.list), time.Duration(now-k.kept.Taken)*time.Microsecond)
+		next.ChangeRate = k.kept.ChangeRate.Update(identities(k.kept.Bricks), identitiesOf(o.list), time.Duration(now-k.kept.AcceptedAt)*time.Microsecond)
 		for _, e := range k.kept.Bricks {
 			before[e.Name] = e
 		}
 	}
 	for _, e := range o.list.Bricks {
 		next.Bricks = append(next.Bricks, cache.Entry{Name: e.Name, Address: e.Address, Zone: e.Zone, Shard: e.Shard,
-			State: e.State, Started: e.Started, Confirmed: now, Served: before[e.Name].Served})
+			State: e.State, Started: e.Started, LastConfirmed: now, LastServed: before[e.Name].LastServed})
 	}
 	k.kept, k.unsaved, k.saveAt = next, true, time.Now()
 }
 
 // confirm notes that the list that is held was confirmed.
-func (k *Keeper) confirm() {
+func (k *Tracker) confirm() {
 	if k.kept == nil {
 		return
 	}
-	now := k.opt.Wall().UnixMicro()
-	span := time.Duration(now-k.kept.Taken) * time.Microsecond
-	k.kept.Rate = k.kept.Rate.Learn(identities(k.kept.Bricks), identities(k.kept.Bricks), span)
-	k.kept.Taken = now
+	now := k.opt.Now().UnixMicro()
+	span := time.Duration(now-k.kept.AcceptedAt) * time.Microsecond
+	k.kept.ChangeRate = k.kept.ChangeRate.Update(identities(k.kept.Bricks), identities(k.kept.Bricks), span)
+	k.kept.AcceptedAt = now
 	for i := range k.kept.Bricks {
-		k.kept.Bricks[i].Confirmed = now
+		k.kept.Bricks[i].LastConfirmed = now
 	}
 	if !k.unsaved {
 		k.unsaved, k.saveAt = true, time.Now().Add(confirmSave)
@@ -305,14 +305,14 @@
 }
 
 // save writes the kept list when it is due.
-func (k *Keeper) save(now bool) {
+func (k *Tracker) save(now bool) {
 	if k.dir == nil || k.kept == nil || !k.unsaved || !now && time.Now().Before(k.saveAt) {
 		return
 	}
 	k.unsaved = false
 	for i := range k.kept.Bricks {
 		if at, ok := k.served.Load(k.kept.Bricks[i].Name); ok {
-			k.kept.Bricks[i].Served = at.(int64)
+			k.kept.Bricks[i].LastServed = at.(int64)
 		}
 	}
 	if err := k.dir.Save(k.kept); err != nil {
@@ -321,21 +321,21 @@
 }
 
 // tellKept tells the host of the kept list at its start.
-func (k *Keeper) tellKept() {
+func (k *Tracker) tellKept() {
 	if k.kept == nil {
 		return
 	}
-	now := k.opt.Wall()
+	now := k.opt.Now()
 	age := map[string]time.Duration{}
 	k.states = map[string]string{}
 	for _, e := range k.kept.Bricks {
 		k.states[e.Name] = e.State
-		if e.Confirmed > 0 {
-			age[e.Name] = now.Sub(time.UnixMicro(e.Confirmed))
+		if e.LastConfirmed > 0 {
+			age[e.Name] = now.Sub(time.UnixMicro(e.LastConfirmed))
 		}
 	}
-	k.doubts = trust.NewDoubts(identities(k.kept.Bricks), age, k.kept.Rate)
-	k.doubt.Store(!k.opt.Blind)
+	k.doubts = trust.NewVerifier(identities(k.kept.Bricks), age, k.kept.ChangeRate)
+	k.doubt.Store(!k.opt.TrustCache)
 	var members []host.Member
 	levels := map[string]int{}
 	for _, e := range k.doubts.Entries() {
@@ -343,20 +343,20 @@
 		members = append(members, k.member(&e))
 	}
 	k.log.Warn("starting from the kept node list", "version", k.kept.Version, "source", k.kept.Source,
-		"age", now.Sub(time.UnixMicro(k.kept.Taken)).Round(time.Second), "changes_per_brick_day", k.kept.Rate.PerHour()*24, "levels", levels)
+		"age", now.Sub(time.UnixMicro(k.kept.AcceptedAt)).Round(time.Second), "changes_per_brick_day", k.kept.ChangeRate.PerBrickHour()*24, "levels", levels)
 	k.tell(arrowwalk.ListStored, k.kept.Version, members)
 }
 
 // member is an entry of the kept list as the host may believe it: what is
 // doubted takes nothing, what is aged takes what a cold brick bears.
-func (k *Keeper) member(e *trust.Entry) host.Member {
+func (k *Tracker) member(e *trust.Entry) host.Member {
 	entry := Entry{Name: e.Name, Address: e.Address, Zone: e.Zone, Shard: e.Shard, Started: e.Started, State: k.states[e.Name]}
-	m := entry.Member(k.opt.Shape)
-	if m.Node.Zone < 0 || e.Shard >= k.opt.Shape.Shards {
+	m := entry.Member(k.opt.Topology)
+	if m.Node.Zone < 0 || e.Shard >= k.opt.Topology.Shards {
 		m.State = arrowwalk.Draining // of settings that have changed since
 	}
 	switch {
-	case k.opt.Blind || m.State != arrowwalk.Ready:
+	case k.opt.TrustCache || m.State != arrowwalk.Ready:
 	case !trust.MayServe(e.Level):
 		m.State = arrowwalk.Draining
 	case e.Level == trust.Aged:
@@ -365,7 +365,7 @@
 	return m
 }
 
-func (k *Keeper) tell(kind arrowwalk.ListKind, version int64, members []host.Member) {
+func (k *Tracker) tell(kind arrowwalk.ListKind, version int64, members []host.Member) {
 	k.known.Store(true)
 	if kind != arrowwalk.ListDelta {
 		k.members = map[arrowwalk.NodeID]host.Member{}
@@ -375,15 +375,15 @@
 	}
 	k.version = version
 	k.levels.Store(k.levelNames())
-	if k.opt.Listed != nil {
+	if k.opt.OnList != nil {
 		all := make([]host.Member, 0, len(k.members))
 		for _, m := range k.members {
 			all = append(all, m)
 		}
-		k.opt.Listed(all)
+		k.opt.OnList(all)
 	}
 	k.pass(kind, version, members)
-	if k.opt.Reached == nil || kind == arrowwalk.ListDelta {
+	if k.opt.OnAddresses == nil || kind == arrowwalk.ListDelta {
 		return
 	}
 	var addresses []string
@@ -392,11 +392,11 @@
 			addresses = append(addresses, m.Address)
 		}
 	}
-	k.opt.Reached(addresses)
+	k.opt.OnAddresses(addresses)
 }
 
 // overlay makes of members what others than the source say.
-func (k *Keeper) overlay(members []host.Member) {
+func (k *Tracker) overlay(members []host.Member) {
 	if k.opt.Overlay == nil {
 		return
 	}
@@ -405,7 +405,7 @@
 	}
 }
 
-func (k *Keeper) levelNames() map[string]string {
+func (k *Tracker) levelNames() map[string]string {
 	levels := make(map[string]string, len(k.members))
 	for id := range k.members {
 		level := trust.Fresh
@@ -419,8 +419,8 @@
 	return levels
 }
 
-// Levels returns how far each brick is believed.
-func (k *Keeper) Levels() map[string]string {
+// TrustLevels returns how far each brick is believed.
+func (k *Tracker) TrustLevels() map[string]string {
 	levels, _ := k.levels.Load().(map[string]string)
 	return levels
 }
@@ -430,7 +430,7 @@
 
 // Refresh has the host told of all bricks again, after what Overlay says has
 // changed; it returns when it was told.
-func (k *Keeper) Refresh() {
+func (k *Tracker) Refresh() {
 	r := refresh{make(chan struct{})}
 	k.send(r)
 	select {
@@ -439,15 +439,15 @@
 	}
 }
 
-// Nudge is Refresh without the wait.
-func (k *Keeper) Nudge() {
+// RefreshAsync is Refresh without the wait.
+func (k *Tracker) RefreshAsync() {
 	select {
 	case k.inbox <- refresh{make(chan struct{})}:
 	case <-k.quit:
 	}
 }
 
-func (k *Keeper) refreshed(r refresh) {
+func (k *Tracker) refreshed(r refresh) {
 	defer close(r.done)
 	members := make([]host.Member, 0, len(k.members))
 	for _, m := range k.members {
@@ -459,7 +459,7 @@
 // pass tells the host what is new to it. A complete list is passed on as its
 // changes where the host has one already: a step's work follows from what
 // changed, not from how many bricks there are.
-func (k *Keeper) pass(kind arrowwalk.ListKind, version int64, members []host.Member) {
+func (k *Tracker) pass(kind arrowwalk.ListKind, version int64, members []host.Member) {
 	members = slices.Clone(members)
 	k.overlay(members)
 	before := k.told
@@ -491,17 +491,17 @@
 }
 
 // ask asks doubted bricks who they are.
-func (k *Keeper) ask() {
-	if k.doubts == nil || k.opt.Blind || k.opt.Asker == nil {
+func (k *Tracker) ask() {
+	if k.doubts == nil || k.opt.TrustCache || k.opt.Prober == nil {
 		return
 	}
-	for _, id := range k.doubts.Ask(k.now(), askAtOnce) {
+	for _, id := range k.doubts.StartProbes(k.now(), askAtOnce) {
 		k.asking.Add(1)
 		go func() {
 			defer k.asking.Done()
 			ctx, cancel := context.WithTimeout(k.stop, askWait)
 			defer cancel()
-			what, started := k.opt.Asker.Ask(ctx, id.Address, id.Name)
+			what, started := k.opt.Prober.Probe(ctx, id.Address, id.Name)
 			k.send(evidence{id.Name, what, started})
 		}()
 	}
@@ -509,8 +509,8 @@
 
 // saw takes in what was seen of a doubted brick, and tells the host where that
 // changes what may be sent.
-func (k *Keeper) saw(v evidence) {
-	if k.doubts == nil || !k.doubts.Saw(v.name, v.what, v.started, k.now()) {
+func (k *Tracker) saw(v evidence) {
+	if k.doubts == nil || !k.doubts.Observe(v.name, v.what, v.started, k.now()) {
 		return
 	}
 	e, _ := k.doubts.Entry(v.name)
@@ -521,10 +521,10 @@
 	}
 }
 
-func (k *Keeper) noteConfirmed(e trust.Entry) {
+func (k *Tracker) noteConfirmed(e trust.Entry) {
 	for i := range k.kept.Bricks {
 		if k.kept.Bricks[i].Name == e.Name {
-			k.kept.Bricks[i].Confirmed = k.opt.Wall().UnixMicro()
+			k.kept.Bricks[i].LastConfirmed = k.opt.Now().UnixMicro()
 			k.kept.Bricks[i].Started = e.Started
 		}
 	}
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -40,8 +40,8 @@
 	"": arrowwalk.Ready, Ready: arrowwalk.Ready, Draining: arrowwalk.Draining, Gone: arrowwalk.Removed,
 }
 
-// Shape is what a list must fit into.
-type Shape struct {
+// Topology is what a list must fit into.
+type Topology struct {
 	Zones  []string
 	Shards int
 }
@@ -53,7 +53,7 @@
 )
 
 // Parse reads a list in JSON and checks it; the error names the path at fault.
-func Parse(text []byte, shape Shape) (*List, error) {
+func Parse(text []byte, shape Topology) (*List, error) {
 	if len(text) > listBytesMost {
 		return nil, fmt.Errorf("over %d bytes", listBytesMost)
 	}
@@ -66,18 +66,18 @@
 	if d.More() {
 		return nil, fmt.Errorf("something follows the list")
 	}
-	return l, l.Check(shape)
+	return l, l.Validate(shape)
 }
 
-// Check tells what of a list cannot be.
-func (l *List) Check(shape Shape) error {
+// Validate tells what of a list cannot be.
+func (l *List) Validate(shape Topology) error {
 	if len(l.Bricks) > entriesMost {
 		return fmt.Errorf("bricks: over %d", entriesMost)
 	}
 	names := make(map[string]int, len(l.Bricks))
 	for i := range l.Bricks {
 		at := fmt.Sprintf("bricks[%d]", i)
-		if err := l.Bricks[i].Check(shape); err != nil {
+		if err := l.Bricks[i].Validate(shape); err != nil {
 			return fmt.Errorf("%s.%w", at, err)
 		}
 		if first, ok := names[l.Bricks[i].Name]; ok {
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// Check tells what of an entry cannot be; the error begins with the field.
-func (e *Entry) Check(shape Shape) error {
+// Validate tells what of an entry cannot be; the error begins with the field.
+func (e *Entry) Validate(shape Topology) error {
 	if e.Name == "" || len(e.Name) > nameMost || !validName(e.Name) {
 		return fmt.Errorf("name: %q: must be 1 to %d letters, digits, dots, dashes or underscores", e.Name, nameMost)
 	}
@@ -125,7 +125,7 @@
 }
 
 // Member returns the entry as the host takes it.
-func (e *Entry) Member(shape Shape) host.Member {
+func (e *Entry) Member(shape Topology) host.Member {
 	return host.Member{
 		Node: arrowwalk.Node{ID: arrowwalk.NodeID(e.Name), Shard: e.Shard, Zone: slices.Index(shape.Zones, e.Zone),
 			State: states[e.State], Started: arrowwalk.Micros(e.Started)},
@@ -134,7 +134,7 @@
 }
 
 // Members returns all entries as the host takes them.
-func (l *List) Members(shape Shape) []host.Member {
+func (l *List) Members(shape Topology) []host.Member {
 	out := make([]host.Member, len(l.Bricks))
 	for i := range l.Bricks {
 		out[i] = l.Bricks[i].Member(shape)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var shape = Shape{Zones: []string{"z1", "z2"}, Shards: 2}
+var shape = Topology{Zones: []string{"z1", "z2"}, Shards: 2}
 
 func TestParse(t *testing.T) {
 	for _, c := range []struct{ text, err string }{
--- a/internal/membership/trust/accept.go
+++ b/internal/membership/trust/accept.go
@@ -4,21 +4,21 @@
 
 // Offer is a list that a source offers.
 type Offer struct {
-	Source  string
-	Version int64 // grows within one source
-	Bricks  int
-	At      time.Duration // since any fixed moment
+	Source     string
+	Version    int64 // grows within one source
+	BrickCount int
+	At         time.Duration // since any fixed moment
 }
 
-// Answer says what becomes of an offer.
-type Answer int
+// Decision says what becomes of an offer.
+type Decision int
 
 const (
-	// Take the list.
-	Take Answer = iota
-	// Same as the one that is held: nothing to do but to note that it was
+	// Accept the list.
+	Accept Decision = iota
+	// Unchanged as the one that is held: nothing to do but to note that it was
 	// confirmed.
-	Same
+	Unchanged
 	// Hold the list that was taken before; the offer may be taken later.
 	Hold
 )
@@ -37,9 +37,9 @@
 // A list that lacks some bricks but not all is taken at once: nothing may go
 // to a brick for longer than the grace after it vanished.
 type Gate struct {
-	Back  time.Duration // BackFor of rule 2
-	Empty time.Duration // EmptyFor of rule 3
-	Times int           // EmptyTimes of rule 3
+	RollbackHold time.Duration // BackFor of rule 2
+	EmptyHold    time.Duration // EmptyFor of rule 3
+	EmptyRepeats int           // EmptyTimes of rule 3
 
 	source  string
 	version int64
@@ -53,17 +53,17 @@
 // NewGate returns a Gate with the given patience, holding what a kept list
 // has: the number of its bricks, but no version of a source.
 func NewGate(back, empty time.Duration, times, bricks int) *Gate {
-	return &Gate{Back: back, Empty: empty, Times: times, bricks: bricks}
+	return &Gate{RollbackHold: back, EmptyHold: empty, EmptyRepeats: times, bricks: bricks}
 }
 
-// Offer decides on a list; reason says in a word why one is held off.
-func (g *Gate) Offer(o Offer) (answer Answer, reason string) {
-	if o.Bricks == 0 && g.bricks > 0 {
+// Decide decides on a list; reason says in a word why one is held off.
+func (g *Gate) Decide(o Offer) (answer Decision, reason string) {
+	if o.BrickCount == 0 && g.bricks > 0 {
 		if g.emptySeen == 0 {
 			g.emptySince = o.At
 		}
 		g.emptySeen++
-		if g.emptySeen < g.Times || o.At-g.emptySince < g.Empty {
+		if g.emptySeen < g.EmptyRepeats || o.At-g.emptySince < g.EmptyHold {
 			return Hold, "empty"
 		}
 	} else {
@@ -71,20 +71,20 @@
 	}
 	if g.held && o.Source == g.source {
 		switch {
-		case o.Version == g.version && o.Bricks == g.bricks:
+		case o.Version == g.version && o.BrickCount == g.bricks:
 			g.backSeen = 0
-			return Same, ""
+			return Unchanged, ""
 		case o.Version < g.version:
 			if g.backSeen == 0 {
 				g.backSince = o.At
 			}
 			g.backSeen++
-			if o.At-g.backSince < g.Back {
+			if o.At-g.backSince < g.RollbackHold {
 				return Hold, "older"
 			}
 		}
 	}
-	g.source, g.version, g.bricks, g.held = o.Source, o.Version, o.Bricks, true
+	g.source, g.version, g.bricks, g.held = o.Source, o.Version, o.BrickCount, true
 	g.backSeen, g.emptySeen = 0, 0
-	return Take, ""
+	return Accept, ""
 }
--- a/internal/membership/trust/trust.go
+++ b/internal/membership/trust/trust.go
@@ -44,10 +44,10 @@
 	return [...]string{"fresh", "aged", "doubted", "unknown", "contradicted"}[l]
 }
 
-// Rate is what was learned of how often the site's bricks change.
-type Rate struct {
-	Changes float64 `json:"changes"` // entries that were replaced, moved or left
-	Hours   float64 `json:"hours"`   // brick-hours in which they did
+// ChangeRate is what was learned of how often the site's bricks change.
+type ChangeRate struct {
+	Changes    float64 `json:"changes"` // entries that were replaced, moved or left
+	BrickHours float64 `json:"hours"`   // brick-hours in which they did
 }
 
 // The prior: one change in 30 days of one brick, worth ten brick-days.
@@ -56,12 +56,14 @@
 	priorChanges = priorHours / (30 * 24)
 )
 
-// PerHour returns the changes a brick and hour.
-func (r Rate) PerHour() float64 { return (r.Changes + priorChanges) / (r.Hours + priorHours) }
+// PerBrickHour returns the changes a brick and hour.
+func (r ChangeRate) PerBrickHour() float64 {
+	return (r.Changes + priorChanges) / (r.BrickHours + priorHours)
+}
 
-// Still returns the chance that an entry that was right age ago still is.
-func (r Rate) Still(age time.Duration) float64 {
-	return math.Exp(-r.PerHour() * max(0, age.Hours()))
+// ProbUnchanged returns the chance that an entry that was right age ago still is.
+func (r ChangeRate) ProbUnchanged(age time.Duration) float64 {
+	return math.Exp(-r.PerBrickHour() * max(0, age.Hours()))
 }
 
 // Below these chances an entry is doubted, and unknown.
@@ -70,14 +72,14 @@
 	doubtedLeast = 0.5
 )
 
-// LevelOf returns the level of an entry that was last confirmed age ago, when
+// LevelAtAge returns the level of an entry that was last confirmed age ago, when
 // no source is live. An age that cannot be, as after a clock was set back,
 // counts as unknown.
-func (r Rate) LevelOf(age time.Duration, ageKnown bool) Level {
+func (r ChangeRate) LevelAtAge(age time.Duration, ageKnown bool) Level {
 	if !ageKnown || age < 0 {
 		return Unknown
 	}
-	switch p := r.Still(age); {
+	switch p := r.ProbUnchanged(age); {
 	case p >= agedLeast:
 		return Aged
 	case p >= doubtedLeast:
@@ -95,14 +97,14 @@
 	Started int64 // microseconds since 1970; 0: not told
 }
 
-// Learn adds to a rate what changed between two lists of one source, after
+// Update adds to a rate what changed between two lists of one source, after
 // span in which bricks could change.
-func (r Rate) Learn(before, after []Identity, span time.Duration) Rate {
+func (r ChangeRate) Update(before, after []Identity, span time.Duration) ChangeRate {
 	now := make(map[string]Identity, len(after))
 	for _, e := range after {
 		now[e.Name] = e
 	}
-	r.Hours += float64(len(before)) * max(0, span.Hours())
+	r.BrickHours += float64(len(before)) * max(0, span.Hours())
 	for _, e := range before {
 		if n, ok := now[e.Name]; !ok || n.Address != e.Address || n.Zone != e.Zone || n.Shard != e.Shard {
 			r.Changes++
@@ -111,32 +113,32 @@
 	return r
 }
 
-// Evidence is what was seen of a brick by asking it.
-type Evidence int
+// Observation is what was seen of a brick by asking it.
+type Observation int
 
 const (
 	// Answered as who it should be.
-	Answered Evidence = iota
-	// Refused the connection: nobody listens there.
-	Refused
-	// Silent: the connection or the answer did not come in time.
-	Silent
-	// Other: another brick answered there.
-	Other
+	Answered Observation = iota
+	// ConnRefused the connection: nobody listens there.
+	ConnRefused
+	// TimedOut: the connection or the answer did not come in time.
+	TimedOut
+	// WrongBrick: another brick answered there.
+	WrongBrick
 )
 
 // Entry is one brick that the host knows of.
 type Entry struct {
 	Identity
-	Level  Level
-	Asked  int  // questions without an answer, in a row
-	Asking bool // a question is out
-	Next   time.Duration
+	Level        Level
+	FailedProbes int  // questions without an answer, in a row
+	Probing      bool // a question is out
+	NextProbe    time.Duration
 }
 
-// Doubts holds the entries of a kept list until a live source replaces them.
+// Verifier holds the entries of a kept list until a live source replaces them.
 // Times are spans since any fixed moment and only advance.
-type Doubts struct {
+type Verifier struct {
 	entries map[string]*Entry
 	order   []string // who is asked first
 }
@@ -147,13 +149,13 @@
 	askMost  = 10 * time.Second
 )
 
-// NewDoubts holds the entries of a list whose ages are given by name; a name
+// NewVerifier holds the entries of a list whose ages are given by name; a name
 // without one was never confirmed.
-func NewDoubts(list []Identity, age map[string]time.Duration, rate Rate) *Doubts {
-	d := &Doubts{entries: make(map[string]*Entry, len(list))}
+func NewVerifier(list []Identity, age map[string]time.Duration, rate ChangeRate) *Verifier {
+	d := &Verifier{entries: make(map[string]*Entry, len(list))}
 	for _, id := range list {
 		a, known := age[id.Name]
-		d.entries[id.Name] = &Entry{Identity: id, Level: rate.LevelOf(a, known)}
+		d.entries[id.Name] = &Entry{Identity: id, Level: rate.LevelAtAge(a, known)}
 		d.order = append(d.order, id.Name)
 	}
 	slices.SortStableFunc(d.order, func(a, b string) int {
@@ -163,7 +165,7 @@
 }
 
 // Entries returns all entries, those believed most first.
-func (d *Doubts) Entries() []Entry {
+func (d *Verifier) Entries() []Entry {
 	out := make([]Entry, 0, len(d.order))
 	for _, name := range d.order {
 		out = append(out, *d.entries[name])
@@ -172,7 +174,7 @@
 }
 
 // Entry returns one entry, or false.
-func (d *Doubts) Entry(name string) (Entry, bool) {
+func (d *Verifier) Entry(name string) (Entry, bool) {
 	if e := d.entries[name]; e != nil {
 		return *e, true
 	}
@@ -182,12 +184,12 @@
 // MayServe tells whether work may be sent to an entry of a level.
 func MayServe(l Level) bool { return l == Fresh || l == Aged }
 
-// Ask returns the bricks to be asked who they are now, at most most in all out
+// StartProbes returns the bricks to be asked who they are now, at most most in all out
 // at once, one question at a time for each. Their next turn follows from Saw.
-func (d *Doubts) Ask(now time.Duration, most int) []Identity {
+func (d *Verifier) StartProbes(now time.Duration, most int) []Identity {
 	out := 0
 	for _, e := range d.entries {
-		if e.Asking {
+		if e.Probing {
 			out++
 		}
 	}
@@ -197,43 +199,43 @@
 		if out >= most {
 			break
 		}
-		if e.Asking || e.Level == Fresh || now < e.Next {
+		if e.Probing || e.Level == Fresh || now < e.NextProbe {
 			continue
 		}
-		e.Asking = true
+		e.Probing = true
 		out++
 		ask = append(ask, e.Identity)
 	}
 	return ask
 }
 
-// Saw takes in what a question, or a client's request, showed of a brick: it
+// Observe takes in what a question, or a client's request, showed of a brick: it
 // tells whether the entry's level changed. started is the start that the brick
 // told, where it answered.
-func (d *Doubts) Saw(name string, what Evidence, started int64, now time.Duration) bool {
+func (d *Verifier) Observe(name string, what Observation, started int64, now time.Duration) bool {
 	e := d.entries[name]
 	if e == nil {
 		return false
 	}
 	before, was := e.Level, e.Started
-	e.Asking = false
+	e.Probing = false
 	if what == Answered {
-		e.Level, e.Asked = Fresh, 0
+		e.Level, e.FailedProbes = Fresh, 0
 		if started > 0 {
 			e.Started = started // a brick that has started anew is a cold one
 		}
 		return before != Fresh || was != e.Started
 	}
-	e.Asked++
-	e.Next = now + min(askFirst<<min(e.Asked-1, 10), askMost)
+	e.FailedProbes++
+	e.NextProbe = now + min(askFirst<<min(e.FailedProbes-1, 10), askMost)
 	switch what {
-	case Other:
+	case WrongBrick:
 		e.Level = Contradicted
-	case Refused:
+	case ConnRefused:
 		if e.Level != Contradicted {
 			e.Level = Contradicted
 		}
-	case Silent:
+	case TimedOut:
 		if e.Level == Aged { // it may be slow: but nothing more before it answers
 			e.Level = Doubted
 		}
--- a/internal/membership/zk.go
+++ b/internal/membership/zk.go
@@ -16,23 +16,23 @@
 
 // ZKOptions say where discovery is.
 type ZKOptions struct {
-	Servers []string // HOST:PORT
-	Root    string   // the node whose children are bricks
-	Session time.Duration
-	Relist  time.Duration // the tree is read again so often, whatever watches say
-	Shape   Shape
-	Log     *slog.Logger
+	Servers        []string // HOST:PORT
+	Root           string   // the node whose children are bricks
+	SessionTimeout time.Duration
+	RelistInterval time.Duration // the tree is read again so often, whatever watches say
+	Topology       Topology
+	Log            *slog.Logger
 }
 
 func (o *ZKOptions) defaults() {
 	if o.Root == "" {
 		o.Root = "/arrowwalk/bricks"
 	}
-	if o.Session == 0 {
-		o.Session = 5 * time.Second
+	if o.SessionTimeout == 0 {
+		o.SessionTimeout = 5 * time.Second
 	}
-	if o.Relist == 0 {
-		o.Relist = 10 * time.Second
+	if o.RelistInterval == 0 {
+		o.RelistInterval = 10 * time.Second
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -66,7 +66,7 @@
 // fail each error; both from one goroutine.
 func FollowZK(opt ZKOptions, tell func(*List), fail func(error)) (*ZKSource, error) {
 	opt.defaults()
-	conn, _, err := zk.Connect(opt.Servers, opt.Session, zk.WithLogger(quietLog{opt.Log}), zk.WithLogInfo(false))
+	conn, _, err := zk.Connect(opt.Servers, opt.SessionTimeout, zk.WithLogger(quietLog{opt.Log}), zk.WithLogInfo(false))
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
@@ -115,7 +115,7 @@
 		}
 		wait = againFirst
 		z.tell(list)
-		if !z.rest(z.opt.Relist, changed) {
+		if !z.rest(z.opt.RelistInterval, changed) {
 			return
 		}
 	}
@@ -229,7 +229,7 @@
 		err = fmt.Errorf("name: %q: its node is called %q", c.entry.Name, name)
 	}
 	if err == nil {
-		err = c.entry.Check(z.opt.Shape)
+		err = c.entry.Validate(z.opt.Topology)
 	}
 	if err != nil {
 		if old, known := z.cache[name]; !known || old.mzxid != stat.Mzxid {
@@ -255,10 +255,10 @@
 // Register announces a brick until Close.
 func Register(opt ZKOptions, entry Entry) (*Registrar, error) {
 	opt.defaults()
-	if err := entry.Check(opt.Shape); err != nil {
+	if err := entry.Validate(opt.Topology); err != nil {
 		return nil, fmt.Errorf("register brick: %w", err)
 	}
-	conn, events, err := zk.Connect(opt.Servers, opt.Session, zk.WithLogger(quietLog{opt.Log}), zk.WithLogInfo(false))
+	conn, events, err := zk.Connect(opt.Servers, opt.SessionTimeout, zk.WithLogger(quietLog{opt.Log}), zk.WithLogInfo(false))
 	if err != nil {
 		return nil, fmt.Errorf("register brick: %w", err)
 	}
--- a/internal/prove/evening.go
+++ b/internal/prove/evening.go
@@ -162,7 +162,7 @@
 			continue
 		}
 		taken++
-		if b.By != drains.ByHand || b.Who == "" || b.Number == 0 {
+		if b.Origin != drains.ByOperator || b.Operator == "" || b.Number == 0 {
 			e.fault("a console that died left alpha drained without a record: %+v", b.Status)
 		}
 		back := e.drained("alpha", began)
--- a/internal/prove/nodiscovery.go
+++ b/internal/prove/nodiscovery.go
@@ -44,7 +44,7 @@
 	log    *clients.Log
 	report *Report
 	regs   map[string]*membership.Registrar
-	shape  membership.Shape
+	shape  membership.Topology
 	told   []rules.Told
 	caps   []rules.Capacity
 	mu     sync.Mutex
@@ -83,7 +83,7 @@
 		return nil, err
 	}
 	defer log.Close()
-	n := &quietNight{log: log, dice: newDice(opt.Seed, 6), opt: opt, dir: dir, report: &Report{}, regs: map[string]*membership.Registrar{}, shape: membership.Shape{Zones: c.Zones, Shards: 4},
+	n := &quietNight{log: log, dice: newDice(opt.Seed, 6), opt: opt, dir: dir, report: &Report{}, regs: map[string]*membership.Registrar{}, shape: membership.Topology{Zones: c.Zones, Shards: 4},
 		site: bricks.NewLogged(dir, opt.logs(dir), config.MS(c.Classes.Write.WindowMS), bricks.Cold{Within: config.MS(c.Rules.WarmWithinMS), From: c.Rules.ColdFrom,
 			Multiple: c.Rules.ColdMultiple, Span: config.MS(c.Rules.ColdSpanMS), Units: c.Rules.ColdUnits, UnitsPerSec: 60})}
 	n.roles = n.dice.Perm(hostCount)
@@ -169,10 +169,10 @@
 		if role == hostDay {
 			age = n.dice.span(8*3600, 72*3600)
 		}
-		list := &cache.List{Header: cache.Header{Version: 3, Source: "discovery", Taken: now.Add(-age).UnixMicro()}}
+		list := &cache.List{Header: cache.Header{Version: 3, Source: "discovery", AcceptedAt: now.Add(-age).UnixMicro()}}
 		for _, b := range all {
 			e := b.Entry("")
-			kept := cache.Entry{Name: e.Name, Address: e.Address, Zone: e.Zone, Shard: e.Shard, Confirmed: list.Taken, Served: list.Taken}
+			kept := cache.Entry{Name: e.Name, Address: e.Address, Zone: e.Zone, Shard: e.Shard, LastConfirmed: list.AcceptedAt, LastServed: list.AcceptedAt}
 			if e.Name == "replaced" && role == hostDay { // another brick listens there today
 				kept.Address = n.wrong.Entry("").Address
 			}
--- a/internal/prove/reserves.go
+++ b/internal/prove/reserves.go
@@ -130,8 +130,8 @@
 
 // disk makes a volume under a plan and attaches a machine to it.
 func (r *reservesRun) disk(name, plan string, slots int) (*vmm.Machine, error) {
-	for _, q := range []control.VolumeOrder{{Action: "create", Name: name, Bytes: reserveDisk, Block: 512, Plan: plan}, {Action: "export", Name: name}} {
-		answer, err := r.call(control.Request{Op: control.OpVolume, Block: &q})
+	for _, q := range []control.VolumeOrder{{Action: "create", Name: name, SizeBytes: reserveDisk, BlockBytes: 512, Plan: plan}, {Action: "export", Name: name}} {
+		answer, err := r.call(control.Request{Op: control.OpVolume, VolumeOrder: &q})
 		if err != nil {
 			return nil, err
 		}
@@ -140,7 +140,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return m, m.Connect(answer.Blocks[0].Socket)
+			return m, m.Connect(answer.Volumes[0].Socket)
 		}
 	}
 	return nil, nil
--- a/internal/prove/rings.go
+++ b/internal/prove/rings.go
@@ -121,15 +121,15 @@
 		return nil, err
 	}
 	defer c.Close()
-	answer, err := c.Call(control.Request{Op: control.OpVolume, Block: &q})
+	answer, err := c.Call(control.Request{Op: control.OpVolume, VolumeOrder: &q})
 	if err != nil {
 		return nil, err
 	}
-	return answer.Blocks, nil
+	return answer.Volumes, nil
 }
 
 func (r *ringsRun) run(ctx context.Context) (*Report, error) {
-	if _, err := r.volume(0, control.VolumeOrder{Action: "create", Name: "disk", Bytes: ringBytes, Block: ringBlock, Plan: "university"}); err != nil {
+	if _, err := r.volume(0, control.VolumeOrder{Action: "create", Name: "disk", SizeBytes: ringBytes, BlockBytes: ringBlock, Plan: "university"}); err != nil {
 		return nil, err
 	}
 	list, err := r.volume(0, control.VolumeOrder{Action: "export", Name: "disk"})
