--- a/cmd/arrowwalk/command_test.go
+++ b/cmd/arrowwalk/command_test.go
@@ -16,7 +16,7 @@
 	"arrowwalk/internal/front/s3/sigv4"
 	"arrowwalk/internal/placement"
 	"arrowwalk/internal/standin/clients"
-	"arrowwalk/internal/store/filedir"
+	"arrowwalk/internal/store/filestore"
 )
 
 // command returns a run of arrowwalk as a process.
@@ -217,13 +217,13 @@
 	defer cancel()
 	at := t.TempDir()
 	dir, other, file := filepath.Join(at, "brick"), filepath.Join(at, "other"), filepath.Join(at, "export")
-	old, err := filedir.Open(dir, filedir.Options{NoSync: true})
+	old, err := filestore.Open(dir, filestore.Options{NoSync: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 50 {
 		body := strings.Repeat("body ", 10+i)
-		if _, _, err := old.Put(ctx, "o", filedir.Info{Name: fmt.Sprint("k", i), Size: int64(len(body))}, strings.NewReader(body), filedir.Condition{}); err != nil {
+		if _, _, err := old.Put(ctx, "o", filestore.Info{Name: fmt.Sprint("k", i), Size: int64(len(body))}, strings.NewReader(body), filestore.Condition{}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/cmd/arrowwalk/serve.go
+++ b/cmd/arrowwalk/serve.go
@@ -21,7 +21,7 @@
 	"arrowwalk/internal/gateway"
 	"arrowwalk/internal/membership"
 	"arrowwalk/internal/store"
-	"arrowwalk/internal/store/keeper"
+	"arrowwalk/internal/store/maintenance"
 )
 
 type serveCmd struct {
@@ -187,7 +187,7 @@
 	zone.Name = b.Zone
 	server := brickd.Start(ln, dir, brickd.Options{ID: b.Name, Zone: zone, Log: g.log})
 	defer server.Close()
-	tender := keeper.Start(keeper.Options{Store: dir, Load: server.Load, Pass: b.Scrub, Log: g.log})
+	tender := maintenance.Start(maintenance.Options{Store: dir, Load: server.Load, ScrubPeriod: b.Scrub, Log: g.log})
 	defer tender.Close()
 	g.log.Info("brick serves", "name", b.Name, "address", server.Addr())
 	if len(b.Coord) > 0 {
--- a/cmd/arrowwalk/store.go
+++ b/cmd/arrowwalk/store.go
@@ -12,8 +12,8 @@
 
 	"arrowwalk/internal/store"
 	"arrowwalk/internal/store/disk"
-	"arrowwalk/internal/store/filedir"
-	"arrowwalk/internal/store/tidy"
+	"arrowwalk/internal/store/filestore"
+	"arrowwalk/internal/store/maintpolicy"
 )
 
 type storeCmd struct {
@@ -110,13 +110,13 @@
 		if err != nil {
 			return err
 		}
-		var left []tidy.Segment
+		var left []maintpolicy.Segment
 		for _, seg := range s.Segments() {
 			if !done[seg.Number] {
 				left = append(left, seg)
 			}
 		}
-		seg, ok := tidy.Choose(left, free, tidy.Policy{Dead: c.Garbage})
+		seg, ok := maintpolicy.ChooseSegment(left, free, maintpolicy.CompactionPolicy{MinGarbageFraction: c.Garbage})
 		if !ok {
 			break
 		}
@@ -127,7 +127,7 @@
 			return err
 		}
 	}
-	if err := s.Settle(); err != nil {
+	if err := s.ReclaimAll(); err != nil {
 		return err
 	}
 	fmt.Fprintf(g.out, "%d of %d bytes freed\n", before-sizeOf(s), before)
@@ -136,7 +136,7 @@
 
 func sizeOf(s *store.Store) (bytes int64) {
 	for _, seg := range s.Segments() {
-		bytes += seg.Bytes
+		bytes += seg.SizeBytes
 	}
 	return bytes
 }
@@ -203,12 +203,12 @@
 // Run makes a store beside the old directory, then has them change places. The
 // old one stays, under another name.
 func (c *storeMigrateCmd) Run(g *globals) error {
-	old, err := filedir.Open(c.Dir, filedir.Options{})
+	old, err := filestore.Open(c.Dir, filestore.Options{})
 	if err != nil {
 		return err
 	}
 	defer old.Close()
-	for _, file := range old.Broken {
+	for _, file := range old.Damaged {
 		fmt.Fprintf(g.out, "%s: damaged, left out\n", file)
 	}
 	next := c.Dir + ".migrating"
@@ -217,7 +217,7 @@
 		return err
 	}
 	blobs := 0
-	err = old.Each(func(space string, b *filedir.Blob) error {
+	err = old.ForEach(func(space string, b *filestore.Blob) error {
 		blobs++
 		info := store.Info{Name: b.Name, Meta: b.Meta, Size: b.Size, Version: b.Version, Whole: b.Whole}
 		return s.Restore(space, info, io.NewSectionReader(b.File, b.Offset, b.Size))
--- a/internal/bench/stores/scrub.go
+++ b/internal/bench/stores/scrub.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"arrowwalk/internal/store"
-	"arrowwalk/internal/store/keeper"
-	"arrowwalk/internal/store/tidy"
+	"arrowwalk/internal/store/maintenance"
+	"arrowwalk/internal/store/maintpolicy"
 )
 
 // Scrub is live work with and without a scrubber beside it, in turns: reads and
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	out := &Scrub{Rate: scrubRate, Rounds: scrubRounds, Pass: scrubPass}
-	_, out.Bytes = s.Bytes()
+	_, out.Bytes = s.Usage()
 	var with, without []int64
 	for range scrubRounds {
 		a, err := live(k, nil)
@@ -59,11 +59,11 @@
 			return nil, err
 		}
 		var busy atomic.Int64
-		tender := keeper.Start(keeper.Options{Store: s, Pass: scrubPass, Every: time.Hour,
-			Load: func() tidy.Load { return tidy.Load{Util: float64(busy.Load()) / scrubLive} }})
-		before := tender.Progress().Bytes
+		tender := maintenance.Start(maintenance.Options{Store: s, ScrubPeriod: scrubPass, CompactionInterval: time.Hour,
+			Load: func() maintpolicy.Load { return maintpolicy.Load{Utilization: float64(busy.Load()) / scrubLive} }})
+		before := tender.Progress().ReadBytes
 		b, err := live(k, &busy)
-		out.Read += max(0, tender.Progress().Bytes-before)
+		out.Read += max(0, tender.Progress().ReadBytes-before)
 		tender.Close()
 		if err != nil {
 			return nil, err
--- a/internal/bench/stores/stores.go
+++ b/internal/bench/stores/stores.go
@@ -18,7 +18,7 @@
 	"go.etcd.io/bbolt"
 
 	"arrowwalk/internal/store"
-	"arrowwalk/internal/store/filedir"
+	"arrowwalk/internal/store/filestore"
 )
 
 // Options of a measurement.
@@ -79,10 +79,10 @@
 
 func (k segments) close() error { return k.s.Close() }
 
-type files struct{ d *filedir.Dir }
+type files struct{ d *filestore.Store }
 
 func (k files) put(name string, body []byte) error {
-	_, _, err := k.d.Put(context.Background(), "o", filedir.Info{Name: name, Size: int64(len(body))}, bytes.NewReader(body), filedir.Condition{})
+	_, _, err := k.d.Put(context.Background(), "o", filestore.Info{Name: name, Size: int64(len(body))}, bytes.NewReader(body), filestore.Condition{})
 	return err
 }
 
@@ -130,7 +130,7 @@
 		return segments{s}, err
 	}},
 	{"files", func(dir string, sync bool) (kv, error) {
-		d, err := filedir.Open(dir, filedir.Options{NoSync: !sync})
+		d, err := filestore.Open(dir, filestore.Options{NoSync: !sync})
 		return files{d}, err
 	}},
 	{"bbolt", func(dir string, sync bool) (kv, error) {
--- a/internal/brick/call.go
+++ b/internal/brick/call.go
@@ -70,7 +70,7 @@
 func (b Bytes) Parts() ([][]byte, io.Reader) { return [][]byte{b}, nil }
 
 // Sums returns the checksums.
-func (b Bytes) Sums() []uint32 { return record.Sums(nil, b) }
+func (b Bytes) Sums() []uint32 { return record.AppendChecksums(nil, b) }
 
 // Failure is an attempt that brought no answer which counts.
 type Failure struct {
--- a/internal/brick/sums.go
+++ b/internal/brick/sums.go
@@ -24,7 +24,7 @@
 		return nil, nil
 	}
 	sums, err := parseSums(text)
-	if err == nil && len(sums) != record.Blocks(size) {
+	if err == nil && len(sums) != record.BlockCount(size) {
 		err = fmt.Errorf("%d checksums for %d bytes", len(sums), size)
 	}
 	return sums, err
@@ -60,8 +60,8 @@
 	if sums == nil || length == 0 {
 		return nil
 	}
-	first := record.Block - from%record.Block
-	if want := 1 + record.Blocks(max(length-first, 0)); len(sums) != want {
+	first := record.BlockSize - from%record.BlockSize
+	if want := 1 + record.BlockCount(max(length-first, 0)); len(sums) != want {
 		return fmt.Errorf("%d checksums for %d bytes", len(sums), length)
 	}
 	c.sums, c.left = sums, min(first, length)
@@ -73,7 +73,7 @@
 func (c *checking) add(p []byte) bool {
 	for len(p) > 0 && len(c.sums) > 0 {
 		n := min(int64(len(p)), c.left)
-		c.sum = record.AddSum(c.sum, p[:n])
+		c.sum = record.UpdateChecksum(c.sum, p[:n])
 		p = p[n:]
 		if c.left -= n; c.left > 0 {
 			return true
@@ -82,7 +82,7 @@
 			return false
 		}
 		c.sums, c.sum = c.sums[1:], 0
-		c.left = min(c.rest, record.Block)
+		c.left = min(c.rest, record.BlockSize)
 		c.rest -= c.left
 	}
 	return true
--- a/internal/brickd/brickd_test.go
+++ b/internal/brickd/brickd_test.go
@@ -15,7 +15,7 @@
 
 	"arrowwalk/internal/brick"
 	"arrowwalk/internal/store"
-	"arrowwalk/internal/store/admit"
+	"arrowwalk/internal/store/admission"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -75,10 +75,10 @@
 	if repeats.Load() != 8 {
 		t.Errorf("%d of 8 repeats were dropped", repeats.Load())
 	}
-	if n, _ := dirA.Count("o"); n != 1 {
+	if n, _ := dirA.SpaceUsage("o"); n != 1 {
 		t.Errorf("the first brick has %d blobs", n)
 	}
-	if n, _ := dirB.Count("o"); n != 0 {
+	if n, _ := dirB.SpaceUsage("o"); n != 0 {
 		t.Errorf("the second brick has %d blobs", n)
 	}
 	zone.mu.Lock()
@@ -141,13 +141,13 @@
 	if _, _, err := dir.Put(context.Background(), "o", store.Info{Name: "k", Size: 1}, strings.NewReader("x"), nil, store.Condition{}); err != nil {
 		t.Fatal(err)
 	}
-	s.line.enter(admit.Read, 1) // the one worker is busy
+	s.line.enter(admission.Read, 1) // the one worker is busy
 	over := make(chan struct{})
 	go func() { // and one waits
 		defer close(over)
-		s.line.enter(admit.Read, 1)
+		s.line.enter(admission.Read, 1)
 		<-hold
-		s.line.leave(admit.Read)
+		s.line.leave(admission.Read)
 	}()
 	for s.line.waiting() == 0 {
 		runtime.Gosched()
@@ -158,7 +158,7 @@
 	if f, ok := err.(*brick.Failure); !ok || f.Reason != brick.ReasonFull {
 		t.Errorf("with a full queue: %v", err)
 	}
-	s.line.leave(admit.Read)
+	s.line.leave(admission.Read)
 	close(hold)
 	<-over
 	if got := statusOf(&os.PathError{Op: "write", Err: os.ErrPermission}); got != 507 {
--- a/internal/brickd/line.go
+++ b/internal/brickd/line.go
@@ -3,27 +3,27 @@
 import (
 	"sync"
 
-	"arrowwalk/internal/store/admit"
+	"arrowwalk/internal/store/admission"
 )
 
 // line has requests wait for their turn, as admit.Line decides.
 type line struct {
 	mu    sync.Mutex
-	line  *admit.Line
-	turns map[admit.Ticket]chan struct{}
+	line  *admission.Controller
+	turns map[admission.Ticket]chan struct{}
 }
 
-func newLine(l admit.Limits) *line {
-	return &line{line: admit.New(l), turns: map[admit.Ticket]chan struct{}{}}
+func newLine(l admission.Limits) *line {
+	return &line{line: admission.New(l), turns: map[admission.Ticket]chan struct{}{}}
 }
 
 // enter waits for a worker; false: too many wait already.
-func (l *line) enter(k admit.Kind, cost float64) bool {
+func (l *line) enter(k admission.Kind, cost float64) bool {
 	l.mu.Lock()
 	v, ticket := l.line.Arrive(k, cost)
-	if v != admit.Wait {
+	if v != admission.Queued {
 		l.mu.Unlock()
-		return v == admit.Go
+		return v == admission.Admitted
 	}
 	turn := make(chan struct{})
 	l.turns[ticket] = turn
@@ -33,7 +33,7 @@
 }
 
 // leave gives the worker of a request of a kind to the next.
-func (l *line) leave(k admit.Kind) {
+func (l *line) leave(k admission.Kind) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if next, ok := l.line.Done(k); ok {
@@ -45,5 +45,5 @@
 func (l *line) waiting() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.line.Waiting()
+	return l.line.Queued()
 }
--- a/internal/brickd/reply.go
+++ b/internal/brickd/reply.go
@@ -68,12 +68,12 @@
 		return &reply{status: 400, text: fmt.Sprintf("query max: bad value %q", values.Get("max"))}
 	}
 	items, more := c.s.dir.List(x.Space, store.Query{
-		Prefix: values.Get("prefix"), After: values.Get("after"), Delimiter: values.Get("delimiter"), Most: most,
+		Prefix: values.Get("prefix"), After: values.Get("after"), Delimiter: values.Get("delimiter"), MaxItems: most,
 	})
 	answer := brick.ListAnswer{Items: make([]brick.Listed, 0, len(items)), More: more}
 	for _, it := range items {
 		answer.Items = append(answer.Items, brick.Listed{
-			Name: []byte(it.Name), Meta: it.Meta, Size: it.Size, Version: it.Version, Rolled: it.Rolled,
+			Name: []byte(it.Name), Meta: it.Meta, Size: it.Size, Version: it.Version, Rolled: it.IsPrefix,
 		})
 	}
 	text, err := json.Marshal(answer)
@@ -186,7 +186,7 @@
 }
 
 // smallBody is what is read into the buffer of the head and sent with it.
-const smallBody = record.Block
+const smallBody = record.BlockSize
 
 func (c *conn) sendBlob(x *Exchange, r *reply, f Fault) error {
 	if x.Method == "HEAD" {
@@ -221,7 +221,7 @@
 // block, and the last of a range, are read and found right before the head goes
 // out, later ones before they do: one that is not right ends the connection.
 func (c *conn) send(r *reply, length int64, f Fault) error {
-	buf := sendBuffers.Get().(*[record.Block]byte)
+	buf := sendBuffers.Get().(*[record.BlockSize]byte)
 	defer sendBuffers.Put(buf)
 	first, err := c.sumRange(r, buf)
 	if err != nil {
@@ -241,7 +241,7 @@
 		return err
 	}
 	for at := int64(len(first)); at < length; {
-		part, err := r.blob.Block(int((r.from+at)/record.Block), buf[:])
+		part, err := r.blob.ReadBlock(int((r.from+at)/record.BlockSize), buf[:])
 		if err != nil {
 			c.s.opt.Log.Error("an answer is cut", "brick", c.s.opt.ID, "error", err)
 			return errCut
@@ -255,7 +255,7 @@
 	return nil
 }
 
-var sendBuffers = sync.Pool{New: func() any { return new([record.Block]byte) }}
+var sendBuffers = sync.Pool{New: func() any { return new([record.BlockSize]byte) }}
 
 func failedRead(r *reply, err error) *reply {
 	r.corrupt = errors.Is(err, store.ErrCorrupt)
@@ -265,21 +265,21 @@
 // sumRange sets the checksums of the blocks that a range touches, and returns
 // what it takes of the first, read into buf. Blocks of which it takes a part are
 // read and checked whole, and have the checksum of that part.
-func (c *conn) sumRange(r *reply, buf *[record.Block]byte) (first []byte, err error) {
+func (c *conn) sumRange(r *reply, buf *[record.BlockSize]byte) (first []byte, err error) {
 	if r.length == 0 {
 		return nil, nil
 	}
-	a, z := int(r.from/record.Block), int((r.from+r.length-1)/record.Block)
-	r.sums = slices.Clone(r.blob.Sums[a : z+1])
+	a, z := int(r.from/record.BlockSize), int((r.from+r.length-1)/record.BlockSize)
+	r.sums = slices.Clone(r.blob.Checksums[a : z+1])
 	cut := func(i int) (part []byte, err error) {
-		block, err := r.blob.Block(i, buf[:])
+		block, err := r.blob.ReadBlock(i, buf[:])
 		if err != nil {
 			return nil, err
 		}
-		start := int64(i) * record.Block
+		start := int64(i) * record.BlockSize
 		from, to := max(r.from-start, 0), min(r.from+r.length-start, int64(len(block)))
 		if part = block[from:to]; len(part) < len(block) {
-			r.sums[i-a] = record.Sum(part)
+			r.sums[i-a] = record.Checksum(part)
 		}
 		return part, nil
 	}
--- a/internal/brickd/server.go
+++ b/internal/brickd/server.go
@@ -22,9 +22,9 @@
 	"arrowwalk/internal/brick"
 	"arrowwalk/internal/http1"
 	"arrowwalk/internal/store"
-	"arrowwalk/internal/store/admit"
+	"arrowwalk/internal/store/admission"
+	"arrowwalk/internal/store/maintpolicy"
 	"arrowwalk/internal/store/record"
-	"arrowwalk/internal/store/tidy"
 	"arrowwalk/internal/tcpinfo"
 )
 
@@ -84,7 +84,7 @@
 		opt.Log = slog.New(slog.DiscardHandler)
 	}
 	s := &Server{opt: opt, dir: dir, ln: ln, started: time.Now().UnixMicro(),
-		line: newLine(admit.Limits{Workers: opt.Workers, Queue: opt.Queue}), conns: map[*conn]struct{}{}}
+		line: newLine(admission.Limits{Workers: opt.Workers, MaxQueued: opt.Queue}), conns: map[*conn]struct{}{}}
 	s.name = fmt.Sprintf("%s@%d", opt.ID, s.started)
 	s.busy.init(opt.Workers)
 	s.wg.Add(1)
@@ -102,8 +102,8 @@
 func (s *Server) SetDraining(yes bool) { s.drains.Store(yes) }
 
 // Load returns what live work the brick has, for what runs beside it.
-func (s *Server) Load() tidy.Load {
-	return tidy.Load{Util: float64(s.busy.util.Load()) / 1000, Waiting: s.line.waiting()}
+func (s *Server) Load() maintpolicy.Load {
+	return maintpolicy.Load{Utilization: float64(s.busy.util.Load()) / 1000, QueuedRequests: s.line.waiting()}
 }
 
 // Close stops the brick: it accepts nothing more, cuts its connections and
@@ -409,11 +409,11 @@
 	if want := c.req.Fields.Get(brick.HeaderExpect); want != "" && want != c.s.opt.ID {
 		return &reply{status: 421, text: "this is brick " + c.s.opt.ID + ", not " + want}, none
 	}
-	kind := admit.Read
+	kind := admission.Read
 	if x.Method == "PUT" || x.Method == "DELETE" || x.Method == "PATCH" {
-		kind = admit.Write
+		kind = admission.Write
 	}
-	if !c.s.line.enter(kind, 1+float64(max(c.req.Length, 0))/record.Block) {
+	if !c.s.line.enter(kind, 1+float64(max(c.req.Length, 0))/record.BlockSize) {
 		return &reply{status: 503, text: "queue is full"}, none
 	}
 	c.s.busy.begin()
@@ -485,7 +485,7 @@
 	switch {
 	case errors.Is(err, store.ErrNotFound):
 		return 404
-	case errors.Is(err, store.ErrVersion):
+	case errors.Is(err, store.ErrVersionMismatch):
 		return 412
 	case errors.Is(err, store.ErrTooLarge):
 		return 413
@@ -499,7 +499,7 @@
 
 // failed is the answer to what the store could not do.
 func failed(err error) *reply {
-	return &reply{status: statusOf(err), text: err.Error(), corrupt: errors.Is(err, store.ErrCorrupt) || errors.Is(err, store.ErrSums)}
+	return &reply{status: statusOf(err), text: err.Error(), corrupt: errors.Is(err, store.ErrCorrupt) || errors.Is(err, store.ErrChecksumMismatch)}
 }
 
 func (c *conn) put(x *Exchange) *reply {
--- a/internal/brickd/zone.go
+++ b/internal/brickd/zone.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"arrowwalk/internal/brick"
-	"arrowwalk/internal/store/admit"
+	"arrowwalk/internal/store/admission"
 )
 
 // Zone is the memory of keyed writes that the bricks of a zone share: a repeat
@@ -192,7 +192,7 @@
 
 // appendLoad appends the load report in ORCA's text form.
 func (s *Server) appendLoad(b []byte) []byte {
-	util := int64(1000 * admit.Told(float64(s.busy.util.Load())/1000, s.dir.Commits()))
+	util := int64(1000 * admission.ReportedUtilization(float64(s.busy.util.Load())/1000, s.dir.CommitStats()))
 	b = append(b, brick.HeaderLoad...)
 	b = append(b, ": TEXT cpu_utilization="...)
 	b = append(b, byte('0'+min(util/1000, 9)), '.', byte('0'+util/100%10), byte('0'+util/10%10), byte('0'+util%10))
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -148,7 +148,7 @@
 	figures, levels := g.desk.Stats.Bricks(now), g.keeper.TrustLevels()
 	bad := map[string]int{}
 	for _, e := range g.bricks {
-		bad[e.name] = e.dir.Quarantine()
+		bad[e.name] = e.dir.QuarantinedBlocks()
 	}
 	n, longest := g.host.Stalls()
 	s.Stalls, s.MaxStallUS = n, longest.Microseconds()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -31,7 +31,7 @@
 	"arrowwalk/internal/membership/trust"
 	"arrowwalk/internal/spool"
 	"arrowwalk/internal/store"
-	"arrowwalk/internal/store/keeper"
+	"arrowwalk/internal/store/maintenance"
 )
 
 // Options of a Gateway.
@@ -78,7 +78,7 @@
 	name   string
 	server *brickd.Server
 	dir    *store.Store
-	keeper *keeper.Keeper
+	keeper *maintenance.Runner
 }
 
 // Start opens the sockets and serves. Nothing is left open after an error.
@@ -205,7 +205,7 @@
 		return nil, fmt.Errorf("brick %s: %w", b.Name, err)
 	}
 	e := &embedded{name: b.Name, server: brickd.Start(ln, dir, brickd.Options{ID: b.Name, Zone: zone, Meter: meter, Log: g.opt.Log}), dir: dir}
-	e.keeper = keeper.Start(keeper.Options{Store: dir, Load: e.server.Load, Log: g.opt.Log.With("brick", b.Name)})
+	e.keeper = maintenance.Start(maintenance.Options{Store: dir, Load: e.server.Load, Log: g.opt.Log.With("brick", b.Name)})
 	return e, nil
 }
 
--- a/internal/prove/stores.go
+++ b/internal/prove/stores.go
@@ -98,7 +98,7 @@
 	for i, name := range diskNames {
 		d.disks[name] = disk.NewSim()
 		if opt.Guard == "sync" { // a disk that lies
-			d.disks[name].SetPlan(lies)
+			d.disks[name].SetFaultFunc(lies)
 		}
 		b, err := e.site.Start(name, cfg.Zones[i], i, name, false)
 		if err != nil {
@@ -242,10 +242,10 @@
 	shard := d.dice.IntN(len(diskNames))
 	data := diskNames[shard]
 	sim := d.disk(data)
-	at := sim.Calls() + 1 + d.dice.IntN(200)
+	at := sim.CallCount() + 1 + d.dice.IntN(200)
 	crashed := make(chan struct{})
 	var once sync.Once
-	sim.SetPlan(func(c disk.Call) disk.Fault {
+	sim.SetFaultFunc(func(c disk.Call) disk.Fault {
 		switch {
 		case c.Number >= at && c.Op != "read":
 			once.Do(func() { close(crashed) })
@@ -253,7 +253,7 @@
 		case d.opt.Guard == "sync":
 			return lies(c)
 		}
-		return disk.None
+		return disk.NoFault
 	})
 	select {
 	case <-crashed:
@@ -269,9 +269,9 @@
 	}
 	d.bricks[old].Stop()
 	d.entries[old] = membership.Gone
-	left := sim.After(d.rnd)
+	left := sim.AfterCrash(d.rnd)
 	if d.opt.Guard == "sync" {
-		left.SetPlan(lies)
+		left.SetFaultFunc(lies)
 	}
 	d.mu.Lock()
 	d.disks[data] = left
@@ -300,7 +300,7 @@
 	if c.Op == "sync" || c.Op == "syncdir" {
 		return disk.LostSync
 	}
-	return disk.None
+	return disk.NoFault
 }
 
 // corruption changes bits: on the disks, in what is read from them, and on the
@@ -331,7 +331,7 @@
 			b.Play(bricks.Script{})
 		}
 		for _, name := range diskNames {
-			d.disk(name).SetPlan(nil)
+			d.disk(name).SetFaultFunc(nil)
 		}
 		d.stop()
 		if err != nil {
@@ -347,11 +347,11 @@
 	var mu sync.Mutex
 	n, flipped := 0, 0
 	for _, name := range diskNames {
-		d.disk(name).SetPlan(func(c disk.Call) disk.Fault {
+		d.disk(name).SetFaultFunc(func(c disk.Call) disk.Fault {
 			mu.Lock()
 			defer mu.Unlock()
 			if n++; c.Op != "read" || n%200 != 0 {
-				return disk.None
+				return disk.NoFault
 			}
 			flipped++
 			return disk.FlipBit
@@ -378,7 +378,7 @@
 	if err != nil || len(files) == 0 {
 		return false
 	}
-	return sim.Spoil(dir+"/"+files[d.dice.IntN(len(files))], int64(d.dice.IntN(1<<20)), uint(d.dice.IntN(8))) == nil
+	return sim.FlipStoredBit(dir+"/"+files[d.dice.IntN(len(files))], int64(d.dice.IntN(1<<20)), uint(d.dice.IntN(8))) == nil
 }
 
 // heal looks at what the run left: an object that cannot be read is a failure,
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -168,12 +168,12 @@
 // sum takes what is written into the checksums.
 func (b *Buffer) sum(p []byte) {
 	for at := b.size; len(p) > 0; {
-		n := min(record.Block-at%record.Block, int64(len(p)))
-		if at%record.Block == 0 {
+		n := min(record.BlockSize-at%record.BlockSize, int64(len(p)))
+		if at%record.BlockSize == 0 {
 			b.sums = append(b.sums, 0)
 		}
 		last := &b.sums[len(b.sums)-1]
-		*last = record.AddSum(*last, p[:n])
+		*last = record.UpdateChecksum(*last, p[:n])
 		p = p[n:]
 		at += n
 	}
--- a/internal/standin/bricks/site.go
+++ b/internal/standin/bricks/site.go
@@ -108,7 +108,7 @@
 	}
 	opt := store.Options{NoSync: true}
 	if s.Disk != nil {
-		opt = store.Options{FS: s.Disk(data), SegmentBytes: 1 << 20, CheckBytes: 1 << 20, Reserve: 1 << 20}
+		opt = store.Options{FS: s.Disk(data), SegmentBytes: 1 << 20, CheckpointBytes: 1 << 20, ReserveBytes: 1 << 20}
 	}
 	dir, err := store.Open(filepath.Join(s.dir, data), opt)
 	if err != nil {
@@ -263,7 +263,7 @@
 }
 
 // Quarantine returns how many blocks of its store the brick found damaged.
-func (b *Brick) Quarantine() int { return b.dir.Quarantine() }
+func (b *Brick) Quarantine() int { return b.dir.QuarantinedBlocks() }
 
 // Touched returns how many requests the scripts of the brick touched.
 func (b *Brick) Touched() int {
--- a/internal/store/checkpoint.go
+++ b/internal/store/checkpoint.go
@@ -54,7 +54,7 @@
 	}
 	s.mu.Lock()
 	l := &s.log
-	m := mark{number: s.last.number + 1, group: l.group, version: l.shown, files: s.files, flying: sortedKeys(s.flying), offset: record.SegmentLen, segment: 1}
+	m := mark{number: s.last.number + 1, group: l.group, version: l.shown, files: s.files, flying: sortedKeys(s.flying), offset: record.SegmentHeaderLen, segment: 1}
 	if l.segment != nil {
 		m.segment, m.offset = l.segment.number, l.end
 	}
@@ -74,9 +74,9 @@
 	return s.retire(m)
 }
 
-// Settle writes checkpoints until all that can be removed is: a segment goes
+// ReclaimAll writes checkpoints until all that can be removed is: a segment goes
 // only when two of them have found it empty.
-func (s *Store) Settle() error {
+func (s *Store) ReclaimAll() error {
 	for range 2 {
 		if err := s.checkpoint(true); err != nil {
 			return err
@@ -203,7 +203,7 @@
 func (w *summer) Write(p []byte) (int, error) {
 	n, err := w.f.WriteAt(p, w.at)
 	w.at += int64(n)
-	w.sum = record.AddSum(w.sum, p[:n])
+	w.sum = record.UpdateChecksum(w.sum, p[:n])
 	return n, err
 }
 
@@ -265,7 +265,7 @@
 	m.offset = int64(binary.BigEndian.Uint64(head[20:]))
 	m.group, m.version = binary.BigEndian.Uint64(head[28:]), binary.BigEndian.Uint64(head[36:])
 	m.files, m.entries = binary.BigEndian.Uint64(head[44:]), binary.BigEndian.Uint64(head[52:])
-	if m.segment == 0 || m.offset < record.SegmentLen {
+	if m.segment == 0 || m.offset < record.SegmentHeaderLen {
 		return m, nil, errCheckpoint
 	}
 	var file [8]byte
@@ -300,7 +300,7 @@
 		}
 		return err
 	}
-	r.sum = record.AddSum(r.sum, b)
+	r.sum = record.UpdateChecksum(r.sum, b)
 	return nil
 }
 
@@ -320,7 +320,7 @@
 		e := entry{text: string(text[space:]), name: uint16(name), flags: fixed[5], size: int64(binary.BigEndian.Uint64(fixed[6:])),
 			version: binary.BigEndian.Uint64(fixed[14:]), segment: binary.BigEndian.Uint32(fixed[22:]),
 			offset: int64(binary.BigEndian.Uint64(fixed[26:])), sum: binary.BigEndian.Uint32(fixed[34:]), head: binary.BigEndian.Uint32(fixed[38:])}
-		if e.size < 0 || e.offset < record.SegmentLen || e.head < record.HeadLen || e.head > 1<<24 {
+		if e.size < 0 || e.offset < record.SegmentHeaderLen || e.head < record.RecordHeaderLen || e.head > 1<<24 {
 			return nil, errCheckpoint
 		}
 		x.space(string(text[:space])).Load(e)
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"arrowwalk/internal/store/admit"
+	"arrowwalk/internal/store/admission"
 	"arrowwalk/internal/store/disk"
 	"arrowwalk/internal/store/record"
 )
@@ -30,7 +30,7 @@
 	done   chan struct{}
 }
 
-func (o *op) span() int64 { return int64(o.rec.Head()) + int64(len(o.body)) }
+func (o *op) span() int64 { return int64(o.rec.HeaderSize()) + int64(len(o.body)) }
 
 // queue holds operations until the committer takes them: all that came while
 // the group before was synced make the next group.
@@ -111,12 +111,12 @@
 // commitPart is the weight of a commit in what one usually takes.
 const commitPart = 0.05
 
-// Commits returns for how long the commit under way has run, and what one takes
+// CommitStats returns for how long the commit under way has run, and what one takes
 // of late.
-func (s *Store) Commits() admit.Commits {
-	c := admit.Commits{Usual: time.Duration(s.usual.Load()) * time.Microsecond}
+func (s *Store) CommitStats() admission.CommitStats {
+	c := admission.CommitStats{AverageDuration: time.Duration(s.usual.Load()) * time.Microsecond}
 	if began := s.began.Load(); began != 0 {
-		c.Running = max(0, time.Duration(time.Now().UnixMicro()-began)*time.Microsecond)
+		c.CurrentDuration = max(0, time.Duration(time.Now().UnixMicro()-began)*time.Microsecond)
 	}
 	return c
 }
@@ -126,7 +126,7 @@
 	var chores sync.WaitGroup
 	defer chores.Wait()
 	for {
-		ops := s.queue.take(s.opt.GroupBytes, s.opt.Linger)
+		ops := s.queue.take(s.opt.MaxGroupBytes, s.opt.GroupDelay)
 		if len(ops) == 0 {
 			return
 		}
@@ -138,7 +138,7 @@
 		for _, o := range ops {
 			close(o.done)
 		}
-		if s.log.since >= s.opt.CheckBytes {
+		if s.log.since >= s.opt.CheckpointBytes {
 			s.log.since = 0
 			chores.Add(1)
 			go func() {
@@ -157,7 +157,7 @@
 	for _, o := range ops {
 		total += o.span()
 	}
-	if err := s.ready(record.Span(total)); err != nil {
+	if err := s.ready(record.GroupSize(total)); err != nil {
 		failAll(ops, err)
 		return
 	}
@@ -166,7 +166,7 @@
 		return
 	}
 	if err := s.write(taken); err != nil {
-		s.counts.Failed.Add(1)
+		s.counts.FailedCommits.Add(1)
 		failAll(taken, err)
 		return
 	}
@@ -182,15 +182,15 @@
 // ready has a segment that takes size bytes more.
 func (s *Store) ready(size int64) error {
 	l := &s.log
-	if l.segment != nil && !l.broken && (l.end == record.SegmentLen || l.end+size <= s.opt.SegmentBytes) {
+	if l.segment != nil && !l.broken && (l.end == record.SegmentHeaderLen || l.end+size <= s.opt.SegmentBytes) {
 		return nil
 	}
-	head := record.Segment{Store: s.id, Number: 1}
+	head := record.SegmentHeader{Store: s.id, Number: 1}
 	if l.segment != nil {
-		head.Number, head.Before = l.segment.number+1, l.end
+		head.Number, head.PrevSegmentEnd = l.segment.number+1, l.end
 	}
 	if head.Number <= l.least {
-		head.Number, head.Before = l.least+1, 0
+		head.Number, head.PrevSegmentEnd = l.least+1, 0
 	}
 	name := segmentFile(head.Number)
 	if err := s.fs.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) { // of a try that failed
@@ -213,10 +213,10 @@
 		return fmt.Errorf("begin segment %s: %w", name, err)
 	}
 	seg := newSegment(head.Number, f)
-	seg.size, seg.born = record.SegmentLen, int64(l.group)
+	seg.size, seg.born = record.SegmentHeaderLen, int64(l.group)
 	s.mu.Lock()
 	s.segments[head.Number] = seg
-	l.segment, l.end, l.broken = seg, record.SegmentLen, false
+	l.segment, l.end, l.broken = seg, record.SegmentHeaderLen, false
 	s.mu.Unlock()
 	return nil
 }
@@ -227,7 +227,7 @@
 // at conditions in the order of the operations, each after those before it.
 func (s *Store) build(ops []*op) (taken []*op) {
 	l := &s.log
-	l.buf = append(l.buf[:0], make([]byte, record.GroupLen)...)
+	l.buf = append(l.buf[:0], make([]byte, record.GroupHeaderLen)...)
 	changed := map[blobKey]*op{}
 	dirs := map[string]bool{}
 	for _, o := range ops {
@@ -239,11 +239,11 @@
 		if o.keep {
 			l.version = max(l.version, o.rec.Version)
 		} else if o.from == nil {
-			l.version = max(l.version+1, uint64(s.opt.Now()))
+			l.version = max(l.version+1, uint64(s.opt.NowMicros()))
 			o.rec.Version = l.version
 		}
-		if o.from == nil && o.rec.File != 0 {
-			dirs[bodyDir(o.rec.File)] = true
+		if o.from == nil && o.rec.BodyFile != 0 {
+			dirs[bodyDir(o.rec.BodyFile)] = true
 		}
 		o.was, o.there, o.old = e, there, s.fileOf(e, changed[key])
 		o.at = place{l.segment.number, l.end + int64(len(l.buf))}
@@ -268,7 +268,7 @@
 		s.mu.RLock()
 		defer s.mu.RUnlock()
 		return s.index.get(key.space, key.name)
-	case last.rec.Kind == record.Delete:
+	case last.rec.Kind == record.KindDelete:
 		return entry{}, false
 	}
 	return entryOf(&last.rec, last.at), true
@@ -277,11 +277,11 @@
 // fileOf returns the file of an entry's body; last, unless nil, is the
 // operation that made the entry. 0: it has none, or that cannot be read.
 func (s *Store) fileOf(e entry, last *op) uint64 {
-	if e.flags&record.Big == 0 {
+	if e.flags&record.FlagBodyFile == 0 {
 		return 0
 	}
 	if last != nil {
-		return last.rec.File
+		return last.rec.BodyFile
 	}
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -289,7 +289,7 @@
 	if err != nil {
 		return 0 // left for `store check`
 	}
-	return r.File
+	return r.BodyFile
 }
 
 // errMoved ends the move of a record that nobody refers to any more.
@@ -311,7 +311,7 @@
 	if err := o.cond.check(e, there); err != nil {
 		return err
 	}
-	if o.rec.Kind == record.Delete && !there {
+	if o.rec.Kind == record.KindDelete && !there {
 		return ErrNotFound
 	}
 	return nil
@@ -320,10 +320,10 @@
 // write writes and syncs the group in the log's buffer.
 func (s *Store) write(taken []*op) error {
 	l := &s.log
-	payload := l.buf[record.GroupLen:]
-	head := record.Group{Store: s.id, Number: l.group + 1, Length: uint32(len(payload)), Count: uint32(len(taken)), Sum: record.Sum(payload)}
+	payload := l.buf[record.GroupHeaderLen:]
+	head := record.GroupHeader{Store: s.id, Number: l.group + 1, Length: uint32(len(payload)), Count: uint32(len(taken)), Checksum: record.Checksum(payload)}
 	head.Append(l.buf[:0])
-	span := record.Span(int64(len(payload)))
+	span := record.GroupSize(int64(len(payload)))
 	l.buf = append(l.buf, make([]byte, span-int64(len(l.buf)))...)
 	for _, o := range taken {
 		o.logged = true
@@ -340,7 +340,7 @@
 	}
 	s.counts.Groups.Add(1)
 	s.counts.Records.Add(int64(len(taken)))
-	s.counts.Bytes.Add(span)
+	s.counts.LogBytes.Add(span)
 	return nil
 }
 
@@ -356,7 +356,7 @@
 	l.since += span
 	l.segment.size = l.end
 	for _, o := range taken {
-		delete(s.flying, o.rec.File)
+		delete(s.flying, o.rec.BodyFile)
 		if o.from == nil && o.old != 0 {
 			s.flying[o.old] = true
 			gone = append(gone, o.old)
@@ -371,7 +371,7 @@
 	for _, file := range gone {
 		s.dropBody(file)
 	}
-	if cap(l.buf) > 2*int(s.opt.GroupBytes) {
+	if cap(l.buf) > 2*int(s.opt.MaxGroupBytes) {
 		l.buf = nil
 	}
 }
@@ -380,7 +380,7 @@
 func (s *Store) applyOne(space string, r *record.Record, at place) {
 	var old entry
 	var there bool
-	if r.Kind == record.Delete {
+	if r.Kind == record.KindDelete {
 		old, there = s.index.remove(space, r.Name)
 	} else {
 		e := entryOf(r, at)
--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -176,9 +176,9 @@
 	return text, nil
 }
 
-// WriteFile writes a file whole or not at all: under another name first,
+// WriteFileAtomic writes a file whole or not at all: under another name first,
 // synced, then renamed. dir is the directory of name.
-func WriteFile(f FS, dir, name string, text []byte) error {
+func WriteFileAtomic(f FS, dir, name string, text []byte) error {
 	temp := name + ".new"
 	if err := f.Remove(temp); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
--- a/internal/store/disk/sim.go
+++ b/internal/store/disk/sim.go
@@ -21,7 +21,7 @@
 
 // Faults of a Sim. Crash is met before the call has an effect.
 const (
-	None     Fault = iota
+	NoFault  Fault = iota
 	Crash          // this call and all after it fail; After plays what is left of the disk
 	NoSpace        // ENOSPC; a write has its first half done
 	IOError        // EIO; a write has its first half done
@@ -43,9 +43,9 @@
 // the machine crashes; changes of a directory that is not synced are lost from
 // some point on, in their order, as a journalling file system does it.
 type Sim struct {
-	// Plan decides the fault of each call; nil: none. It is called with mu held.
-	Plan     func(Call) Fault
-	Capacity int64 // bytes; 0: no bound
+	// FaultFunc decides the fault of each call; nil: none. It is called with mu held.
+	FaultFunc func(Call) Fault
+	Capacity  int64 // bytes; 0: no bound
 
 	mu       sync.Mutex
 	calls    int
@@ -91,15 +91,15 @@
 	return &simDir{now: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// SetPlan gives a disk that is in use another plan.
-func (s *Sim) SetPlan(plan func(Call) Fault) {
+// SetFaultFunc gives a disk that is in use another plan.
+func (s *Sim) SetFaultFunc(plan func(Call) Fault) {
 	s.mu.Lock()
-	s.Plan = plan
+	s.FaultFunc = plan
 	s.mu.Unlock()
 }
 
-// Calls returns the number of calls so far.
-func (s *Sim) Calls() int {
+// CallCount returns the number of calls so far.
+func (s *Sim) CallCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
@@ -111,9 +111,9 @@
 	if s.crashed {
 		return Crash, ErrCrashed
 	}
-	f := None
-	if s.Plan != nil {
-		f = s.Plan(Call{Number: s.calls, Op: op, Name: name, Offset: offset, Size: size})
+	f := NoFault
+	if s.FaultFunc != nil {
+		f = s.FaultFunc(Call{Number: s.calls, Op: op, Name: name, Offset: offset, Size: size})
 	}
 	switch f {
 	case Crash:
@@ -132,9 +132,9 @@
 	return f, nil
 }
 
-// After returns the disk as it is found after a crash now: of what was not
+// AfterCrash returns the disk as it is found after a crash now: of what was not
 // synced, rnd says what is left.
-func (s *Sim) After(rnd *rand.Rand) *Sim {
+func (s *Sim) AfterCrash(rnd *rand.Rand) *Sim {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := &Sim{Capacity: s.Capacity, dirs: map[string]*simDir{}}
@@ -435,8 +435,8 @@
 	return nil
 }
 
-// Spoil flips a bit of what a file holds, durably.
-func (s *Sim) Spoil(name string, offset int64, bit uint) error {
+// FlipStoredBit flips a bit of what a file holds, durably.
+func (s *Sim) FlipStoredBit(name string, offset int64, bit uint) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d, base, err := s.dir(name)
--- a/internal/store/filedir/filedir.go
+++ b/internal/store/filestore/filedir.go
@@ -4,7 +4,7 @@
 // (what kind of thing it is), a name (any bytes), a small meta and a body; it
 // is written to a temporary file, synced and renamed, so that after a crash it
 // is whole or absent. Names never become paths: a file is named by a hash.
-package filedir
+package filestore
 
 import (
 	"context"
@@ -28,11 +28,11 @@
 
 // What callers branch on.
 var (
-	ErrNotFound = errors.New("no such blob")
-	ErrVersion  = errors.New("the blob's version is another")
-	ErrLocked   = errors.New("the directory is in use by another process")
-	ErrFormat   = errors.New("the directory is of another format")
-	ErrTooLarge = errors.New("meta or name too large")
+	ErrNotFound        = errors.New("no such blob")
+	ErrVersionMismatch = errors.New("the blob's version is another")
+	ErrLocked          = errors.New("the directory is in use by another process")
+	ErrFormat          = errors.New("the directory is of another format")
+	ErrTooLarge        = errors.New("meta or name too large")
 )
 
 const (
@@ -64,16 +64,16 @@
 	offset int64 // of the body in the file
 }
 
-// Dir is a store in a directory. It is safe for concurrent use.
-type Dir struct {
-	path   string
-	sync   bool
-	lock   *os.File
-	mu     sync.RWMutex
-	spaces map[string]*btree.Map[string, *entry]
-	last   uint64 // the greatest version given
-	commit [stripes]sync.Mutex
-	Broken []string // files that opening found damaged and left alone
+// Store is a store in a directory. It is safe for concurrent use.
+type Store struct {
+	path    string
+	sync    bool
+	lock    *os.File
+	mu      sync.RWMutex
+	spaces  map[string]*btree.Map[string, *entry]
+	last    uint64 // the greatest version given
+	commit  [stripes]sync.Mutex
+	Damaged []string // files that opening found damaged and left alone
 }
 
 // Options of a directory store.
@@ -83,7 +83,7 @@
 
 // Open opens or makes the store in path, removes what a crash left half
 // written and reads the index. The caller closes the Dir.
-func Open(path string, opt Options) (*Dir, error) {
+func Open(path string, opt Options) (*Store, error) {
 	for _, sub := range []string{"blobs", "tmp"} {
 		if err := os.MkdirAll(filepath.Join(path, sub), 0o700); err != nil {
 			return nil, fmt.Errorf("open store: %w", err)
@@ -97,7 +97,7 @@
 		lock.Close()
 		return nil, fmt.Errorf("open store %s: %w", path, ErrLocked)
 	}
-	d := &Dir{path: path, sync: !opt.NoSync, lock: lock, spaces: map[string]*btree.Map[string, *entry]{}}
+	d := &Store{path: path, sync: !opt.NoSync, lock: lock, spaces: map[string]*btree.Map[string, *entry]{}}
 	if err := d.load(); err != nil {
 		lock.Close()
 		return nil, fmt.Errorf("open store %s: %w", path, err)
@@ -106,9 +106,9 @@
 }
 
 // Close gives the directory free for another process.
-func (d *Dir) Close() error { return d.lock.Close() }
+func (d *Store) Close() error { return d.lock.Close() }
 
-func (d *Dir) load() error {
+func (d *Store) load() error {
 	if err := d.checkFormat(); err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 		}
 		h, offset, err := readHeader(path)
 		if err != nil || fileName(h.Space, string(h.Name)) != f.Name() {
-			d.Broken = append(d.Broken, path)
+			d.Damaged = append(d.Damaged, path)
 			return nil
 		}
 		h.Info.Name = string(h.Name)
@@ -137,7 +137,7 @@
 	})
 }
 
-func (d *Dir) checkFormat() error {
+func (d *Store) checkFormat() error {
 	path := filepath.Join(d.path, formatFile)
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -158,7 +158,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func (d *Dir) blobPath(space, name string) string {
+func (d *Store) blobPath(space, name string) string {
 	f := fileName(space, name)
 	return filepath.Join(d.path, "blobs", f[:2], f)
 }
@@ -197,7 +197,7 @@
 	return h, offset, nil
 }
 
-func (d *Dir) space(name string) *btree.Map[string, *entry] {
+func (d *Store) space(name string) *btree.Map[string, *entry] {
 	s := d.spaces[name]
 	if s == nil {
 		s = &btree.Map[string, *entry]{}
@@ -206,9 +206,9 @@
 	return s
 }
 
-func (d *Dir) put(space string, e *entry) { d.space(space).Set(e.Name, e) }
+func (d *Store) put(space string, e *entry) { d.space(space).Set(e.Name, e) }
 
-func (d *Dir) get(space, name string) *entry {
+func (d *Store) get(space, name string) *entry {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	if s := d.spaces[space]; s != nil {
@@ -219,7 +219,7 @@
 }
 
 // Stat returns what is known of a blob, or ErrNotFound.
-func (d *Dir) Stat(space, name string) (Info, error) {
+func (d *Store) Stat(space, name string) (Info, error) {
 	e := d.get(space, name)
 	if e == nil {
 		return Info{}, ErrNotFound
@@ -239,7 +239,7 @@
 func (b *Blob) Close() error { return b.File.Close() }
 
 // Get opens a blob, or returns ErrNotFound.
-func (d *Dir) Get(space, name string) (*Blob, error) {
+func (d *Store) Get(space, name string) (*Blob, error) {
 	mu := d.stripe(space, name)
 	mu.Lock() // the file and the index entry must be of one version
 	defer mu.Unlock()
@@ -254,7 +254,7 @@
 	return &Blob{Info: e.Info, File: f, Offset: e.offset}, nil
 }
 
-func (d *Dir) stripe(space, name string) *sync.Mutex {
+func (d *Store) stripe(space, name string) *sync.Mutex {
 	return &d.commit[crc32.ChecksumIEEE([]byte(space+name))%stripes]
 }
 
@@ -266,14 +266,14 @@
 
 func (c Condition) check(e *entry) error {
 	if c.Absent && e != nil || c.Version != 0 && (e == nil || e.Version != c.Version) {
-		return ErrVersion
+		return ErrVersionMismatch
 	}
 	return nil
 }
 
 // Put writes a blob of size bytes from body, in place of one of its name. It
 // returns what was stored and, if there was one, what it replaced.
-func (d *Dir) Put(ctx context.Context, space string, info Info, body io.Reader, c Condition) (Info, *Info, error) {
+func (d *Store) Put(ctx context.Context, space string, info Info, body io.Reader, c Condition) (Info, *Info, error) {
 	if len(info.Name)+len(info.Meta) > headMost/2 {
 		return Info{}, nil, ErrTooLarge
 	}
@@ -313,7 +313,7 @@
 	return e.Info, nil, nil
 }
 
-func (d *Dir) writeTemp(space string, info Info, body io.Reader) (path string, offset int64, err error) {
+func (d *Store) writeTemp(space string, info Info, body io.Reader) (path string, offset int64, err error) {
 	text, err := json.Marshal(header{Space: space, Name: []byte(info.Name),
 		Info: Info{Meta: info.Meta, Size: info.Size, Version: info.Version, Whole: info.Whole}})
 	if err != nil {
@@ -353,7 +353,7 @@
 	return f.Name(), int64(len(head)), nil
 }
 
-func (d *Dir) rename(from, to string) error {
+func (d *Store) rename(from, to string) error {
 	dir := filepath.Dir(to)
 	err := os.Rename(from, to)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -371,7 +371,7 @@
 	return d.syncDir(dir)
 }
 
-func (d *Dir) syncDir(path string) error {
+func (d *Store) syncDir(path string) error {
 	if !d.sync {
 		return nil
 	}
@@ -383,8 +383,8 @@
 	return f.Sync()
 }
 
-// Each opens all blobs in turn, until do returns an error. do closes none.
-func (d *Dir) Each(do func(space string, b *Blob) error) error {
+// ForEach opens all blobs in turn, until do returns an error. do closes none.
+func (d *Store) ForEach(do func(space string, b *Blob) error) error {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	for space, names := range d.spaces {
--- a/internal/store/filedir/filedir_test.go
+++ b/internal/store/filestore/filedir_test.go
@@ -1,4 +1,4 @@
-package filedir
+package filestore
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-func open(t *testing.T, path string) *Dir {
+func open(t *testing.T, path string) *Store {
 	t.Helper()
 	d, err := Open(path, Options{NoSync: true})
 	if err != nil {
@@ -22,14 +22,14 @@
 	return d
 }
 
-func put(t *testing.T, d *Dir, name, body string, c Condition) (Info, error) {
+func put(t *testing.T, d *Store, name, body string, c Condition) (Info, error) {
 	t.Helper()
 	info, _, err := d.Put(context.Background(), "o", Info{Name: name, Size: int64(len(body)), Meta: []byte("m")},
 		strings.NewReader(body), c)
 	return info, err
 }
 
-func body(t *testing.T, d *Dir, name string) string {
+func body(t *testing.T, d *Store, name string) string {
 	t.Helper()
 	b, err := d.Get("o", name)
 	if err != nil {
@@ -53,7 +53,7 @@
 	if _, err := put(t, d, "k", "two", Condition{Version: first.Version}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := put(t, d, "k", "three", Condition{Version: first.Version}); !errors.Is(err, ErrVersion) {
+	if _, err := put(t, d, "k", "three", Condition{Version: first.Version}); !errors.Is(err, ErrVersionMismatch) {
 		t.Errorf("write over an old version: %v", err)
 	}
 	if _, err := Open(path, Options{}); !errors.Is(err, ErrLocked) {
@@ -75,8 +75,8 @@
 			t.Fatal(err)
 		}
 		d := open(t, path)
-		if got := body(t, d, "k"); !strings.HasPrefix(got, "error") || len(d.Broken) != 1 {
-			t.Fatalf("torn at %d: read %q, broken %v", cut, got, d.Broken)
+		if got := body(t, d, "k"); !strings.HasPrefix(got, "error") || len(d.Damaged) != 1 {
+			t.Fatalf("torn at %d: read %q, broken %v", cut, got, d.Damaged)
 		}
 		d.Close()
 	}
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -34,7 +34,7 @@
 func (e *entry) key() string { return e.text[:e.name] }
 
 func (e *entry) info() Info {
-	i := Info{Name: e.key(), Size: e.size, Version: e.version, Whole: e.flags&record.Whole != 0}
+	i := Info{Name: e.key(), Size: e.size, Version: e.version, Whole: e.flags&record.FlagWhole != 0}
 	if len(e.text) > int(e.name) {
 		i.Meta = []byte(e.text[e.name:])
 	}
@@ -43,7 +43,7 @@
 
 // span returns the bytes that the entry holds in its segment.
 func (e *entry) span() int64 {
-	if e.flags&record.Big != 0 {
+	if e.flags&record.FlagBodyFile != 0 {
 		return int64(e.head)
 	}
 	return int64(e.head) + e.size
@@ -51,9 +51,9 @@
 
 func entryOf(r *record.Record, at place) entry {
 	e := entry{text: r.Name + string(r.Meta), size: r.Size, version: r.Version, offset: at.offset, segment: at.segment,
-		head: uint32(r.Head()), name: uint16(len(r.Name)), flags: r.Flags}
-	if len(r.Sums) == 1 {
-		e.sum = r.Sums[0]
+		head: uint32(r.HeaderSize()), name: uint16(len(r.Name)), flags: r.Flags}
+	if len(r.Checksums) == 1 {
+		e.sum = r.Checksums[0]
 	}
 	return e
 }
@@ -122,20 +122,20 @@
 	Prefix    string
 	After     string // names after this one only
 	Delimiter string // names that hold it after the prefix are rolled up
-	Most      int    // items at most
+	MaxItems  int    // items at most
 }
 
 // Item is a blob or, where Rolled, a common prefix of several.
 type Item struct {
 	Info
-	Rolled bool
+	IsPrefix bool
 }
 
 // list returns a page of items and whether there are more. A rolled item's
 // Name is the common prefix, up to and with the delimiter.
 func (x index) list(space string, q Query) (items []Item, more bool) {
 	t := x[space]
-	if t == nil || q.Most <= 0 {
+	if t == nil || q.MaxItems <= 0 {
 		return nil, false
 	}
 	from := max(q.Prefix, q.After)
@@ -149,7 +149,7 @@
 			if !strings.HasPrefix(name, q.Prefix) {
 				return false
 			}
-			if len(items) == q.Most {
+			if len(items) == q.MaxItems {
 				more = true
 				return false
 			}
@@ -159,7 +159,7 @@
 				return true
 			}
 			if rolled != q.After { // else it was told on the page before
-				items = append(items, Item{Info: Info{Name: rolled}, Rolled: true})
+				items = append(items, Item{Info: Info{Name: rolled}, IsPrefix: true})
 			}
 			next = successor(rolled)
 			return false
--- a/internal/store/maintain.go
+++ b/internal/store/maintain.go
@@ -7,25 +7,25 @@
 	"io"
 	"strconv"
 
+	"arrowwalk/internal/store/maintpolicy"
 	"arrowwalk/internal/store/record"
-	"arrowwalk/internal/store/tidy"
 )
 
 // Segments returns the log's segments but the one that is written to.
-func (s *Store) Segments() []tidy.Segment {
+func (s *Store) Segments() []maintpolicy.Segment {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	var out []tidy.Segment
+	var out []maintpolicy.Segment
 	for _, n := range sortedKeys(s.segments) {
 		if seg := s.segments[n]; seg != s.log.segment {
-			out = append(out, tidy.Segment{Number: n, Bytes: seg.size, Live: seg.live, Age: int64(s.log.group) - seg.born})
+			out = append(out, maintpolicy.Segment{Number: n, SizeBytes: seg.size, LiveBytes: seg.live, AgeGroups: int64(s.log.group) - seg.born})
 		}
 	}
 	return out
 }
 
-// Free returns the bytes that the disk has left.
-func (s *Store) Free() (int64, error) { return s.fs.Free() }
+// FreeBytes returns the bytes that the disk has left.
+func (s *Store) FreeBytes() (int64, error) { return s.fs.Free() }
 
 // Compact moves what is live in a segment to the log's end, so that a later
 // checkpoint removes the file. pace is asked before each part is read and
@@ -39,14 +39,14 @@
 		return fmt.Errorf("segment %s: not one that can be compacted", segmentFile(number))
 	}
 	seg.hold()
-	need := seg.live + 2*s.checkSize + s.opt.GroupBytes // the rest is for deletes
+	need := seg.live + 2*s.checkSize + s.opt.MaxGroupBytes // the rest is for deletes
 	s.mu.RUnlock()
 	defer seg.release()
 	if free, err := s.fs.Free(); err != nil || free < need {
 		return errors.Join(ErrNoSpace, err)
 	}
 	var hurt error
-	for at := int64(record.SegmentLen); at < seg.size; {
+	for at := int64(record.SegmentHeaderLen); at < seg.size; {
 		if err := ctx.Err(); err != nil {
 			return err
 		}
@@ -60,7 +60,7 @@
 		at += took
 	}
 	if hurt == nil {
-		s.counts.Compacted.Add(1)
+		s.counts.CompactedSegments.Add(1)
 	}
 	return hurt
 }
@@ -68,25 +68,25 @@
 // moveGroup moves what is live of the group at a place and returns the bytes
 // that the group took.
 func (s *Store) moveGroup(seg *segment, at int64, pace func(int64) error) (int64, error) {
-	head := make([]byte, record.GroupLen)
+	head := make([]byte, record.GroupHeaderLen)
 	if _, err := seg.file.ReadAt(head, at); err != nil {
 		return 0, err
 	}
-	g, err := record.ParseGroup(head)
-	if err != nil || at+record.Span(int64(g.Length)) > seg.size {
-		return record.Align, fmt.Errorf("%s at %d: %w", segmentFile(seg.number), at, ErrCorrupt)
+	g, err := record.ParseGroupHeader(head)
+	if err != nil || at+record.GroupSize(int64(g.Length)) > seg.size {
+		return record.GroupAlign, fmt.Errorf("%s at %d: %w", segmentFile(seg.number), at, ErrCorrupt)
 	}
-	span := record.Span(int64(g.Length))
+	span := record.GroupSize(int64(g.Length))
 	if pace != nil {
 		if err := pace(span); err != nil {
 			return 0, err
 		}
 	}
 	payload := make([]byte, g.Length)
-	if _, err := seg.file.ReadAt(payload, at+record.GroupLen); err != nil {
+	if _, err := seg.file.ReadAt(payload, at+record.GroupHeaderLen); err != nil {
 		return 0, err
 	}
-	ops, hurt := s.liveIn(seg, at+record.GroupLen, payload)
+	ops, hurt := s.liveIn(seg, at+record.GroupHeaderLen, payload)
 	for _, o := range ops {
 		o.done = make(chan struct{})
 		if err := s.queue.put(o); err != nil {
@@ -97,7 +97,7 @@
 		<-o.done
 		switch {
 		case o.err == nil:
-			s.counts.Moved.Add(1)
+			s.counts.MovedRecords.Add(1)
 		case !errors.Is(o.err, errMoved):
 			hurt = o.err
 		}
@@ -109,7 +109,7 @@
 func (s *Store) liveIn(seg *segment, offset int64, payload []byte) (ops []*op, hurt error) {
 	for len(payload) > 0 {
 		r, n, err := record.Parse(payload)
-		span := int64(n) + r.Inline()
+		span := int64(n) + r.InlineSize()
 		if err != nil || span > int64(len(payload)) {
 			return ops, fmt.Errorf("%s at %d: a record: %w", segmentFile(seg.number), offset, ErrCorrupt)
 		}
@@ -135,8 +135,8 @@
 // was written, or -1.
 func firstBad(r *record.Record, body []byte) int {
 	for i := 0; len(body) > 0; i++ {
-		n := min(len(body), record.Block)
-		if record.Sum(body[:n]) != r.Sums[i] {
+		n := min(len(body), record.BlockSize)
+		if record.Checksum(body[:n]) != r.Checksums[i] {
 			return i
 		}
 		body = body[n:]
@@ -144,14 +144,14 @@
 	return -1
 }
 
-// Place is where a walk is: after the blob of this space and name.
-type Place struct {
+// Position is where a walk is: after the blob of this space and name.
+type Position struct {
 	Space string `json:"space"`
 	Name  string `json:"name"`
 }
 
-// Next returns the blob after a place, in the order of spaces and names.
-func (s *Store) Next(p Place) (Place, Info, bool) {
+// NextBlob returns the blob after a place, in the order of spaces and names.
+func (s *Store) NextBlob(p Position) (Position, Info, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	for _, space := range sortedKeys(s.index) {
@@ -162,7 +162,7 @@
 		ok := false
 		t := s.index[space]
 		each := func(e entry) bool {
-			if space == p.Space && e.key() <= p.Name && p != (Place{}) {
+			if space == p.Space && e.key() <= p.Name && p != (Position{}) {
 				return true
 			}
 			found, ok = e, true
@@ -174,14 +174,14 @@
 			t.Scan(each)
 		}
 		if ok {
-			return Place{space, found.key()}, found.info(), true
+			return Position{space, found.key()}, found.info(), true
 		}
 	}
 	return p, Info{}, false
 }
 
-// Bytes returns the bodies' bytes.
-func (s *Store) Bytes() (blobs int, size int64) {
+// Usage returns the bodies' bytes.
+func (s *Store) Usage() (blobs int, size int64) {
 	s.mu.Lock() // a copy marks the nodes
 	x := s.index.clone()
 	s.mu.Unlock()
@@ -194,7 +194,7 @@
 
 // Verify reads a blob whole and checks each block; pace is asked before each.
 // A blob that was replaced or deleted meanwhile is not an error.
-func (s *Store) Verify(p Place, pace func(bytes int64) error) error {
+func (s *Store) Verify(p Position, pace func(bytes int64) error) error {
 	b, err := s.Get(p.Space, p.Name)
 	if errors.Is(err, ErrNotFound) {
 		return nil
@@ -203,16 +203,16 @@
 		return err
 	}
 	defer b.Close()
-	buf := blocks.Get().(*[record.Block]byte)
+	buf := blocks.Get().(*[record.BlockSize]byte)
 	defer blocks.Put(buf)
 	var bad error
-	for i := range b.Sums {
+	for i := range b.Checksums {
 		if pace != nil {
-			if err := pace(min(record.Block, b.Size-int64(i)*record.Block)); err != nil {
+			if err := pace(min(record.BlockSize, b.Size-int64(i)*record.BlockSize)); err != nil {
 				return err
 			}
 		}
-		if _, err := b.Block(i, buf[:]); err != nil && !errors.Is(err, ErrCorrupt) {
+		if _, err := b.ReadBlock(i, buf[:]); err != nil && !errors.Is(err, ErrCorrupt) {
 			return err
 		} else if err != nil {
 			bad = errors.Join(bad, err)
@@ -229,8 +229,8 @@
 		tell(d)
 	}
 	used := map[uint64]bool{}
-	for p := (Place{}); ; {
-		next, info, ok := s.Next(p)
+	for p := (Position{}); ; {
+		next, info, ok := s.NextBlob(p)
 		if !ok {
 			break
 		}
@@ -244,7 +244,7 @@
 			used[file] = true
 		}
 		if err := s.Verify(p, nil); errors.Is(err, ErrCorrupt) {
-			d := Damage{Space: p.Space, Name: p.Name, Length: info.Size, What: err.Error()}
+			d := Damage{Space: p.Space, Name: p.Name, Length: info.Size, Description: err.Error()}
 			d.File, d.Offset = s.whereIs(p)
 			tell(d)
 		} else if err != nil {
@@ -257,7 +257,7 @@
 	return blobs, bytes, s.checkBodies(used, tell)
 }
 
-func (s *Store) fileNamed(p Place) uint64 {
+func (s *Store) fileNamed(p Position) uint64 {
 	s.mu.RLock()
 	e, ok := s.index.get(p.Space, p.Name)
 	s.mu.RUnlock()
@@ -267,7 +267,7 @@
 	return s.fileOf(e, nil)
 }
 
-func (s *Store) whereIs(p Place) (string, int64) {
+func (s *Store) whereIs(p Position) (string, int64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	e, _ := s.index.get(p.Space, p.Name)
@@ -289,7 +289,7 @@
 	}()
 	for _, seg := range held {
 		if _, err := readSegment(seg, s.id); errors.Is(err, errSegment) {
-			tell(Damage{File: segmentFile(seg.number), Length: record.SegmentLen, What: err.Error()})
+			tell(Damage{File: segmentFile(seg.number), Length: record.SegmentHeaderLen, Description: err.Error()})
 		} else if err != nil {
 			return err
 		}
@@ -301,27 +301,27 @@
 }
 
 func (s *Store) checkGroups(ctx context.Context, seg *segment, tell func(Damage)) error {
-	head := make([]byte, record.GroupLen)
-	for at := int64(record.SegmentLen); at < seg.size; {
+	head := make([]byte, record.GroupHeaderLen)
+	for at := int64(record.SegmentHeaderLen); at < seg.size; {
 		if err := ctx.Err(); err != nil {
 			return err
 		}
 		if _, err := seg.file.ReadAt(head, at); err != nil && err != io.EOF {
 			return err
 		}
-		g, err := record.ParseGroup(head)
-		span := record.Span(int64(g.Length))
+		g, err := record.ParseGroupHeader(head)
+		span := record.GroupSize(int64(g.Length))
 		if err != nil || at+span > seg.size {
-			tell(Damage{File: segmentFile(seg.number), Offset: at, Length: record.Align, What: "no group begins here"})
-			at += record.Align
+			tell(Damage{File: segmentFile(seg.number), Offset: at, Length: record.GroupAlign, Description: "no group begins here"})
+			at += record.GroupAlign
 			continue
 		}
 		payload := make([]byte, g.Length)
-		if _, err := seg.file.ReadAt(payload, at+record.GroupLen); err != nil {
+		if _, err := seg.file.ReadAt(payload, at+record.GroupHeaderLen); err != nil {
 			return err
 		}
-		if record.Sum(payload) != g.Sum {
-			tell(Damage{File: segmentFile(seg.number), Offset: at, Length: span, What: fmt.Sprintf("group %d: bad checksum", g.Number)})
+		if record.Checksum(payload) != g.Checksum {
+			tell(Damage{File: segmentFile(seg.number), Offset: at, Length: span, Description: fmt.Sprintf("group %d: bad checksum", g.Number)})
 		}
 		at += span
 	}
@@ -347,9 +347,9 @@
 			s.mu.RUnlock()
 			switch {
 			case err != nil || bodyFile(file) != path:
-				tell(Damage{File: path, What: "not the name of a body's file"})
+				tell(Damage{File: path, Description: "not the name of a body's file"})
 			case !used[file] && !flying:
-				tell(Damage{File: path, What: "nothing refers to it"})
+				tell(Damage{File: path, Description: "nothing refers to it"})
 			}
 		}
 	}
--- a/internal/store/keeper/keeper.go
+++ b/internal/store/maintenance/keeper.go
@@ -1,7 +1,7 @@
 // Package keeper looks after an open store: it compacts what is worth it and
 // scrubs all of it within a time, stepping aside for live work. What to do and
 // how fast is decided in internal/store/tidy.
-package keeper
+package maintenance
 
 import (
 	"bytes"
@@ -15,22 +15,22 @@
 	"time"
 
 	"arrowwalk/internal/store"
-	"arrowwalk/internal/store/tidy"
+	"arrowwalk/internal/store/maintpolicy"
 )
 
 // Options of a keeper.
 type Options struct {
-	Store *store.Store
-	Load  func() tidy.Load      // what the brick sees of live work; nil: none
-	Free  func() (int64, error) // bytes free; nil: what the store's disk says
-	Pass  time.Duration         // in which all is read once; 0: a week
-	Every time.Duration         // between two looks for what to compact; 0: 10 s
-	Low   int64                 // free bytes below which room comes first; 0: 1 GiB
-	Log   *slog.Logger
+	Store              *store.Store
+	Load               func() maintpolicy.Load // what the brick sees of live work; nil: none
+	FreeBytes          func() (int64, error)   // bytes free; nil: what the store's disk says
+	ScrubPeriod        time.Duration           // in which all is read once; 0: a week
+	CompactionInterval time.Duration           // between two looks for what to compact; 0: 10 s
+	LowFreeBytes       int64                   // free bytes below which room comes first; 0: 1 GiB
+	Log                *slog.Logger
 }
 
-// Keeper is a running keeper; the caller closes it before the store.
-type Keeper struct {
+// Runner is a running keeper; the caller closes it before the store.
+type Runner struct {
 	opt    Options
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
@@ -40,13 +40,13 @@
 // Progress is where the scrubber is; it is kept in the store and taken up
 // again by the next start.
 type Progress struct {
-	Began  int64       `json:"began"` // of the pass, microseconds since 1970
-	At     store.Place `json:"at"`
-	Bytes  int64       `json:"bytes"`  // read in the pass
-	Total  int64       `json:"total"`  // to be read, as counted at its start
-	Passes int64       `json:"passes"` // that have ended
-	Took   int64       `json:"took"`   // by the last one, microseconds
-	Bad    int64       `json:"bad"`    // blobs found damaged in this pass
+	StartMicros     int64          `json:"began"` // of the pass, microseconds since 1970
+	Position        store.Position `json:"at"`
+	ReadBytes       int64          `json:"bytes"`  // read in the pass
+	TotalBytes      int64          `json:"total"`  // to be read, as counted at its start
+	CompletedPasses int64          `json:"passes"` // that have ended
+	LastPassMicros  int64          `json:"took"`   // by the last one, microseconds
+	DamagedBlobs    int64          `json:"bad"`    // blobs found damaged in this pass
 }
 
 // Space and name of the progress in the store.
@@ -61,27 +61,27 @@
 )
 
 // Start starts a keeper.
-func Start(opt Options) *Keeper {
+func Start(opt Options) *Runner {
 	if opt.Load == nil {
-		opt.Load = func() tidy.Load { return tidy.Load{} }
+		opt.Load = func() maintpolicy.Load { return maintpolicy.Load{} }
 	}
-	if opt.Free == nil {
-		opt.Free = opt.Store.Free
+	if opt.FreeBytes == nil {
+		opt.FreeBytes = opt.Store.FreeBytes
 	}
-	if opt.Pass == 0 {
-		opt.Pass = week
+	if opt.ScrubPeriod == 0 {
+		opt.ScrubPeriod = week
 	}
-	if opt.Every == 0 {
-		opt.Every = 10 * time.Second
+	if opt.CompactionInterval == 0 {
+		opt.CompactionInterval = 10 * time.Second
 	}
-	if opt.Low == 0 {
-		opt.Low = 1 << 30
+	if opt.LowFreeBytes == 0 {
+		opt.LowFreeBytes = 1 << 30
 	}
 	if opt.Log == nil {
 		opt.Log = slog.New(slog.DiscardHandler)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	k := &Keeper{opt: opt, cancel: cancel}
+	k := &Runner{opt: opt, cancel: cancel}
 	p := k.load()
 	k.state.Store(&p)
 	k.wg.Add(2)
@@ -91,15 +91,15 @@
 }
 
 // Close ends the keeper's work where it is.
-func (k *Keeper) Close() {
+func (k *Runner) Close() {
 	k.cancel()
 	k.wg.Wait()
 }
 
 // Progress returns where the scrubber is.
-func (k *Keeper) Progress() Progress { return *k.state.Load() }
+func (k *Runner) Progress() Progress { return *k.state.Load() }
 
-func (k *Keeper) load() (p Progress) {
+func (k *Runner) load() (p Progress) {
 	b, err := k.opt.Store.Get(stateSpace, stateName)
 	if err != nil {
 		return p
@@ -112,7 +112,7 @@
 	return p
 }
 
-func (k *Keeper) save(p Progress) {
+func (k *Runner) save(p Progress) {
 	k.state.Store(&p)
 	text, err := json.Marshal(p)
 	if err == nil {
@@ -135,26 +135,26 @@
 }
 
 // compact looks again and again for a segment that is worth it.
-func (k *Keeper) compact(ctx context.Context) {
+func (k *Runner) compact(ctx context.Context) {
 	hurt := map[uint32]bool{} // what cannot be moved is not tried again before a restart
-	for pause(ctx, k.opt.Every) == nil {
-		free, err := k.opt.Free()
+	for pause(ctx, k.opt.CompactionInterval) == nil {
+		free, err := k.opt.FreeBytes()
 		if err != nil {
 			k.opt.Log.Warn("compaction: the disk does not say what is free", "error", err)
 			continue
 		}
-		var list []tidy.Segment
+		var list []maintpolicy.Segment
 		for _, seg := range k.opt.Store.Segments() {
 			if !hurt[seg.Number] {
 				list = append(list, seg)
 			}
 		}
-		seg, ok := tidy.Choose(list, free, tidy.Policy{Low: k.opt.Low})
+		seg, ok := maintpolicy.ChooseSegment(list, free, maintpolicy.CompactionPolicy{LowFreeBytes: k.opt.LowFreeBytes})
 		if !ok {
 			continue
 		}
 		err = k.opt.Store.Compact(ctx, seg.Number, func(n int64) error {
-			rate := tidy.CompactRate(k.opt.Load(), free < k.opt.Low)
+			rate := maintpolicy.CompactionRate(k.opt.Load(), free < k.opt.LowFreeBytes)
 			return pause(ctx, time.Duration(float64(n)/rate*float64(time.Second)))
 		})
 		switch {
@@ -173,23 +173,23 @@
 }
 
 // scrub reads all, again and again.
-func (k *Keeper) scrub(ctx context.Context) {
+func (k *Runner) scrub(ctx context.Context) {
 	for ctx.Err() == nil {
 		p := k.Progress()
-		if p.Began == 0 || p.Began > time.Now().UnixMicro() { // none, or the clock was set back
-			_, total := k.opt.Store.Bytes()
-			p = Progress{Began: time.Now().UnixMicro(), Total: total, Passes: p.Passes, Took: p.Took}
+		if p.StartMicros == 0 || p.StartMicros > time.Now().UnixMicro() { // none, or the clock was set back
+			_, total := k.opt.Store.Usage()
+			p = Progress{StartMicros: time.Now().UnixMicro(), TotalBytes: total, CompletedPasses: p.CompletedPasses, LastPassMicros: p.LastPassMicros}
 			k.save(p)
 		}
 		if k.pass(ctx, &p) != nil {
 			k.save(p)
 			return
 		}
-		p.Took = time.Now().UnixMicro() - p.Began
-		p.Passes++
-		k.opt.Log.Info("scrub: a pass ended", "bytes", p.Bytes, "took", time.Duration(p.Took)*time.Microsecond, "bad", p.Bad)
-		rest := k.opt.Pass - time.Duration(p.Took)*time.Microsecond
-		p.Began, p.At = 0, store.Place{}
+		p.LastPassMicros = time.Now().UnixMicro() - p.StartMicros
+		p.CompletedPasses++
+		k.opt.Log.Info("scrub: a pass ended", "bytes", p.ReadBytes, "took", time.Duration(p.LastPassMicros)*time.Microsecond, "bad", p.DamagedBlobs)
+		rest := k.opt.ScrubPeriod - time.Duration(p.LastPassMicros)*time.Microsecond
+		p.StartMicros, p.Position = 0, store.Position{}
 		k.save(p)
 		if pause(ctx, max(rest, time.Second)) != nil {
 			return
@@ -198,12 +198,12 @@
 }
 
 // pass goes on from p to the end.
-func (k *Keeper) pass(ctx context.Context, p *Progress) error {
-	pace := &tidy.Pace{Total: p.Total, Until: k.opt.Pass}
+func (k *Runner) pass(ctx context.Context, p *Progress) error {
+	pace := &maintpolicy.ScrubPacer{TotalBytes: p.TotalBytes, Deadline: k.opt.ScrubPeriod}
 	saved, credit := time.Now(), int64(0)
 	wait := func(n int64) error {
 		for credit < n {
-			more, per := pace.Next(time.Duration(time.Now().UnixMicro()-p.Began)*time.Microsecond, p.Bytes, k.opt.Load())
+			more, per := pace.NextBudget(time.Duration(time.Now().UnixMicro()-p.StartMicros)*time.Microsecond, p.ReadBytes, k.opt.Load())
 			if more == 0 { // written since the pass began: as fast as its end
 				more = n
 			}
@@ -213,23 +213,23 @@
 			credit += more
 		}
 		credit -= n
-		p.Bytes += n
+		p.ReadBytes += n
 		return nil
 	}
 	for {
-		next, _, ok := k.opt.Store.Next(p.At)
+		next, _, ok := k.opt.Store.NextBlob(p.Position)
 		if !ok {
 			return nil
 		}
 		switch err := k.opt.Store.Verify(next, wait); {
 		case errors.Is(err, store.ErrCorrupt):
-			p.Bad++ // told by the store, with its place; nothing is repaired by guess
+			p.DamagedBlobs++ // told by the store, with its place; nothing is repaired by guess
 		case err != nil && ctx.Err() != nil:
 			return ctx.Err()
 		case err != nil:
 			k.opt.Log.Warn("scrub: a blob could not be read", "space", next.Space, "name", next.Name, "error", err)
 		}
-		p.At = next
+		p.Position = next
 		if err := ctx.Err(); err != nil {
 			return err
 		}
--- a/internal/store/keeper/keeper_test.go
+++ b/internal/store/maintenance/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package maintenance
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"arrowwalk/internal/store"
 	"arrowwalk/internal/store/disk"
-	"arrowwalk/internal/store/tidy"
+	"arrowwalk/internal/store/maintpolicy"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -45,7 +45,7 @@
 // nothing that is live is lost by either.
 func TestKeeper(t *testing.T) {
 	sim := disk.NewSim()
-	s, err := store.Open("sim", store.Options{FS: sim, SegmentBytes: 32 << 10, Reserve: 1})
+	s, err := store.Open("sim", store.Options{FS: sim, SegmentBytes: 32 << 10, ReserveBytes: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,12 +53,12 @@
 	fill(t, s, 400)
 	before := len(s.Segments())
 	for at := int64(900); at < 30<<10; at += 1024 { // some of it is live
-		if err := sim.Spoil(fmt.Sprintf("log/%08x", s.Segments()[before-1].Number), at, 1); err != nil {
+		if err := sim.FlipStoredBit(fmt.Sprintf("log/%08x", s.Segments()[before-1].Number), at, 1); err != nil {
 			t.Fatal(err)
 		}
 	}
-	k := Start(Options{Store: s, Pass: 50 * time.Millisecond, Every: time.Millisecond})
-	until(t, "a pass that finds the spoilt blob", func() bool { return k.Progress().Passes > 0 && s.Quarantine() > 0 })
+	k := Start(Options{Store: s, ScrubPeriod: 50 * time.Millisecond, CompactionInterval: time.Millisecond})
+	until(t, "a pass that finds the spoilt blob", func() bool { return k.Progress().CompletedPasses > 0 && s.QuarantinedBlocks() > 0 })
 	until(t, "fewer segments", func() bool {
 		fill(t, s, 1) // a checkpoint needs something new
 		return len(s.Segments()) < before/3
@@ -75,21 +75,21 @@
 
 // A pass goes on where it was when the keeper ended.
 func TestResume(t *testing.T) {
-	s, err := store.Open("sim", store.Options{FS: disk.NewSim(), Reserve: 1})
+	s, err := store.Open("sim", store.Options{FS: disk.NewSim(), ReserveBytes: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	fill(t, s, 40)
-	busy := func() tidy.Load { return tidy.Load{Util: 1, Waiting: 9} }
-	k := Start(Options{Store: s, Pass: time.Hour, Load: busy})
-	until(t, "some progress", func() bool { return k.Progress().Bytes > 0 })
+	busy := func() maintpolicy.Load { return maintpolicy.Load{Utilization: 1, QueuedRequests: 9} }
+	k := Start(Options{Store: s, ScrubPeriod: time.Hour, Load: busy})
+	until(t, "some progress", func() bool { return k.Progress().ReadBytes > 0 })
 	k.Close()
 	was := k.Progress()
-	k = Start(Options{Store: s, Pass: time.Hour, Load: busy})
+	k = Start(Options{Store: s, ScrubPeriod: time.Hour, Load: busy})
 	now := k.Progress()
 	k.Close()
-	if was.Began == 0 || now.Began != was.Began || now.Bytes < was.Bytes || now.At.Name < was.At.Name {
+	if was.StartMicros == 0 || now.StartMicros != was.StartMicros || now.ReadBytes < was.ReadBytes || now.Position.Name < was.Position.Name {
 		t.Errorf("it was at %+v, and goes on at %+v", was, now)
 	}
 	if b, err := s.Get(stateSpace, stateName); err != nil {
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -15,7 +15,7 @@
 // before it is given. Its calls must not run at once.
 type Blob struct {
 	Info
-	Sums []uint32 // of its blocks of record.Block bytes, as they were written
+	Checksums []uint32 // of its blocks of record.Block bytes, as they were written
 
 	s     *Store
 	space string
@@ -55,9 +55,9 @@
 		return nil, s.corrupt(space, e.key(), e.version, -1, fmt.Sprintf("segment %s is missing", segmentFile(e.segment)))
 	}
 	b := &Blob{Info: e.info(), s: s, space: space, seg: seg, file: seg.file, start: e.offset + int64(e.head), name: segmentFile(e.segment)}
-	if e.flags&record.Big == 0 && e.size <= record.Block {
+	if e.flags&record.FlagBodyFile == 0 && e.size <= record.BlockSize {
 		if e.size > 0 {
-			b.Sums = []uint32{e.sum}
+			b.Checksums = []uint32{e.sum}
 		}
 		return b, nil
 	}
@@ -66,12 +66,12 @@
 		seg.release()
 		return nil, s.corrupt(space, e.key(), e.version, -1, err.Error())
 	}
-	b.Sums = r.Sums
-	if r.Flags&record.Big == 0 {
+	b.Checksums = r.Checksums
+	if r.Flags&record.FlagBodyFile == 0 {
 		return b, nil
 	}
 	seg.release()
-	b.seg, b.start, b.body, b.name = nil, 0, true, bodyFile(r.File)
+	b.seg, b.start, b.body, b.name = nil, 0, true, bodyFile(r.BodyFile)
 	if b.file, err = s.fs.Open(b.name); err != nil {
 		return nil, err
 	}
@@ -115,16 +115,16 @@
 	if offset < 0 || offset >= b.Size {
 		return 0, io.EOF
 	}
-	buf := blocks.Get().(*[record.Block]byte)
+	buf := blocks.Get().(*[record.BlockSize]byte)
 	defer blocks.Put(buf)
 	done := 0
 	for done < len(p) && offset < b.Size {
-		i := int(offset / record.Block)
-		block, err := b.Block(i, buf[:])
+		i := int(offset / record.BlockSize)
+		block, err := b.ReadBlock(i, buf[:])
 		if err != nil {
 			return done, err
 		}
-		n := copy(p[done:], block[offset-int64(i)*record.Block:])
+		n := copy(p[done:], block[offset-int64(i)*record.BlockSize:])
 		done += n
 		offset += int64(n)
 	}
@@ -134,10 +134,10 @@
 	return done, nil
 }
 
-// Block reads the body's block i into buf, of record.Block bytes, and checks it.
-func (b *Blob) Block(i int, buf []byte) ([]byte, error) {
-	at := int64(i) * record.Block
-	block := buf[:min(record.Block, b.Size-at)]
+// ReadBlock reads the body's block i into buf, of record.ReadBlock bytes, and checks it.
+func (b *Blob) ReadBlock(i int, buf []byte) ([]byte, error) {
+	at := int64(i) * record.BlockSize
+	block := buf[:min(record.BlockSize, b.Size-at)]
 	if b.s.isBad(b.space, b.Name, b.Version, i) {
 		return nil, fmt.Errorf("block %d of blob %s/%q: %w", i, b.space, b.Name, ErrCorrupt)
 	}
@@ -147,7 +147,7 @@
 		}
 		return nil, b.s.corrupt(b.space, b.Name, b.Version, i, b.name+" is too short")
 	}
-	if record.Sum(block) != b.Sums[i] {
+	if record.Checksum(block) != b.Checksums[i] {
 		return nil, b.s.corrupt(b.space, b.Name, b.Version, i, fmt.Sprintf("%s at %d: bad checksum", b.name, b.start+at))
 	}
 	return block, nil
@@ -174,15 +174,15 @@
 	}
 	s.mu.Unlock()
 	if fresh {
-		s.counts.Corrupt.Add(1)
+		s.counts.CorruptBlocks.Add(1)
 		s.opt.Log.Error("stored bytes are not those that were written", "space", space, "name", name, "version", version, "block", block, "what", what)
 	}
 	return fmt.Errorf("block %d of blob %s/%q: %s: %w", block, space, name, what, ErrCorrupt)
 }
 
-// Quarantine returns the number of blocks that were found bad and not replaced
+// QuarantinedBlocks returns the number of blocks that were found bad and not replaced
 // since.
-func (s *Store) Quarantine() int {
+func (s *Store) QuarantinedBlocks() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for k := range s.bad {
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -29,7 +29,7 @@
 	if errors.Is(err, fs.ErrNotExist) {
 		s.id = newID()
 		text, _ = json.Marshal(format{formatNow, s.id})
-		return disk.WriteFile(s.fs, ".", formatFile, append(text, '\n'))
+		return disk.WriteFileAtomic(s.fs, ".", formatFile, append(text, '\n'))
 	}
 	if err != nil {
 		return err
@@ -112,7 +112,7 @@
 			return mark{}, fmt.Errorf("%s: %w", path, err)
 		}
 		bad, last = bad+1, max(last, number)
-		s.damage(Damage{File: path, What: err.Error()})
+		s.damage(Damage{File: path, Description: err.Error()})
 	}
 	if bad > 0 {
 		return mark{}, fmt.Errorf("none of the %d checkpoints in check/ is whole: %w", bad, ErrCorrupt)
@@ -122,7 +122,7 @@
 
 func (s *Store) damage(d Damage) {
 	s.found = append(s.found, d)
-	s.opt.Log.Error("the store is damaged", "file", d.File, "offset", d.Offset, "length", d.Length, "what", d.What, "space", d.Space, "name", d.Name)
+	s.opt.Log.Error("the store is damaged", "file", d.File, "offset", d.Offset, "length", d.Length, "what", d.Description, "space", d.Space, "name", d.Name)
 }
 
 func (s *Store) openSegments() error {
@@ -133,7 +133,7 @@
 	for _, name := range names {
 		n, err := strconv.ParseUint(name, 16, 32)
 		if err != nil || n == 0 || len(name) != 8 {
-			s.damage(Damage{File: "log/" + name, What: "not the name of a segment"})
+			s.damage(Damage{File: "log/" + name, Description: "not the name of a segment"})
 			continue
 		}
 		f, err := s.fs.Open("log/" + name)
@@ -153,8 +153,8 @@
 			continue
 		}
 		h, err := readSegment(next, s.id)
-		if err == nil && h.Before >= record.SegmentLen {
-			seg.size = min(seg.size, h.Before)
+		if err == nil && h.PrevSegmentEnd >= record.SegmentHeaderLen {
+			seg.size = min(seg.size, h.PrevSegmentEnd)
 		} else if err != nil && !errors.Is(err, errSegment) {
 			return err
 		}
@@ -176,7 +176,7 @@
 		return true
 	})
 	for _, n := range sortedKeys(missing) {
-		s.damage(Damage{File: segmentFile(n), What: fmt.Sprintf("missing, with %d blobs", missing[n])})
+		s.damage(Damage{File: segmentFile(n), Description: fmt.Sprintf("missing, with %d blobs", missing[n])})
 	}
 }
 
@@ -213,7 +213,7 @@
 		return nil
 	}
 	last := s.segments[numbers[len(numbers)-1]]
-	s.log.segment, s.log.end = last, record.SegmentLen
+	s.log.segment, s.log.end = last, record.SegmentHeaderLen
 	if r.end.segment == last.number {
 		s.log.end = r.end.offset
 	}
@@ -234,7 +234,7 @@
 		return nil
 	}
 	last := r.s.segments[numbers[len(numbers)-1]]
-	if _, err := readSegment(last, r.s.id); err == nil || last.size > record.SegmentLen || last.number <= r.mark.segment {
+	if _, err := readSegment(last, r.s.id); err == nil || last.size > record.SegmentHeaderLen || last.number <= r.mark.segment {
 		if errors.Is(err, errSegment) {
 			return nil
 		}
@@ -252,10 +252,10 @@
 	if err != nil && !errors.Is(err, errSegment) {
 		return err
 	}
-	if err != nil && (next != nil || seg.size > record.SegmentLen) {
-		r.s.damage(Damage{File: segmentFile(seg.number), Length: record.SegmentLen, What: err.Error()})
+	if err != nil && (next != nil || seg.size > record.SegmentHeaderLen) {
+		r.s.damage(Damage{File: segmentFile(seg.number), Length: record.SegmentHeaderLen, Description: err.Error()})
 	}
-	at := int64(record.SegmentLen)
+	at := int64(record.SegmentHeaderLen)
 	if seg.number == r.mark.segment {
 		at = r.mark.offset
 	}
@@ -269,7 +269,7 @@
 		}
 		at += took
 	}
-	if at >= record.SegmentLen {
+	if at >= record.SegmentHeaderLen {
 		r.end = place{seg.number, at}
 	}
 	return nil
@@ -277,15 +277,15 @@
 
 var errSegment = errors.New("not the header of this segment")
 
-func readSegment(seg *segment, store uint64) (record.Segment, error) {
-	text := make([]byte, record.SegmentLen)
-	if seg.size < record.SegmentLen {
-		return record.Segment{}, errSegment
+func readSegment(seg *segment, store uint64) (record.SegmentHeader, error) {
+	text := make([]byte, record.SegmentHeaderLen)
+	if seg.size < record.SegmentHeaderLen {
+		return record.SegmentHeader{}, errSegment
 	}
 	if _, err := seg.file.ReadAt(text, 0); err != nil {
-		return record.Segment{}, err
+		return record.SegmentHeader{}, err
 	}
-	h, err := record.ParseSegment(text)
+	h, err := record.ParseSegmentHeader(text)
 	if err != nil || h.Store != store || h.Number != seg.number {
 		return h, errors.Join(errSegment, err)
 	}
@@ -299,16 +299,16 @@
 	if err != nil {
 		return 0, err
 	}
-	if payload != nil && record.Sum(payload) == g.Sum {
+	if payload != nil && record.Checksum(payload) == g.Checksum {
 		r.s.log.group = g.Number
 		r.records(seg, at, payload, nil)
-		return record.Span(int64(g.Length)), nil
+		return record.GroupSize(int64(g.Length)), nil
 	}
 	// Not whole. Where a later group stands behind it, it was acknowledged, and
 	// is damaged; else it is the one that a crash cut.
-	skip := record.Span(int64(g.Length))
+	skip := record.GroupSize(int64(g.Length))
 	if payload == nil {
-		skip = record.Align
+		skip = record.GroupAlign
 	}
 	later, err := r.later(seg, at+skip, limit)
 	if err != nil {
@@ -320,7 +320,7 @@
 	if later == 0 {
 		later = limit
 	}
-	d := Damage{File: segmentFile(seg.number), Offset: at, Length: later - at, What: "a group that was acknowledged is damaged"}
+	d := Damage{File: segmentFile(seg.number), Offset: at, Length: later - at, Description: "a group that was acknowledged is damaged"}
 	r.s.damage(d)
 	if payload != nil {
 		r.s.log.group = g.Number
@@ -330,20 +330,20 @@
 }
 
 // read returns the group at a place; a nil payload: there is none.
-func (r *replay) read(seg *segment, at, limit int64) (g record.Group, payload []byte, err error) {
-	if at+record.GroupLen > limit {
+func (r *replay) read(seg *segment, at, limit int64) (g record.GroupHeader, payload []byte, err error) {
+	if at+record.GroupHeaderLen > limit {
 		return g, nil, nil
 	}
-	head := make([]byte, record.GroupLen)
+	head := make([]byte, record.GroupHeaderLen)
 	if _, err := seg.file.ReadAt(head, at); err != nil {
 		return g, nil, err
 	}
-	g, bad := record.ParseGroup(head)
-	if bad != nil || g.Store != r.s.id || g.Number <= r.s.log.group || at+record.GroupLen+int64(g.Length) > limit {
-		return record.Group{}, nil, nil
+	g, bad := record.ParseGroupHeader(head)
+	if bad != nil || g.Store != r.s.id || g.Number <= r.s.log.group || at+record.GroupHeaderLen+int64(g.Length) > limit {
+		return record.GroupHeader{}, nil, nil
 	}
 	payload = make([]byte, g.Length)
-	if _, err := seg.file.ReadAt(payload, at+record.GroupLen); err != nil {
+	if _, err := seg.file.ReadAt(payload, at+record.GroupHeaderLen); err != nil {
 		return g, nil, err
 	}
 	return g, payload, nil
@@ -357,8 +357,8 @@
 		if _, err := seg.file.ReadAt(part, from); err != nil {
 			return 0, err
 		}
-		for i := 0; i+record.GroupLen <= len(part); i += record.Align {
-			if g, err := record.ParseGroup(part[i:]); err == nil && g.Store == r.s.id && g.Number > r.s.log.group {
+		for i := 0; i+record.GroupHeaderLen <= len(part); i += record.GroupAlign {
+			if g, err := record.ParseGroupHeader(part[i:]); err == nil && g.Store == r.s.id && g.Number > r.s.log.group {
 				return from + int64(i), nil
 			}
 		}
@@ -369,10 +369,10 @@
 // laterSegment says whether a segment after n holds a group.
 func (r *replay) laterSegment(n uint32) bool {
 	for number, seg := range r.s.segments {
-		if number <= n || seg.size < record.SegmentLen+record.GroupLen {
+		if number <= n || seg.size < record.SegmentHeaderLen+record.GroupHeaderLen {
 			continue
 		}
-		if at, err := r.later(seg, record.SegmentLen, seg.size); err == nil && at > 0 {
+		if at, err := r.later(seg, record.SegmentHeaderLen, seg.size); err == nil && at > 0 {
 			return true
 		}
 	}
@@ -381,21 +381,21 @@
 
 // records plays a group's records; hurt is the group's damage, if it has one.
 func (r *replay) records(seg *segment, at int64, payload []byte, hurt *Damage) {
-	offset := at + record.GroupLen
+	offset := at + record.GroupHeaderLen
 	for len(payload) > 0 {
 		rec, n, err := record.Parse(payload)
 		if err != nil {
-			r.s.damage(Damage{File: segmentFile(seg.number), Offset: offset, Length: int64(len(payload)), What: "records that cannot be read: " + err.Error()})
+			r.s.damage(Damage{File: segmentFile(seg.number), Offset: offset, Length: int64(len(payload)), Description: "records that cannot be read: " + err.Error()})
 			return
 		}
-		span := int64(n) + rec.Inline()
+		span := int64(n) + rec.InlineSize()
 		if span > int64(len(payload)) {
-			r.s.damage(Damage{File: segmentFile(seg.number), Offset: offset, Length: int64(len(payload)), What: "a record is longer than its group"})
+			r.s.damage(Damage{File: segmentFile(seg.number), Offset: offset, Length: int64(len(payload)), Description: "a record is longer than its group"})
 			return
 		}
 		if hurt != nil {
-			if sums := record.Sums(nil, payload[n:span]); rec.Flags&record.Big == 0 && !slices.Equal(sums, rec.Sums) {
-				r.s.damage(Damage{File: segmentFile(seg.number), Offset: offset, Length: span, Space: rec.Space, Name: rec.Name, What: "a body is damaged"})
+			if sums := record.AppendChecksums(nil, payload[n:span]); rec.Flags&record.FlagBodyFile == 0 && !slices.Equal(sums, rec.Checksums) {
+				r.s.damage(Damage{File: segmentFile(seg.number), Offset: offset, Length: span, Space: rec.Space, Name: rec.Name, Description: "a body is damaged"})
 			}
 		}
 		r.apply(&rec, place{seg.number, offset})
@@ -408,25 +408,25 @@
 func (r *replay) apply(rec *record.Record, at place) {
 	s := r.s
 	s.log.version = max(s.log.version, rec.Version)
-	s.files = max(s.files, rec.File)
+	s.files = max(s.files, rec.BodyFile)
 	key := blobKey{rec.Space, rec.Name}
 	e, there := s.index.get(rec.Space, rec.Name)
 	if there && e.version > rec.Version || rec.Version <= r.gone[key] {
 		return
 	}
 	moved := there && e.version == rec.Version
-	if there && !moved && e.flags&record.Big != 0 {
+	if there && !moved && e.flags&record.FlagBodyFile != 0 {
 		if old, err := s.recordOf(e); err == nil {
-			r.kept[old.File] = false
+			r.kept[old.BodyFile] = false
 		}
 	}
-	if rec.Kind == record.Delete {
+	if rec.Kind == record.KindDelete {
 		s.index.remove(rec.Space, rec.Name)
 		r.gone[key] = rec.Version
 		return
 	}
-	if rec.File != 0 {
-		r.kept[rec.File] = true
+	if rec.BodyFile != 0 {
+		r.kept[rec.BodyFile] = true
 	}
 	s.index.set(rec.Space, entryOf(rec, at))
 }
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return blobs, err
 	}
-	end := record.Record{Kind: record.Delete, Version: uint64(blobs)}
+	end := record.Record{Kind: record.KindDelete, Version: uint64(blobs)}
 	out.Write(end.Append(nil))
 	return blobs, out.Flush()
 }
@@ -87,12 +87,12 @@
 		return err
 	}
 	defer b.Close()
-	r := record.Record{Kind: record.Put, Flags: e.flags &^ record.Big, Space: space, Name: b.Name, Meta: b.Meta, Size: b.Size, Version: b.Version, Sums: b.Sums}
+	r := record.Record{Kind: record.KindPut, Flags: e.flags &^ record.FlagBodyFile, Space: space, Name: b.Name, Meta: b.Meta, Size: b.Size, Version: b.Version, Checksums: b.Checksums}
 	out.Write(r.Append(nil))
-	buf := blocks.Get().(*[record.Block]byte)
+	buf := blocks.Get().(*[record.BlockSize]byte)
 	defer blocks.Put(buf)
-	for i := range b.Sums {
-		block, err := b.Block(i, buf[:])
+	for i := range b.Checksums {
+		block, err := b.ReadBlock(i, buf[:])
 		if err != nil {
 			return err
 		}
@@ -121,7 +121,7 @@
 		if err != nil {
 			return stored, left, fmt.Errorf("after %d blobs: %w", stored+left, err)
 		}
-		if rec.Kind == record.Delete {
+		if rec.Kind == record.KindDelete {
 			if rec.Version != uint64(stored+left) {
 				err = fmt.Errorf("%d blobs, the export had %d: %w", stored+left, rec.Version, ErrCorrupt)
 			}
@@ -139,16 +139,16 @@
 }
 
 func readExported(in *bufio.Reader) (record.Record, error) {
-	text := make([]byte, record.HeadLen, 4096)
+	text := make([]byte, record.RecordHeaderLen, 4096)
 	if _, err := io.ReadFull(in, text); err != nil {
 		return record.Record{}, cutShort(err)
 	}
-	n, err := record.HeadOf(text)
+	n, err := record.ParseHeaderSize(text)
 	if err != nil {
 		return record.Record{}, err
 	}
-	text = append(text, make([]byte, n-record.HeadLen)...)
-	if _, err := io.ReadFull(in, text[record.HeadLen:]); err != nil {
+	text = append(text, make([]byte, n-record.RecordHeaderLen)...)
+	if _, err := io.ReadFull(in, text[record.RecordHeaderLen:]); err != nil {
 		return record.Record{}, cutShort(err)
 	}
 	r, _, err := record.Parse(text)
@@ -157,20 +157,20 @@
 
 // restore puts a blob with the version that it has.
 func (s *Store) restore(r record.Record, body io.Reader) error {
-	if r.Version == 0 || r.Flags&record.Big != 0 {
+	if r.Version == 0 || r.Flags&record.FlagBodyFile != 0 {
 		return ErrFormat
 	}
-	want := r.Sums
-	r.Sums = nil
+	want := r.Checksums
+	r.Checksums = nil
 	return s.place(context.Background(), &op{space: r.Space, rec: r, keep: true}, body, want)
 }
 
 // Restore puts a blob with the version that it had in another store, unless
 // this one has a later version of it.
 func (s *Store) Restore(space string, info Info, body io.Reader) error {
-	r := record.Record{Kind: record.Put, Space: space, Name: info.Name, Meta: info.Meta, Size: info.Size, Version: info.Version}
+	r := record.Record{Kind: record.KindPut, Space: space, Name: info.Name, Meta: info.Meta, Size: info.Size, Version: info.Version}
 	if info.Whole {
-		r.Flags |= record.Whole
+		r.Flags |= record.FlagWhole
 	}
 	if err := s.restore(r, body); !errors.Is(err, errOlder) {
 		return err
@@ -190,7 +190,7 @@
 			Offset int64  `json:"offset"`
 			Head   uint32 `json:"head"`
 			Big    bool   `json:"big,omitempty"`
-		}{space, e.info(), segmentFile(e.segment), e.offset, e.head, e.flags&record.Big != 0}
+		}{space, e.info(), segmentFile(e.segment), e.offset, e.head, e.flags&record.FlagBodyFile != 0}
 		err = enc.Encode(line)
 		return err == nil
 	})
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -26,29 +26,29 @@
 
 // What callers branch on. ErrNoSpace is also syscall.ENOSPC.
 var (
-	ErrNotFound = errors.New("no such blob")
-	ErrVersion  = errors.New("the blob's version is another")
-	ErrLocked   = disk.ErrLocked
-	ErrFormat   = errors.New("the directory is of another format")
-	ErrTooLarge = errors.New("meta or name too large")
-	ErrCorrupt  = errors.New("the stored bytes are not those that were written")
-	ErrSums     = errors.New("the body is not that which its checksums are of")
-	ErrClosed   = errors.New("the store is closed")
-	ErrNoSpace  = fmt.Errorf("what is left is kept for deletes: %w", syscall.ENOSPC)
+	ErrNotFound         = errors.New("no such blob")
+	ErrVersionMismatch  = errors.New("the blob's version is another")
+	ErrLocked           = disk.ErrLocked
+	ErrFormat           = errors.New("the directory is of another format")
+	ErrTooLarge         = errors.New("meta or name too large")
+	ErrCorrupt          = errors.New("the stored bytes are not those that were written")
+	ErrChecksumMismatch = errors.New("the body is not that which its checksums are of")
+	ErrClosed           = errors.New("the store is closed")
+	ErrNoSpace          = fmt.Errorf("what is left is kept for deletes: %w", syscall.ENOSPC)
 )
 
 // Options of a store. The zero value is the default of each.
 type Options struct {
-	NoSync       bool          // for tests of other things: do not wait for the disk
-	FS           disk.FS       // in place of the directory
-	Inline       int64         // bytes of the largest body in a segment; 64 KiB
-	SegmentBytes int64         // at which a segment is ended; 64 MiB
-	GroupBytes   int64         // of one group; 4 MiB
-	CheckBytes   int64         // of segments between two checkpoints of the index; 64 MiB
-	Reserve      int64         // bytes that are left for deletes and compaction; two segments
-	Now          func() int64  // microseconds since 1970, for versions; they grow whatever it says
-	Log          *slog.Logger  // nil: none
-	Linger       time.Duration // for which a group waits for others; 0: for the sync before it alone
+	NoSync          bool          // for tests of other things: do not wait for the disk
+	FS              disk.FS       // in place of the directory
+	MaxInlineBytes  int64         // bytes of the largest body in a segment; 64 KiB
+	SegmentBytes    int64         // at which a segment is ended; 64 MiB
+	MaxGroupBytes   int64         // of one group; 4 MiB
+	CheckpointBytes int64         // of segments between two checkpoints of the index; 64 MiB
+	ReserveBytes    int64         // bytes that are left for deletes and compaction; two segments
+	NowMicros       func() int64  // microseconds since 1970, for versions; they grow whatever it says
+	Log             *slog.Logger  // nil: none
+	GroupDelay      time.Duration // for which a group waits for others; 0: for the sync before it alone
 }
 
 func (o *Options) defaults(path string) {
@@ -57,16 +57,16 @@
 			*v = d
 		}
 	}
-	or(&o.Inline, 64<<10)
+	or(&o.MaxInlineBytes, 64<<10)
 	or(&o.SegmentBytes, 64<<20)
-	or(&o.GroupBytes, 4<<20)
-	or(&o.CheckBytes, 64<<20)
-	or(&o.Reserve, 2*o.SegmentBytes)
+	or(&o.MaxGroupBytes, 4<<20)
+	or(&o.CheckpointBytes, 64<<20)
+	or(&o.ReserveBytes, 2*o.SegmentBytes)
 	if o.FS == nil {
 		o.FS = disk.OS{Dir: path, NoSync: o.NoSync}
 	}
-	if o.Now == nil {
-		o.Now = func() int64 { return time.Now().UnixMicro() }
+	if o.NowMicros == nil {
+		o.NowMicros = func() int64 { return time.Now().UnixMicro() }
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -100,28 +100,28 @@
 	files   uint64 // the greatest number given to a body's file; guarded by mu
 
 	checking     sync.Mutex // one checkpoint, compaction at a time
-	counts       Counts
+	counts       Counters
 	began, usual atomic.Int64 // of the commit under way, and what one takes; microseconds
 }
 
-// Counts are what a store did since it was opened.
-type Counts struct {
-	Groups, Records, Bytes, Syncs, Failed       atomic.Int64 // commits
-	Corrupt, Compacted, Moved, Checkpoints, Big atomic.Int64
+// Counters are what a store did since it was opened.
+type Counters struct {
+	Groups, Records, LogBytes, Syncs, FailedCommits                        atomic.Int64 // commits
+	CorruptBlocks, CompactedSegments, MovedRecords, Checkpoints, BodyFiles atomic.Int64
 }
 
 // Damage is something that is not as it was written.
 type Damage struct {
-	File   string `json:"file"`
-	Offset int64  `json:"offset"`
-	Length int64  `json:"length"`
-	Space  string `json:"space,omitempty"`
-	Name   string `json:"name,omitempty"`
-	What   string `json:"what"`
+	File        string `json:"file"`
+	Offset      int64  `json:"offset"`
+	Length      int64  `json:"length"`
+	Space       string `json:"space,omitempty"`
+	Name        string `json:"name,omitempty"`
+	Description string `json:"what"`
 }
 
 func (d Damage) String() string {
-	s := fmt.Sprintf("%s at %d, %d bytes: %s", d.File, d.Offset, d.Length, d.What)
+	s := fmt.Sprintf("%s at %d, %d bytes: %s", d.File, d.Offset, d.Length, d.Description)
 	if d.Space != "" {
 		s += fmt.Sprintf(" (blob %s/%q)", d.Space, d.Name)
 	}
@@ -187,11 +187,11 @@
 	s.segments = nil
 }
 
-// Counts returns the store's counters.
-func (s *Store) Counts() *Counts { return &s.counts }
+// Counters returns the store's counters.
+func (s *Store) Counters() *Counters { return &s.counts }
 
-// Found returns what opening the store found damaged.
-func (s *Store) Found() []Damage { return s.found }
+// RecoveryDamage returns what opening the store found damaged.
+func (s *Store) RecoveryDamage() []Damage { return s.found }
 
 // Stat returns what is known of a blob, or ErrNotFound.
 func (s *Store) Stat(space, name string) (Info, error) {
@@ -211,8 +211,8 @@
 	return s.index.list(space, q)
 }
 
-// Count returns the number of blobs of a space and their bytes.
-func (s *Store) Count(space string) (blobs int, size int64) {
+// SpaceUsage returns the number of blobs of a space and their bytes.
+func (s *Store) SpaceUsage(space string) (blobs int, size int64) {
 	s.mu.Lock() // a copy marks the nodes
 	t := s.index[space]
 	if t == nil {
@@ -236,7 +236,7 @@
 
 func (c Condition) check(e entry, there bool) error {
 	if c.Absent && there || c.Version != 0 && (!there || e.version != c.Version) {
-		return ErrVersion
+		return ErrVersionMismatch
 	}
 	return nil
 }
@@ -246,15 +246,15 @@
 // one, what it replaced. sums, unless nil, are the body's checksums as its
 // writer made them; a body that is not theirs is refused (ErrSums).
 func (s *Store) Put(ctx context.Context, space string, info Info, body io.Reader, sums []uint32, c Condition) (Info, *Info, error) {
-	if len(info.Name)+len(info.Meta) > record.NameMost || len(space) > 255 || info.Size < 0 || info.Size > record.SumsMost*record.Block {
+	if len(info.Name)+len(info.Meta) > record.MaxNameAndMetaBytes || len(space) > 255 || info.Size < 0 || info.Size > record.MaxChecksums*record.BlockSize {
 		return Info{}, nil, ErrTooLarge
 	}
 	if err := s.admit(space, info, c); err != nil {
 		return Info{}, nil, err
 	}
-	o := &op{space: space, cond: c, rec: record.Record{Kind: record.Put, Space: space, Name: info.Name, Meta: info.Meta, Size: info.Size}}
+	o := &op{space: space, cond: c, rec: record.Record{Kind: record.KindPut, Space: space, Name: info.Name, Meta: info.Meta, Size: info.Size}}
 	if info.Whole {
-		o.rec.Flags |= record.Whole
+		o.rec.Flags |= record.FlagWhole
 	}
 	if err := s.place(ctx, o, body, sums); err != nil {
 		return Info{}, nil, err
@@ -271,8 +271,8 @@
 // place takes an operation's body and has the committer write its record.
 func (s *Store) place(ctx context.Context, o *op, body io.Reader, sums []uint32) error {
 	err := s.takeBody(o, body)
-	if err == nil && sums != nil && !slices.Equal(sums, o.rec.Sums) {
-		err = ErrSums
+	if err == nil && sums != nil && !slices.Equal(sums, o.rec.Checksums) {
+		err = ErrChecksumMismatch
 	}
 	if err == nil {
 		err = ctx.Err()
@@ -280,8 +280,8 @@
 	if err == nil {
 		err = s.submit(o)
 	}
-	if err != nil && o.rec.File != 0 && !o.logged { // else the next start decides
-		s.dropBody(o.rec.File)
+	if err != nil && o.rec.BodyFile != 0 && !o.logged { // else the next start decides
+		s.dropBody(o.rec.BodyFile)
 	}
 	return err
 }
@@ -309,42 +309,42 @@
 func (s *Store) reserve() int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.opt.Reserve + 2*s.checkSize
+	return s.opt.ReserveBytes + 2*s.checkSize
 }
 
 // takeBody reads the body into memory or, where it is large, its own file.
 func (s *Store) takeBody(o *op, body io.Reader) error {
-	if o.rec.Size <= s.opt.Inline {
+	if o.rec.Size <= s.opt.MaxInlineBytes {
 		o.body = make([]byte, o.rec.Size)
 		if _, err := io.ReadFull(body, o.body); err != nil {
 			return cutShort(err)
 		}
-		o.rec.Sums = record.Sums(nil, o.body)
+		o.rec.Checksums = record.AppendChecksums(nil, o.body)
 		return nil
 	}
-	s.counts.Big.Add(1)
-	o.rec.Flags |= record.Big
+	s.counts.BodyFiles.Add(1)
+	o.rec.Flags |= record.FlagBodyFile
 	s.mu.Lock()
 	s.files++
-	o.rec.File = s.files
+	o.rec.BodyFile = s.files
 	s.flying[s.files] = true
 	s.mu.Unlock()
-	if err := s.fs.MkdirAll(bodyDir(o.rec.File)); err != nil {
+	if err := s.fs.MkdirAll(bodyDir(o.rec.BodyFile)); err != nil {
 		return err
 	}
-	f, err := s.fs.Create(bodyFile(o.rec.File))
+	f, err := s.fs.Create(bodyFile(o.rec.BodyFile))
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	buf := blocks.Get().(*[record.Block]byte)
+	buf := blocks.Get().(*[record.BlockSize]byte)
 	defer blocks.Put(buf)
 	for at := int64(0); at < o.rec.Size; {
-		part := buf[:min(record.Block, o.rec.Size-at)]
+		part := buf[:min(record.BlockSize, o.rec.Size-at)]
 		if _, err := io.ReadFull(body, part); err != nil {
 			return cutShort(err)
 		}
-		o.rec.Sums = append(o.rec.Sums, record.Sum(part))
+		o.rec.Checksums = append(o.rec.Checksums, record.Checksum(part))
 		if _, err := f.WriteAt(part, at); err != nil {
 			return err
 		}
@@ -353,7 +353,7 @@
 	return f.Sync()
 }
 
-var blocks = sync.Pool{New: func() any { return new([record.Block]byte) }}
+var blocks = sync.Pool{New: func() any { return new([record.BlockSize]byte) }}
 
 func cutShort(err error) error {
 	if err == io.EOF {
@@ -379,7 +379,7 @@
 	if !there {
 		return Info{}, ErrNotFound
 	}
-	o := &op{space: space, cond: c, rec: record.Record{Kind: record.Delete, Space: space, Name: name}}
+	o := &op{space: space, cond: c, rec: record.Record{Kind: record.KindDelete, Space: space, Name: name}}
 	if err := s.submit(o); err != nil {
 		return Info{}, err
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -16,15 +16,15 @@
 	"go.uber.org/goleak"
 
 	"arrowwalk/internal/store/disk"
+	"arrowwalk/internal/store/maintpolicy"
 	"arrowwalk/internal/store/record"
-	"arrowwalk/internal/store/tidy"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // small has every limit met by few operations.
 func small(fs disk.FS) Options {
-	return Options{FS: fs, Inline: 600, SegmentBytes: 16 << 10, GroupBytes: 4 << 10, CheckBytes: 24 << 10, Reserve: 1}
+	return Options{FS: fs, MaxInlineBytes: 600, SegmentBytes: 16 << 10, MaxGroupBytes: 4 << 10, CheckpointBytes: 24 << 10, ReserveBytes: 1}
 }
 
 func open(t *testing.T, fs disk.FS) *Store {
@@ -175,12 +175,12 @@
 	rnd := rand.New(rand.NewSource(seed))
 	sim, w := disk.NewSim(), newWorld()
 	for life := range 3 {
-		at := sim.Calls() + 1 + rnd.Intn(300)
-		sim.SetPlan(func(c disk.Call) disk.Fault {
+		at := sim.CallCount() + 1 + rnd.Intn(300)
+		sim.SetFaultFunc(func(c disk.Call) disk.Fault {
 			if c.Number >= at && c.Op != "read" {
 				return disk.Crash
 			}
-			return disk.None
+			return disk.NoFault
 		})
 		if s, err := Open("sim", small(sim)); err == nil {
 			w.verify(t, s, fmt.Sprintf("seed %d life %d", seed, life))
@@ -189,7 +189,7 @@
 		} else if !errors.Is(err, disk.ErrCrashed) {
 			t.Fatalf("seed %d life %d: %v", seed, life, err)
 		}
-		sim = sim.After(rnd)
+		sim = sim.AfterCrash(rnd)
 	}
 	s := open(t, sim)
 	defer s.Close()
@@ -207,14 +207,14 @@
 			rnd := rand.New(rand.NewSource(seed))
 			sim, w := disk.NewSim(), newWorld()
 			s := open(t, sim)
-			sim.SetPlan(func(c disk.Call) disk.Fault {
+			sim.SetFaultFunc(func(c disk.Call) disk.Fault {
 				if c.Op != "read" && rnd.Intn(20) == 0 {
 					return fault
 				}
-				return disk.None
+				return disk.NoFault
 			})
 			work(s, w, seed, 30)
-			sim.SetPlan(nil)
+			sim.SetFaultFunc(nil)
 			for i := range names { // a read shows the last that was acknowledged, never one that failed
 				if got, err := read(s, nameOf(i)); err != nil || got != w.sure[nameOf(i)] && (got != absent || w.sure[nameOf(i)] != "") {
 					t.Fatalf("seed %d: %q holds %.30q, want %.30q: %v", seed, nameOf(i), got, w.sure[nameOf(i)], err)
@@ -227,7 +227,7 @@
 			if err := s.Close(); err != nil {
 				t.Fatal(err)
 			}
-			s = open(t, sim.After(rnd))
+			s = open(t, sim.AfterCrash(rnd))
 			w.verify(t, s, fmt.Sprintf("fault %d seed %d", fault, seed))
 			s.Close()
 		}
@@ -249,7 +249,7 @@
 			if len(files) == 0 {
 				continue
 			}
-			sim.Spoil(dir+"/"+files[rnd.Intn(len(files))], int64(rnd.Intn(16<<10)), uint(rnd.Intn(8)))
+			sim.FlipStoredBit(dir+"/"+files[rnd.Intn(len(files))], int64(rnd.Intn(16<<10)), uint(rnd.Intn(8)))
 		}
 		caught += w.honest(t, s, seed)
 		s.Close()
@@ -274,7 +274,7 @@
 			t.Fatalf("seed %d: %q holds %.30q", seed, nameOf(i), got)
 		}
 	}
-	if caught > 0 && (s.Quarantine() == 0 || s.Counts().Corrupt.Load() == 0) {
+	if caught > 0 && (s.QuarantinedBlocks() == 0 || s.Counters().CorruptBlocks.Load() == 0) {
 		t.Errorf("seed %d: %d reads failed, the quarantine is empty", seed, caught)
 	}
 	return caught
@@ -290,7 +290,7 @@
 	if _, err := put(s, "k", "two", Condition{Version: first.Version}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := put(s, "k", "three", Condition{Version: first.Version}); !errors.Is(err, ErrVersion) {
+	if _, err := put(s, "k", "three", Condition{Version: first.Version}); !errors.Is(err, ErrVersionMismatch) {
 		t.Errorf("write over an old version: %v", err)
 	}
 	if _, err := Open("sim", small(sim)); !errors.Is(err, ErrLocked) {
@@ -299,13 +299,13 @@
 	if _, _, err := s.Put(context.Background(), "o", Info{Name: "short", Size: 10}, strings.NewReader("abc"), nil, Condition{}); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("a body cut short: %v", err)
 	}
-	if _, _, err := s.Put(context.Background(), "o", Info{Name: "sum", Size: 3}, strings.NewReader("abc"), []uint32{1}, Condition{}); !errors.Is(err, ErrSums) {
+	if _, _, err := s.Put(context.Background(), "o", Info{Name: "sum", Size: 3}, strings.NewReader("abc"), []uint32{1}, Condition{}); !errors.Is(err, ErrChecksumMismatch) {
 		t.Errorf("a body of other checksums: %v", err)
 	}
 	if _, err := s.Delete("o", "none", Condition{}); !errors.Is(err, ErrNotFound) {
 		t.Errorf("delete of nothing: %v", err)
 	}
-	if _, err := put(s, strings.Repeat("n", record.NameMost), "", Condition{}); !errors.Is(err, ErrTooLarge) {
+	if _, err := put(s, strings.Repeat("n", record.MaxNameAndMetaBytes), "", Condition{}); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("a long name: %v", err)
 	}
 	s.Close()
@@ -336,7 +336,7 @@
 				defer wg.Done()
 				if _, err := put(s, fmt.Sprint("r", round), fmt.Sprint(i), Condition{Absent: true}); err == nil {
 					won <- i
-				} else if !errors.Is(err, ErrVersion) {
+				} else if !errors.Is(err, ErrVersionMismatch) {
 					t.Error(err)
 				}
 			}()
@@ -393,7 +393,7 @@
 	sim := disk.NewSim()
 	sim.Capacity = 300 << 10
 	o := small(sim)
-	o.Reserve = 40 << 10
+	o.ReserveBytes = 40 << 10
 	s, err := Open("sim", o)
 	if err != nil {
 		t.Fatal(err)
@@ -410,7 +410,7 @@
 	}
 	tidyUp := func() {
 		free, _ := sim.Free()
-		if seg, ok := tidy.Choose(s.Segments(), free, tidy.Policy{}); ok {
+		if seg, ok := maintpolicy.ChooseSegment(s.Segments(), free, maintpolicy.CompactionPolicy{}); ok {
 			if err := s.Compact(context.Background(), seg.Number, nil); err != nil && !errors.Is(err, syscall.ENOSPC) {
 				t.Fatal(err)
 			}
@@ -446,7 +446,7 @@
 	sim := disk.NewSim()
 	now := int64(1 << 50)
 	o := small(sim)
-	o.Now = func() int64 { return now }
+	o.NowMicros = func() int64 { return now }
 	var last uint64
 	for life := range 3 {
 		s, err := Open("sim", o)
@@ -478,9 +478,9 @@
 	for _, c := range []struct {
 		group, offset int64
 		lost, found   int
-	}{{2, 20, 1, 1}, {2, record.GroupLen + 20, 1, 2}, {2, record.GroupLen + record.HeadLen + 10, 0, 2}, {5, 20, 1, 0}} {
-		after := sim.After(rand.New(rand.NewSource(1)))
-		if err := after.Spoil("log/00000001", record.SegmentLen+c.group*record.Align+c.offset, 1); err != nil {
+	}{{2, 20, 1, 1}, {2, record.GroupHeaderLen + 20, 1, 2}, {2, record.GroupHeaderLen + record.RecordHeaderLen + 10, 0, 2}, {5, 20, 1, 0}} {
+		after := sim.AfterCrash(rand.New(rand.NewSource(1)))
+		if err := after.FlipStoredBit("log/00000001", record.SegmentHeaderLen+c.group*record.GroupAlign+c.offset, 1); err != nil {
 			t.Fatal(err)
 		}
 		s := open(t, after)
@@ -492,8 +492,8 @@
 			}
 			_ = got
 		}
-		if lost != c.lost || len(s.Found()) != c.found {
-			t.Errorf("group %d at %d: %d lost, found %v", c.group, c.offset, lost, s.Found())
+		if lost != c.lost || len(s.RecoveryDamage()) != c.found {
+			t.Errorf("group %d at %d: %d lost, found %v", c.group, c.offset, lost, s.RecoveryDamage())
 		}
 		s.Close()
 	}
@@ -517,17 +517,17 @@
 	if len(files) != 2 {
 		t.Fatalf("checkpoints %v", files)
 	}
-	sim.Spoil("check/"+files[1], 70, 2)
+	sim.FlipStoredBit("check/"+files[1], 70, 2)
 	s = open(t, sim)
 	w.verify(t, s, "from the checkpoint before")
-	if len(s.Found()) != 1 || s.Found()[0].File != "check/"+files[1] {
-		t.Errorf("found %v", s.Found())
+	if len(s.RecoveryDamage()) != 1 || s.RecoveryDamage()[0].File != "check/"+files[1] {
+		t.Errorf("found %v", s.RecoveryDamage())
 	}
 	s.closeSegments() // as a crash leaves it
 	s.queue.close()
 	<-s.done
 	s.lock.Close()
-	sim.Spoil("check/"+files[0], 70, 2)
+	sim.FlipStoredBit("check/"+files[0], 70, 2)
 	if _, err := Open("sim", small(sim)); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("without a checkpoint: %v", err)
 	}
@@ -546,19 +546,19 @@
 		want string
 		more bool
 	}{
-		{Query{Prefix: "b/", Most: 10}, "b/a b/d/1 b/d/2 b/d\xff b/e/1 b/z b/\xff/1", false},
-		{Query{Prefix: "b/", Most: 2}, "b/a b/d/1", true},
-		{Query{Prefix: "b/", After: "b/d/1", Most: 2}, "b/d/2 b/d\xff", true},
-		{Query{Prefix: "b/", Delimiter: "/", Most: 10}, "b/a b/d/* b/d\xff b/e/* b/z b/\xff/*", false},
-		{Query{Prefix: "b/", Delimiter: "/", After: "b/d/", Most: 10}, "b/d\xff b/e/* b/z b/\xff/*", false},
-		{Query{Prefix: "b/", Delimiter: "/", Most: 2}, "b/a b/d/*", true},
-		{Query{Prefix: "b/d", Delimiter: "/", Most: 10}, "b/d/* b/d\xff", false},
-		{Query{Prefix: "x", Most: 10}, "", false},
+		{Query{Prefix: "b/", MaxItems: 10}, "b/a b/d/1 b/d/2 b/d\xff b/e/1 b/z b/\xff/1", false},
+		{Query{Prefix: "b/", MaxItems: 2}, "b/a b/d/1", true},
+		{Query{Prefix: "b/", After: "b/d/1", MaxItems: 2}, "b/d/2 b/d\xff", true},
+		{Query{Prefix: "b/", Delimiter: "/", MaxItems: 10}, "b/a b/d/* b/d\xff b/e/* b/z b/\xff/*", false},
+		{Query{Prefix: "b/", Delimiter: "/", After: "b/d/", MaxItems: 10}, "b/d\xff b/e/* b/z b/\xff/*", false},
+		{Query{Prefix: "b/", Delimiter: "/", MaxItems: 2}, "b/a b/d/*", true},
+		{Query{Prefix: "b/d", Delimiter: "/", MaxItems: 10}, "b/d/* b/d\xff", false},
+		{Query{Prefix: "x", MaxItems: 10}, "", false},
 	} {
 		items, more := s.List("o", c.q)
 		var names []string
 		for _, it := range items {
-			if it.Rolled {
+			if it.IsPrefix {
 				it.Name += "*"
 			}
 			names = append(names, it.Name)
@@ -567,12 +567,12 @@
 			t.Errorf("%+v: %q more %v, want %q more %v", c.q, got, more, c.want, c.more)
 		}
 	}
-	if n, size := s.Count("o"); n != 8 || size != 8 {
+	if n, size := s.SpaceUsage("o"); n != 8 || size != 8 {
 		t.Errorf("%d blobs, %d bytes", n, size)
 	}
 	walked := 0
-	for p, ok := (Place{}), true; ok; walked++ {
-		p, _, ok = s.Next(p)
+	for p, ok := (Position{}), true; ok; walked++ {
+		p, _, ok = s.NextBlob(p)
 	}
 	if walked != 9 {
 		t.Errorf("walked over %d", walked-1)
@@ -582,34 +582,34 @@
 // Ranges are read across blocks, and only the blocks they touch are checked.
 func TestRanges(t *testing.T) {
 	sim := disk.NewSim()
-	s, err := Open("sim", Options{FS: sim, Inline: 1 << 20, Reserve: 1})
+	s, err := Open("sim", Options{FS: sim, MaxInlineBytes: 1 << 20, ReserveBytes: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	text := make([]byte, 3*record.Block+100)
+	text := make([]byte, 3*record.BlockSize+100)
 	rand.New(rand.NewSource(1)).Read(text)
 	for _, inline := range []int64{1 << 20, 10} {
-		s.opt.Inline = inline
-		if _, _, err := s.Put(context.Background(), "o", Info{Name: "k", Size: int64(len(text))}, bytes.NewReader(text), record.Sums(nil, text), Condition{}); err != nil {
+		s.opt.MaxInlineBytes = inline
+		if _, _, err := s.Put(context.Background(), "o", Info{Name: "k", Size: int64(len(text))}, bytes.NewReader(text), record.AppendChecksums(nil, text), Condition{}); err != nil {
 			t.Fatal(err)
 		}
 		b, err := s.Get("o", "k")
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, r := range [][2]int{{0, 10}, {record.Block - 5, 10}, {100, 2 * record.Block}, {len(text) - 5, 5}} {
+		for _, r := range [][2]int{{0, 10}, {record.BlockSize - 5, 10}, {100, 2 * record.BlockSize}, {len(text) - 5, 5}} {
 			got := make([]byte, r[1])
 			if n, err := b.ReadAt(got, int64(r[0])); err != nil || n != r[1] || !bytes.Equal(got, text[r[0]:r[0]+r[1]]) {
 				t.Errorf("%v: %d bytes, %v", r, n, err)
 			}
 		}
-		sim.Spoil(b.name, b.start+record.Block+7, 0)
+		sim.FlipStoredBit(b.name, b.start+record.BlockSize+7, 0)
 		got := make([]byte, 10)
 		if _, err := b.ReadAt(got, 0); err != nil {
 			t.Errorf("a block beside the bad one: %v", err)
 		}
-		if n, err := b.ReadAt(got, record.Block-5); n != 5 || !errors.Is(err, ErrCorrupt) {
+		if n, err := b.ReadAt(got, record.BlockSize-5); n != 5 || !errors.Is(err, ErrCorrupt) {
 			t.Errorf("into the bad block: %d bytes, %v", n, err)
 		}
 		b.Close()
@@ -762,20 +762,20 @@
 	s := open(t, count)
 	everything(s, newWorld())
 	s.Close()
-	for at := 1; at <= count.Calls(); at++ {
+	for at := 1; at <= count.CallCount(); at++ {
 		for try := range int64(4) {
 			sim, w := disk.NewSim(), newWorld()
-			sim.SetPlan(func(c disk.Call) disk.Fault {
+			sim.SetFaultFunc(func(c disk.Call) disk.Fault {
 				if c.Number >= at {
 					return disk.Crash
 				}
-				return disk.None
+				return disk.NoFault
 			})
 			if s, err := Open("sim", small(sim)); err == nil {
 				everything(s, w)
 				s.Close()
 			}
-			s := open(t, sim.After(rand.New(rand.NewSource(try))))
+			s := open(t, sim.AfterCrash(rand.New(rand.NewSource(try))))
 			what := fmt.Sprintf("crash at call %d, try %d", at, try)
 			w.verify(t, s, what)
 			if _, _, err := s.Check(context.Background(), func(d Damage) { t.Errorf("%s: %s", what, d) }); err != nil {
@@ -784,7 +784,7 @@
 			s.Close()
 		}
 	}
-	t.Logf("%d calls", count.Calls())
+	t.Logf("%d calls", count.CallCount())
 }
 
 // A disk that becomes read-only takes nothing more, and all that it took before
@@ -798,12 +798,12 @@
 		}
 	}
 	once := false
-	sim.SetPlan(func(c disk.Call) disk.Fault {
+	sim.SetFaultFunc(func(c disk.Call) disk.Fault {
 		if c.Op == "write" && !once {
 			once = true
 			return disk.ReadOnly
 		}
-		return disk.None
+		return disk.NoFault
 	})
 	for i := range 5 {
 		if _, err := put(s, "new", strings.Repeat("c", 100+500*i), Condition{}); !errors.Is(err, syscall.EROFS) {
@@ -846,8 +846,8 @@
 	}
 	s = open(t, sim)
 	defer s.Close()
-	if len(s.Found()) != 1 || s.Found()[0].File != "log/00000002" {
-		t.Errorf("found %v", s.Found())
+	if len(s.RecoveryDamage()) != 1 || s.RecoveryDamage()[0].File != "log/00000002" {
+		t.Errorf("found %v", s.RecoveryDamage())
 	}
 	lost := 0
 	for i := range 60 {
