--- a/cmd/arrowwalk/serve.go
+++ b/cmd/arrowwalk/serve.go
@@ -21,7 +21,7 @@
 	"arrowwalk/internal/gateway"
 	"arrowwalk/internal/membership"
 	"arrowwalk/internal/store"
-	"arrowwalk/internal/store/keeper"
+	"arrowwalk/internal/store/maintenance"
 )
 
 type serveCmd struct {
@@ -187,13 +187,13 @@
 	zone.Name = b.Zone
 	server := brickd.Start(ln, dir, brickd.Options{ID: b.Name, Zone: zone, Log: g.log})
 	defer server.Close()
-	tender := keeper.Start(keeper.Options{Store: dir, Load: server.Load, Pass: b.Scrub, Log: g.log})
+	tender := maintenance.Start(maintenance.Options{Store: dir, Load: server.Load, ScrubPeriod: b.Scrub, Log: g.log})
 	defer tender.Close()
 	g.log.Info("brick serves", "name", b.Name, "address", server.Addr())
 	if len(b.Coord) > 0 {
 		entry := membership.Entry{Name: b.Name, Address: server.Addr(), Zone: b.Zone, Shard: b.Shard, Started: server.Started()}
-		r, err := membership.Register(membership.ZKOptions{Servers: b.Coord, Root: b.Root, Session: b.Session,
-			Shape: membership.Shape{Zones: []string{b.Zone}, Shards: b.Shard + 1}, Log: g.log}, entry)
+		r, err := membership.Register(membership.ZKOptions{Servers: b.Coord, Root: b.Root, SessionTimeout: b.Session,
+			Topology: membership.Topology{Zones: []string{b.Zone}, Shards: b.Shard + 1}, Log: g.log}, entry)
 		if err != nil {
 			return err
 		}
