--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -191,9 +191,9 @@
 	return c
 }
 
-// Put returns a connection without an exchange in progress to the pool. The pool
-// closes it if it is closed itself or has enough idle connections to the
-// address.
+// Put returns a connection without an exchange in progress to the pool. The
+// connection is closed instead if the pool is closed or already has
+// MaxIdlePerAddress idle connections to the address.
 func (p *Pool) Put(c *Conn) {
 	c.lastUsed = time.Now()
 	p.mu.Lock()
--- a/internal/platform/budget.go
+++ b/internal/platform/budget.go
@@ -29,7 +29,14 @@
 	descriptors := l.Sockets - reservedDescriptors
 	memoryBytes := int64(l.MemoryMB * (1 << 20))
 	clientConns := descriptors * 6 / 10
-	return resourceBudget{clientConns: clientConns, idleEvictionThreshold: l.Sockets / 6, brickConns: descriptors - clientConns, requestBytes: memoryBytes / 8, responseBytes: memoryBytes / 4, heapBytes: memoryBytes * 6 / 10}
+	return resourceBudget{
+		clientConns:           clientConns,
+		idleEvictionThreshold: l.Sockets / 6,
+		brickConns:            descriptors - clientConns,
+		requestBytes:          memoryBytes / 8,
+		responseBytes:         memoryBytes / 4,
+		heapBytes:             memoryBytes * 6 / 10,
+	}
 }
 
 // apply sets the runtime's processor and memory limits.
--- a/internal/platform/frontend/server.go
+++ b/internal/platform/frontend/server.go
@@ -104,8 +104,17 @@
 
 // Start serves clients on ln until Stop. The Server owns ln from then on.
 func Start(ln net.Listener, opt Options) *Server {
-	s := &Server{opt: opt, ln: ln, validator: newValidator(opt.Settings), requestIDs: requestIDs{known: map[string]bool{}},
-		done: make(chan struct{}), acceptDone: make(chan struct{}), table: eviction.NewTable[*conn](opt.MaxConns, opt.IdleEvictionThreshold), calls: map[*upstream.Call]struct{}{}, started: time.Now()}
+	s := &Server{
+		opt:        opt,
+		ln:         ln,
+		validator:  newValidator(opt.Settings),
+		requestIDs: requestIDs{known: map[string]bool{}},
+		done:       make(chan struct{}),
+		acceptDone: make(chan struct{}),
+		table:      eviction.NewTable[*conn](opt.MaxConns, opt.IdleEvictionThreshold),
+		calls:      map[*upstream.Call]struct{}{},
+		started:    time.Now(),
+	}
 	s.headLimits, s.bodyMemory.Max = headLimits, opt.MaxBodyBytes
 	s.headLimits.AcceptDoubleFraming = opt.AcceptDoubleFraming
 	s.wg.Add(2)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -98,15 +98,40 @@
 	if disabled.NoReuseDelay {
 		reuseDelay = 0
 	}
-	inst.sender = upstream.NewSender(upstream.Options{Host: h, LoadFields: settings.Reports, DialTimeout: durationOr(settings.DialTimeout, time.Second),
-		IdleTimeout: time.Duration(idleFraction * float64(durationOr(settings.IdleClose, 10*time.Second))), MaxConns: budget.brickConns, ReuseDelay: reuseDelay,
-		MaxClientWait: inst.longestDeadline(), MaxResponseBytes: budget.responseBytes, ReuseDirtyConns: disabled.ReuseDirtyConns})
-	inst.follower = discovery.Start(cfg.KnownBricks, discovery.Options{Address: cfg.Discovery, Zones: discovery.NewZoneIndex(settings.Zones),
-		Log: log, OnList: h.Nodes, OnAddresses: inst.sender.CloseIdleExcept, NoStartTimes: disabled.NoStartTimes})
+	inst.sender = upstream.NewSender(upstream.Options{
+		Host:             h,
+		LoadFields:       settings.Reports,
+		DialTimeout:      durationOr(settings.DialTimeout, time.Second),
+		IdleTimeout:      time.Duration(idleFraction * float64(durationOr(settings.IdleClose, 10*time.Second))),
+		MaxConns:         budget.brickConns,
+		ReuseDelay:       reuseDelay,
+		MaxClientWait:    inst.longestDeadline(),
+		MaxResponseBytes: budget.responseBytes,
+		ReuseDirtyConns:  disabled.ReuseDirtyConns,
+	})
+	inst.follower = discovery.Start(cfg.KnownBricks, discovery.Options{
+		Address:      cfg.Discovery,
+		Zones:        discovery.NewZoneIndex(settings.Zones),
+		Log:          log,
+		OnList:       h.Nodes,
+		OnAddresses:  inst.sender.CloseIdleExcept,
+		NoStartTimes: disabled.NoStartTimes,
+	})
 	inst.awaitFirstList()
-	inst.server = frontend.Start(ln, frontend.Options{Host: h, Sender: inst.sender, Settings: &inst.cfg.Settings.Settings, Log: log,
-		MaxConns: budget.clientConns, IdleEvictionThreshold: budget.idleEvictionThreshold, MaxBodyBytes: budget.requestBytes, NoEviction: disabled.NoEviction, AcceptDoubleFraming: disabled.AcceptDoubleFraming, NoArrivalAge: disabled.NoArrivalAge,
-		NoDisconnectCheck: disabled.NoDisconnectCheck, NoShutdownDeadline: disabled.NoShutdownDeadline})
+	inst.server = frontend.Start(ln, frontend.Options{
+		Host:                  h,
+		Sender:                inst.sender,
+		Settings:              &inst.cfg.Settings.Settings,
+		Log:                   log,
+		MaxConns:              budget.clientConns,
+		IdleEvictionThreshold: budget.idleEvictionThreshold,
+		MaxBodyBytes:          budget.requestBytes,
+		NoEviction:            disabled.NoEviction,
+		AcceptDoubleFraming:   disabled.AcceptDoubleFraming,
+		NoArrivalAge:          disabled.NoArrivalAge,
+		NoDisconnectCheck:     disabled.NoDisconnectCheck,
+		NoShutdownDeadline:    disabled.NoShutdownDeadline,
+	})
 	inst.wg.Add(1)
 	go inst.sweepIdle()
 	return inst, nil
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -69,8 +69,21 @@
 
 // NewSender returns a Sender without open connections.
 func NewSender(opt Options) *Sender {
-	return &Sender{opt: opt, memory: eviction.ByteBudget{Max: opt.MaxResponseBytes}, pool: connpool.NewPool(connpool.Options{MaxIdlePerAddress: min(maxIdlePerBrick, opt.MaxConns), IdleTimeout: opt.IdleTimeout,
-		ReuseDelay: opt.ReuseDelay, DialTimeout: opt.DialTimeout, Dial: opt.Dial, ReadBufferBytes: 2 << 10, MaxConns: opt.MaxConns, HeadLimits: headLimits, SkipIdleCheck: opt.ReuseDirtyConns})}
+	return &Sender{
+		opt:    opt,
+		memory: eviction.ByteBudget{Max: opt.MaxResponseBytes},
+		pool: connpool.NewPool(connpool.Options{
+			MaxIdlePerAddress: min(maxIdlePerBrick, opt.MaxConns),
+			IdleTimeout:       opt.IdleTimeout,
+			ReuseDelay:        opt.ReuseDelay,
+			DialTimeout:       opt.DialTimeout,
+			Dial:              opt.Dial,
+			ReadBufferBytes:   2 << 10,
+			MaxConns:          opt.MaxConns,
+			HeadLimits:        headLimits,
+			SkipIdleCheck:     opt.ReuseDirtyConns,
+		}),
+	}
 }
 
 // CloseIdleExcept closes the idle connections to all addresses that are not
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -83,17 +83,17 @@
 		{"503 not processed", "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Overloaded, true},
 		{"504 not processed", "HTTP/1.1 504 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Overloaded, true},
 		{"503 that may have run", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false, arrowwalk.Failed, true},
-		{"garbage", "\x16\x03\x01", false, arrowwalk.Failed, false},
+		{"noise", "\x16\x03\x01", false, arrowwalk.Failed, false},
 		{"malformed head", "HTTP/1.1 200 OK\r\n\x00\x01\r\n\r\nok", false, arrowwalk.Failed, false},
 		{"endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 4000), false, arrowwalk.Failed, false},
 		{"declared length of 3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 100), false, arrowwalk.Failed, false},
 		{"no length", "HTTP/1.1 200 OK\r\n\r\nok", true, arrowwalk.Failed, false},
 		{"repeated Content-Length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", false, arrowwalk.Failed, false},
-		{"closed without a response", "", true, arrowwalk.Reset, false},
+		{"closed", "", true, arrowwalk.Reset, false},
 		{"truncated head", "HTTP/1.1 200 OK\r\nConte", true, arrowwalk.Reset, false},
 		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\nok", true, arrowwalk.Reset, false},
 		{"stalled body", "HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\nok", false, arrowwalk.TimedOut, false},
-		{"no response", "", false, arrowwalk.TimedOut, false},
+		{"silent", "", false, arrowwalk.TimedOut, false},
 	} {
 		addr, seen := startBrick(t, c.hangUp, c.text)
 		call := newCall(s)
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -19,19 +19,19 @@
 // Detector learns how late heartbeats usually are and detects stalls. Its zero
 // value is not usable; it is not safe for concurrent use.
 type Detector struct {
-	interval     int64 // between heartbeats
-	last         int64 // heartbeat
-	meanLateness float64
-	meanDev      float64 // mean deviation of the lateness
-	recent       []Stall // oldest first
-	count        uint64
-	longest      int64
+	interval      int64 // between heartbeats
+	lastHeartbeat int64
+	meanLateness  float64
+	meanDev       float64 // mean deviation of the lateness
+	recent        []Stall // oldest first
+	count         uint64  // stalls so far
+	longest       int64   // longest stall
 }
 
 // NewDetector returns a Detector for a process that sends a heartbeat every
 // interval microseconds from now on.
 func NewDetector(interval, now int64) *Detector {
-	return &Detector{interval: max(interval, 1), last: now}
+	return &Detector{interval: max(interval, 1), lastHeartbeat: now}
 }
 
 // maxLatenessIntervals bounds the learned lateness, in heartbeat intervals.
@@ -47,24 +47,24 @@
 
 // IsStalled reports whether the process has been stalled since its last
 // heartbeat.
-func (d *Detector) IsStalled(now int64) bool { return now-d.last > d.interval+d.MaxLateness() }
+func (d *Detector) IsStalled(now int64) bool { return now-d.lastHeartbeat > d.interval+d.MaxLateness() }
 
 // StallDeadline returns the time after which IsStalled is true unless another
 // heartbeat comes.
-func (d *Detector) StallDeadline() int64 { return d.last + d.interval + d.MaxLateness() }
+func (d *Detector) StallDeadline() int64 { return d.lastHeartbeat + d.interval + d.MaxLateness() }
 
 // Heartbeat records a heartbeat. It returns the stall that the heartbeat ends, if
 // any. A stall contributes no more than MaxLateness to the learned lateness, so
 // that a machine that becomes busy raises it gradually and one long stall does
 // not.
 func (d *Detector) Heartbeat(now int64) (Stall, bool) {
-	if now <= d.last {
+	if now <= d.lastHeartbeat {
 		return Stall{}, false
 	}
-	late := max(0, now-d.last-d.interval)
+	late := max(0, now-d.lastHeartbeat-d.interval)
 	stalled, maxLateness := d.IsStalled(now), d.MaxLateness()
-	s := Stall{d.last, now}
-	d.last = now
+	s := Stall{d.lastHeartbeat, now}
+	d.lastHeartbeat = now
 	d.learn(float64(min(late, maxLateness)))
 	if !stalled {
 		return Stall{}, false
@@ -96,7 +96,7 @@
 		}
 	}
 	if d.IsStalled(now) {
-		return d.last, true
+		return d.lastHeartbeat, true
 	}
 	return 0, false
 }
