--- a/internal/platform/frontend/conn.go
+++ b/internal/platform/frontend/conn.go
@@ -274,7 +274,7 @@
 }
 
 // checkDisconnect reports whether the client has disconnected. If so, it tells
-// the host and closes the connection.
+// the host, and closes the connection once the host has abandoned the task.
 func (c *conn) checkDisconnect() bool {
 	if c.server.opt.NoDisconnectCheck || !sockstate.PeerClosed(c.raw) {
 		return false
