--- a/internal/platform/frontend/conn.go
+++ b/internal/platform/frontend/conn.go
@@ -125,7 +125,7 @@
 // handleRequest reads and answers one request. It returns false if the connection
 // ends.
 func (c *conn) handleRequest() bool {
-	c.server.opt.Host.Alive()
+	c.server.opt.Host.Heartbeat()
 	if err := http1.NewReader(c.reader, c.server.headLimits).ReadRequest(&c.req); err != nil {
 		return c.reject(err)
 	}
@@ -217,7 +217,7 @@
 	x.call.Init(c.server.opt.Sender)
 	x.call.ClientGone = c.checkDisconnect
 	x.task = host.Task{Class: p.class, Volume: p.volume, Key: p.piece, HasKey: true, Units: p.units, Shard: p.shard,
-		Until: c.arrivalTime().Add(p.timeout), Again: p.retried, Runner: &x.call, Label: p.id, Outlive: true, Tells: true}
+		Deadline: c.arrivalTime().Add(p.timeout), IsRetry: p.retried, Runner: &x.call, ClientRequestID: p.id, OutlivesClient: true, ReportsResponse: true}
 	c.requests++
 	c.server.stats.requests.Add(1)
 	if !c.beginTask(x) {
@@ -227,13 +227,13 @@
 	outcome := c.server.opt.Host.Do(&x.task)
 	c.endTask(x)
 	defer x.call.ReleaseResponse()
-	defer c.server.opt.Host.Answered(&x.task)
-	switch outcome.End {
+	defer c.server.opt.Host.ResponseSent(&x.task)
+	switch outcome.Status {
 	case host.Served:
 		return c.respond(200, "", x.call.ResponseBody)
 	case host.Refused:
-		return c.respond(503, c.retryAfter(outcome.After), nil)
-	case host.Gone:
+		return c.respond(503, c.retryAfter(outcome.RetryAfter), nil)
+	case host.ClientGone:
 		c.server.stats.clientsGone.Add(1)
 		return false
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -244,5 +244,5 @@
 	open, idle, dialed := inst.sender.Counts()
 	return []any{"requests", s.Requests, "bad", s.Rejected, "gone", s.ClientsGone, "evicted", s.Evicted, "turned", s.TurnedAway,
 		"draining", s.Draining, "open", s.Open, "conns", s.Conns, "brick_conns", open, "brick_idle", idle, "dialed", dialed,
-		"ended", h.Ended, "attempts", h.Attempts, "stalls", h.Stalls, "stall_max", h.StallMax, "step_mean", h.StepMean}
+		"ended", h.Ended, "attempts", h.Attempts, "stalls", h.Stalls, "stall_max", h.MaxStall, "step_mean", h.MeanStepTime}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -386,7 +386,7 @@
 	if _, _, total := p.inst.sender.Counts(); total-dialed > 1 {
 		t.Errorf("%d new connections for 3 sequential requests", total-dialed)
 	}
-	if running := p.inst.host.State().Running; len(running) != 0 {
+	if running := p.inst.host.Snapshot().Running; len(running) != 0 {
 		t.Errorf("requests that remain: %+v", running)
 	}
 	p.inst.Stop(context.Background())
@@ -465,7 +465,7 @@
 			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), goroutines)
 		}
 	}
-	s := p.inst.host.State()
+	s := p.inst.host.Snapshot()
 	if len(s.Members) != 2 || len(s.Nodes) != 2 || len(s.Running) != 0 || open > 16 { // up to 8 idle ones for each brick, since they rest before reuse
 		t.Errorf("%d members, %d nodes, %d requests, %d connections to bricks remain", len(s.Members), len(s.Nodes), len(s.Running), open)
 	}
--- a/internal/platform/start_test.go
+++ b/internal/platform/start_test.go
@@ -37,7 +37,7 @@
 	defer agent.Stop()
 	inst := startWithAgent(t, agent.Addr())
 	defer inst.Stop(context.Background())
-	if s := inst.host.State(); len(s.Members) != 2 {
+	if s := inst.host.Snapshot(); len(s.Members) != 2 {
 		t.Errorf("%d bricks are known, want 2", len(s.Members))
 	}
 }
--- a/internal/platform/upstream/race_test.go
+++ b/internal/platform/upstream/race_test.go
@@ -99,7 +99,7 @@
 	var first net.Conn
 	for n := range 2 {
 		call := newCall(s)
-		done := make(chan host.Result, 1)
+		done := make(chan host.AttemptResult, 1)
 		go func() { done <- try(call, b.addr(), 10*time.Second) }()
 		nc := <-b.requests
 		if n == 0 {
@@ -125,7 +125,7 @@
 	b, d := newManualBrick(t), newPausedDialer()
 	s := newTestSender(t, func(o *Options) { o.Dial = d.dial })
 	call := newCall(s)
-	done := make(chan host.Result, 1)
+	done := make(chan host.AttemptResult, 1)
 	go func() { done <- try(call, b.addr(), 10*time.Second) }()
 	<-d.dialed
 	call.Abort(0)
@@ -147,8 +147,8 @@
 	b, d := newManualBrick(t), newPausedDialer()
 	s := newTestSender(t, func(o *Options) { o.Dial = d.dial })
 	call, deadline := newCall(s), time.Now().Add(10*time.Second)
-	done := make(chan host.Result, 1)
-	go func() { done <- call.Try(&host.Try{Member: host.Member{Address: b.addr()}, Until: deadline}) }()
+	done := make(chan host.AttemptResult, 1)
+	go func() { done <- call.Try(&host.Attempt{Member: host.Member{Address: b.addr()}, Deadline: deadline}) }()
 	<-d.dialed
 	for time.Until(deadline) > 9900*time.Millisecond { // the dial takes 100 ms
 		<-time.After(time.Millisecond)
@@ -171,13 +171,13 @@
 		b := newManualBrick(t)
 		s := newTestSender(t, func(*Options) {})
 		call := newCall(s)
-		done := make(chan host.Result, 1)
+		done := make(chan host.AttemptResult, 1)
 		go func() { done <- try(call, b.addr(), 10*time.Second) }()
 		nc := <-b.requests
 		io.WriteString(nc, text)
 		nc.(*net.TCPConn).SetLinger(0)
 		nc.Close()
-		if r := <-done; r.Closed || r.Status == arrowwalk.OK || r.Status.NeverRan() {
+		if r := <-done; r.Final || r.Status == arrowwalk.OK || r.Status.NeverRan() {
 			t.Errorf("%q: %+v", text, r)
 		}
 		if open, _, _ := s.Counts(); open != 0 {
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -125,27 +125,27 @@
 func (c *Call) AbortAll() { c.attempt.AbortAll() }
 
 // Try implements host.Runner: it makes one attempt and returns its result.
-func (c *Call) Try(t *host.Try) host.Result {
+func (c *Call) Try(t *host.Attempt) host.AttemptResult {
 	if !c.attempt.Begin(t.Number) || t.Member.Address == "" {
-		return host.Result{Status: arrowwalk.NotSent}
+		return host.AttemptResult{Status: arrowwalk.NotSent}
 	}
 	s, attempt := c.sender, &c.attempt.Attempt
 	started := time.Now()
-	nc, err := s.pool.Get(attempt, t.Member.Address, t.Until)
+	nc, err := s.pool.Get(attempt, t.Member.Address, t.Deadline)
 	if err != nil {
-		return host.Result{Status: arrowwalk.Unreachable}
+		return host.AttemptResult{Status: arrowwalk.Unreachable}
 	}
-	if !attempt.Attach(nc.Conn, t.Until) {
+	if !attempt.Attach(nc.Conn, t.Deadline) {
 		s.pool.Put(nc)
-		return host.Result{Status: arrowwalk.NotSent}
+		return host.AttemptResult{Status: arrowwalk.NotSent}
 	}
 	if c.ClientGone != nil && c.ClientGone() { // it may have left during the dial
 		attempt.Detach()
 		nc.SetDeadline(time.Time{})
 		s.pool.Put(nc)
-		return host.Result{Status: arrowwalk.NotSent}
+		return host.AttemptResult{Status: arrowwalk.NotSent}
 	}
-	r, reusable := c.exchange(nc, t.Until, started)
+	r, reusable := c.exchange(nc, t.Deadline, started)
 	if attempt.Detach() && reusable {
 		nc.SetDeadline(time.Time{})
 		s.pool.Put(nc)
@@ -157,26 +157,26 @@
 
 // exchange sends the request and reads the response. reusable reports whether
 // the connection may carry another request.
-func (c *Call) exchange(nc *connpool.Conn, deadline, started time.Time) (r host.Result, reusable bool) {
+func (c *Call) exchange(nc *connpool.Conn, deadline, started time.Time) (r host.AttemptResult, reusable bool) {
 	nc.WriteBuf = c.appendRequest(nc.WriteBuf[:0], time.Until(deadline))
 	if n, err := nc.Write(nc.WriteBuf); err != nil {
 		if n < len(nc.WriteBuf) { // a brick starts a request only after its last byte
-			return host.Result{Status: arrowwalk.Unreachable}, false
+			return host.AttemptResult{Status: arrowwalk.Unreachable}, false
 		}
-		return host.Result{Status: c.failureStatus(err)}, false
+		return host.AttemptResult{Status: c.failureStatus(err)}, false
 	}
 	var head http1.Response
 	if err := readHead(nc, &head, c.Method); err != nil {
-		return host.Result{Status: c.failureStatus(err)}, false
+		return host.AttemptResult{Status: c.failureStatus(err)}, false
 	}
 	if err := c.readBody(nc, &head); err != nil {
 		c.ReleaseResponse()
-		return host.Result{Status: c.failureStatus(err)}, false
+		return host.AttemptResult{Status: c.failureStatus(err)}, false
 	}
 	r = c.parseResult(&head)
-	r.Lay = c.sender.opt.Host.Lay(nc.RawConn, started, c.sender.opt.MaxClientWait)
+	r.SocketDelay = c.sender.opt.Host.SocketDelay(nc.RawConn, started, c.sender.opt.MaxClientWait)
 	if r.Status == arrowwalk.OK {
-		r.Closed = true
+		r.Final = true
 	} else {
 		c.ReleaseResponse()
 	}
@@ -259,8 +259,8 @@
 
 // parseResult returns the result that the head of a complete response carries.
 // Header fields that cannot be parsed are ignored.
-func (c *Call) parseResult(head *http1.Response) host.Result {
-	r := host.Result{Status: statusOf(head)}
+func (c *Call) parseResult(head *http1.Response) host.AttemptResult {
+	r := host.AttemptResult{Status: statusOf(head)}
 	for i := range head.Fields {
 		name, value := head.Fields[i].Name, head.Fields[i].Value
 		switch {
@@ -270,7 +270,7 @@
 			}
 		case strings.EqualFold(name, headerServedElsewhere):
 			if units, ok := parseAmount(value); ok {
-				r.OthersUnits = units
+				r.OtherHostsUnits = units
 			}
 		case strings.EqualFold(name, headerServerLoad):
 			r.Load = parseLoadReport(value, c.sender.opt.LoadFields)
