--- a/internal/prove/platform.go
+++ b/internal/prove/platform.go
@@ -52,8 +52,9 @@
 	addr   string
 	cmd    *exec.Cmd
 	ended  chan error
-	spoils atomic.Bool // bricks spoil some answers
-	made   int         // bricks so far
+	spoils atomic.Bool    // bricks spoil some answers
+	made   int            // bricks so far
+	placed sync.WaitGroup // clients whose requests were placed in the host's sockets
 
 	mu       sync.Mutex
 	bricks   [platformGroups]*standin.Brick
@@ -95,6 +96,7 @@
 	_, err = playTroubles(ctx, opt.leaveOut(rep, list), end)
 	close(stop)
 	wg.Wait()
+	d.placed.Wait()
 	if err != nil {
 		return nil, err
 	}
@@ -519,7 +521,9 @@
 }
 
 // standStill stops the host's process for a while, with requests in its sockets,
-// and has a brick answer too late what is sent when it goes on.
+// and has a brick answer too late what is sent when it goes on. Some of the
+// requests are placed there for that brick: whether a usual client has one there
+// is left to chance.
 func (d *platformDay) standStill(ctx context.Context) error {
 	d.mu.Lock()
 	b := d.bricks[1]
@@ -530,6 +534,7 @@
 	if err := d.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
+	arrived := d.placeRequests(b)
 	err := wait(ctx, d.dice.span(0.75, 0.95)) // longer than the check's slack
 	d.cmd.Process.Signal(syscall.SIGCONT)
 	still.To = time.Now().UnixMicro()
@@ -539,7 +544,50 @@
 	if err != nil {
 		return err
 	}
-	return wait(ctx, 100*time.Millisecond)
+	if err := wait(ctx, 100*time.Millisecond); err != nil {
+		return err
+	}
+	select {
+	case <-arrived:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// placeRequests has clients send writes for a brick to a host that stands still.
+// The channel is closed when each has reached the brick or has its answer.
+func (d *platformDay) placeRequests(b *standin.Brick) <-chan struct{} {
+	const clients = 3
+	arrived := make(chan struct{})
+	var settled sync.WaitGroup
+	_, before := d.log.Trace()
+	for n := range clients {
+		c := &standin.Client{Name: fmt.Sprintf("q%02d-%d-", n, len(before)), Addr: func() string { return d.addr }, Log: d.log, Stopping: d.stopping}
+		answered := make(chan struct{})
+		d.placed.Go(func() {
+			defer close(answered)
+			defer c.Close()
+			c.Do(&standin.Request{Class: "save-paper", Write: true, Body: fmt.Sprint("placed ", n), Volume: uint64(n), Piece: uint64(n),
+				Plan: "campus", Units: 1, Shard: b.Group, Hosts: 1, Wait: platformWait})
+		})
+		settled.Go(func() {
+			tick := time.NewTicker(time.Millisecond)
+			defer tick.Stop()
+			for !d.log.HasArrived(c.Name) {
+				select {
+				case <-answered:
+					return
+				case <-tick.C:
+				}
+			}
+		})
+	}
+	go func() {
+		settled.Wait()
+		close(arrived)
+	}()
+	return arrived
 }
 
 // terminate stops the host as a planned restart does.
--- a/internal/standin/platform/brick.go
+++ b/internal/standin/platform/brick.go
@@ -98,6 +98,18 @@
 	return len(l.arrivals) - 1
 }
 
+// HasArrived tells whether a request of the client of this name has reached a brick.
+func (l *Log) HasArrived(client string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for id := range l.attempts {
+		if strings.HasPrefix(id, client) {
+			return true
+		}
+	}
+	return false
+}
+
 // lateMax is for how long after its client's close an attempt may begin, with
 // what a busy machine may take to bring the close and the request over.
 const lateMax = 150_000
--- a/internal/standin/platform/client.go
+++ b/internal/standin/platform/client.go
@@ -157,24 +157,32 @@
 	Text string        // that it sends
 	Fill int           // bytes more that it sends, as fast as it can
 	Hang bool          // it closes right after
+	Stay bool          // after the first answer it waits for a second one, for secondWait at most
 	Most time.Duration // by when it is owed an error or a close
 }
 
 const (
-	headOf   = " HTTP/1.1\r\nHost: s\r\nX-Plan: basic\r\n"
-	pathOf   = "/fetch-text/00000000000000aa/00000000000000bb"
-	writeOf  = "/save-paper/00000000000000aa/00000000000000bb"
-	ioOf     = "X-IO: units=1,shard=0,hosts=1\r\n"
-	waitOf   = "X-Timeout: 1.0\r\n"
-	strange  = 3 * time.Second
-	flooding = 6 * time.Second
+	headOf  = " HTTP/1.1\r\nHost: s\r\nX-Plan: basic\r\n"
+	pathOf  = "/fetch-text/00000000000000aa/00000000000000bb"
+	writeOf = "/save-paper/00000000000000aa/00000000000000bb"
+	ioOf    = "X-IO: units=1,shard=0,hosts=1\r\n"
+	// smuggledIO names a shard whose brick is not replaced: a request to a cold
+	// brick may be refused for another reason than the one that a proof looks for.
+	smuggledIO = "X-IO: units=1,shard=1,hosts=1\r\n"
+	waitOf     = "X-Timeout: 1.0\r\n"
+	strange    = 3 * time.Second
+	flooding   = 6 * time.Second
+	// secondWait is longer than the time that a hidden request has (waitOf). A
+	// client that left after the first answer would take the hidden request with
+	// it: the host drops what waits for a client that has gone.
+	secondWait = 2 * time.Second
 )
 
 // Strangers are the bad clients; open is the id of another client's open
 // request. None of what they send may reach a brick.
 func Strangers(open string) []Stranger {
 	id := func(n int) string { return fmt.Sprintf("X-Request-ID: stranger%d\r\n", n) }
-	smuggled := "GET " + pathOf + headOf + id(90) + waitOf + ioOf + "\r\n"
+	smuggled := "GET " + pathOf + headOf + id(90) + waitOf + smuggledIO + "\r\n"
 	return []Stranger{
 		{Name: "noise", Text: "\x00\x01\x02 what is this\r\n\r\n"},
 		{Name: "noise without an end", Text: "\x00\x01\x02"},
@@ -185,7 +193,7 @@
 		{Name: "a huge length", Text: "PUT " + writeOf + headOf + id(3) + waitOf + ioOf + "Idempotency-Key: k\r\nContent-Length: 99999999999999999999\r\n\r\nabc"},
 		{Name: "60 MB", Text: "PUT " + writeOf + headOf + id(4) + waitOf + ioOf + "Idempotency-Key: k\r\nContent-Length: 62914560\r\n\r\n", Fill: 60 << 20, Most: flooding},
 		{Name: "60 MB in a chunk", Text: "PUT " + writeOf + headOf + id(5) + waitOf + ioOf + "Idempotency-Key: k\r\nTransfer-Encoding: chunked\r\n\r\n3c00000\r\n", Fill: 60 << 20, Most: flooding},
-		{Name: "a request in a body", Text: "PUT " + writeOf + headOf + id(6) + waitOf + ioOf + fmt.Sprintf("Idempotency-Key: k\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 5+len(smuggled)) + smuggled},
+		{Name: "a request in a body", Text: "PUT " + writeOf + headOf + id(6) + waitOf + ioOf + fmt.Sprintf("Idempotency-Key: k\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 5+len(smuggled)) + smuggled, Stay: true},
 		{Name: "an unknown class", Text: "GET /other/00000000000000aa/00000000000000bb" + headOf + id(7) + waitOf + ioOf + "\r\n"},
 		{Name: "an unknown plan", Text: "GET " + pathOf + " HTTP/1.1\r\nHost: s\r\nX-Plan: gold\r\n" + id(8) + waitOf + ioOf + "\r\n"},
 		{Name: "a deadline that is no number", Text: "GET " + pathOf + headOf + id(9) + "X-Timeout: soon\r\n" + ioOf + "\r\n"},
@@ -232,7 +240,17 @@
 		return nil
 	}
 	var head http1.Response
-	err = http1.NewReader(bufio.NewReader(nc), http1.DefaultLimits).ReadResponse(&head, "GET")
+	in := bufio.NewReader(nc)
+	answers := http1.NewReader(in, http1.DefaultLimits)
+	err = answers.ReadResponse(&head, "GET")
+	if err == nil && s.Stay {
+		nc.SetDeadline(time.Now().Add(secondWait))
+		var body http1.Body
+		body.Reset(in, head.Framing)
+		if _, skipErr := io.Copy(io.Discard, &body); skipErr == nil {
+			answers.ReadResponse(new(http1.Response), "GET") // an answer, a close or the deadline: each ends the visit
+		}
+	}
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return fmt.Errorf("%s: neither an error nor a close within %s", s.Name, most)
