--- a/cmd/arrowwalk/command_test.go
+++ b/cmd/arrowwalk/command_test.go
@@ -159,7 +159,7 @@
 		}
 		return string(out)
 	}
-	slots, err := placement.Even(6)
+	slots, err := placement.NewEven(6)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/arrowwalk/serve.go
+++ b/cmd/arrowwalk/serve.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	g.log.Info("serving", "endpoint", gw.Endpoint(), "host", gw.Host().Label(), "bricks", len(cfg.Bricks), "data", s.Data)
+	g.log.Info("serving", "endpoint", gw.Endpoint(), "host", gw.Host().RunID(), "bricks", len(cfg.Bricks), "data", s.Data)
 	if err := s.writeReady(gw, cfg); err != nil {
 		gw.Stop(stop)
 		return err
--- a/internal/bench/proxy.go
+++ b/internal/bench/proxy.go
@@ -12,7 +12,7 @@
 // NewProxy returns the proxy that the gateway is compared with: the standard
 // library's, which sends each object's requests to its brick.
 func NewProxy(addresses []string) (http.Handler, error) {
-	slots, err := placement.Even(len(addresses))
+	slots, err := placement.NewEven(len(addresses))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/brick/ask.go
+++ b/internal/brick/ask.go
@@ -22,15 +22,15 @@
 	return Identity{name, at}, ok && err == nil && name != "" && at >= 0
 }
 
-// Ask asks the brick at address who it is, without any work: it is asked for a
+// Identify asks the brick at address who it is, without any work: it is asked for a
 // blob that is not there. A brick of another name refuses, and has done nothing.
-func (p *Pool) Ask(at *Attempt, address, name string, deadline time.Time) (Identity, error) {
-	var ans Answer
-	err := p.Do(at, address, &Call{Method: "HEAD", Space: SpaceProbe, Name: "who", Request: "probe", Expect: name, Deadline: deadline}, &ans)
+func (p *Pool) Identify(at *Attempt, address, name string, deadline time.Time) (Identity, error) {
+	var ans Response
+	err := p.Do(at, address, &Request{Method: "HEAD", Space: SpaceProbe, Name: "who", RequestID: "probe", Expect: name, Deadline: deadline}, &ans)
 	if err != nil {
 		return Identity{}, err
 	}
-	ans.Done(p, ans.Body.Drain(smallRest))
+	ans.Release(p, ans.Body.Drain(smallRest))
 	id, ok := ParseIdentity(ans.Brick)
 	if !ok || id.Name != name {
 		return id, fail(arrowwalk.Unreachable, ReasonWrongBrick, errors.New("it says it is "+ans.Brick))
--- a/internal/brick/call.go
+++ b/internal/brick/call.go
@@ -16,16 +16,16 @@
 	"arrowwalk/internal/store/record"
 )
 
-// Call is one request to a brick.
-type Call struct {
+// Request is one request to a brick.
+type Request struct {
 	Method string // GET, HEAD, PUT or DELETE
 	Space  string
 	Name   string
-	List   *List  // GET of a space's names in place of a blob
-	Range  string // as a Range field has it; "": the whole blob
-	Body   Body   // of a PUT
-	Meta   []byte // of a PUT: kept beside the body
-	Whole  bool   // of a PUT: ranges will not apply
+	List   *ListQuery // GET of a space's names in place of a blob
+	Range  string     // as a Range field has it; "": the whole blob
+	Body   Body       // of a PUT
+	Meta   []byte     // of a PUT: kept beside the body
+	Whole  bool       // of a PUT: ranges will not apply
 
 	Epoch    uint64 // of an extent or a fence
 	Offset   int64  // of a PATCH
@@ -35,19 +35,19 @@
 	IfVersion uint64 // the blob must have this version
 	IfAbsent  bool   // the blob must not exist
 
-	Request  string // id in every log
-	Host     int
-	Volume   uint64
-	Units    float64
-	Key      string    // idempotency key
-	Deadline time.Time // no answer after it counts
-	Expect   string    // the brick that is meant
+	RequestID string // id in every log
+	Host      int
+	Volume    uint64
+	Units     float64
+	Key       string    // idempotency key
+	Deadline  time.Time // no answer after it counts
+	Expect    string    // the brick that is meant
 }
 
-// List is a page asked for.
-type List struct {
+// ListQuery is a page asked for.
+type ListQuery struct {
 	Prefix, After, Delimiter string
-	Most                     int
+	MaxItems                 int
 }
 
 // Body is a body that can be sent more than once.
@@ -114,28 +114,28 @@
 	return &Failure{Status: status, Reason: reason, Err: err}
 }
 
-// Answer is the head of a brick's answer. Its Body is read by the caller, who
+// Response is the head of a brick's answer. Its Body is read by the caller, who
 // then calls Done.
-type Answer struct {
-	Status   int
-	Meta     []byte
-	Whole    bool
-	Version  uint64
-	Replaced []byte // meta of the blob that a write replaced; nil: none
-	Repeat   bool
-	Draining bool   // it asks for nothing new
-	Brick    string // ID@STARTED
-	Others   float64
-	Fleet    float64  // units a second
-	Util     float64  // -1: not told
-	Length   int64    // of the body
-	Sums     []uint32 // of the body's blocks, which begin at multiples of 64 KiB of the blob; nil: not told
-	Corrupt  bool     // it failed because bytes are not those that were written
-	From     int64    // first byte, where Status is 206
-	Size     int64    // of the whole blob, where Status is 206 or 416; else Length
-	Body     *http1.Body
-	Raw      syscall.RawConn // of its connection; nil: it has none
-	Request  string          // that it answers, as the brick says; "": it does not
+type Response struct {
+	Status          int
+	Meta            []byte
+	Whole           bool
+	Version         uint64
+	Replaced        []byte // meta of the blob that a write replaced; nil: none
+	Repeat          bool
+	Draining        bool   // it asks for nothing new
+	Brick           string // ID@STARTED
+	OtherHostsUnits float64
+	FleetRate       float64  // units a second
+	Util            float64  // -1: not told
+	Length          int64    // of the body
+	Sums            []uint32 // of the body's blocks, which begin at multiples of 64 KiB of the blob; nil: not told
+	Corrupt         bool     // it failed because bytes are not those that were written
+	RangeStart      int64    // first byte, where Status is 206
+	Size            int64    // of the whole blob, where Status is 206 or 416; else Length
+	Body            *http1.Body
+	Raw             syscall.RawConn // of its connection; nil: it has none
+	RequestID       string          // that it answers, as the brick says; "": it does not
 
 	conn  *conn
 	at    *Attempt
@@ -149,13 +149,13 @@
 )
 
 // append writes the call's head.
-func (c *Call) append(b []byte, left time.Duration) []byte {
+func (c *Request) append(b []byte, left time.Duration) []byte {
 	b = append(b, c.Method...)
 	b = append(b, " /v1/"...)
 	b = append(b, c.Space...)
 	if c.List != nil {
 		b = append(b, "?list&max="...)
-		b = strconv.AppendInt(b, int64(c.List.Most), 10)
+		b = strconv.AppendInt(b, int64(c.List.MaxItems), 10)
 		for _, p := range [...][2]string{{"prefix", c.List.Prefix}, {"after", c.List.After}, {"delimiter", c.List.Delimiter}} {
 			if p[1] != "" {
 				b = append(append(append(append(b, '&'), p[0]...), '='), url.QueryEscape(p[1])...)
@@ -165,7 +165,7 @@
 		b = AppendName(append(b, '/'), c.Name)
 	}
 	b = append(b, " HTTP/1.1\r\nHost: brick\r\n"...)
-	b = http1.AppendField(b, HeaderRequest, c.Request)
+	b = http1.AppendField(b, HeaderRequest, c.RequestID)
 	b = http1.AppendIntField(b, HeaderDeadline, left.Microseconds())
 	b = http1.AppendIntField(b, HeaderHost, int64(c.Host))
 	b = append(b, HeaderVolume+": "...)
@@ -215,7 +215,7 @@
 	return append(b, "\r\n"...)
 }
 
-func (c *Call) bodyLen() int64 {
+func (c *Request) bodyLen() int64 {
 	if c.Body == nil {
 		return 0
 	}
@@ -223,35 +223,35 @@
 }
 
 // read fills a from a response's head.
-func (a *Answer) read(p *http1.Response) error {
-	*a = Answer{Status: p.Status, Util: -1, Length: p.Length, Size: p.Length, Raw: a.Raw, conn: a.conn, at: a.at}
+func (a *Response) read(p *http1.Response) error {
+	*a = Response{Status: p.Status, Util: -1, Length: p.Length, Size: p.Length, Raw: a.Raw, conn: a.conn, at: a.at}
 	for i := range p.Fields {
 		if err := a.take(p.Fields[i].Name, p.Fields[i].Value); err != nil {
 			return fmt.Errorf("header %s: %w", p.Fields[i].Name, err)
 		}
 	}
-	if p.Status == 206 && a.Size < a.From+a.Length {
+	if p.Status == 206 && a.Size < a.RangeStart+a.Length {
 		return errors.New("header Content-Range: it is at odds with Content-Length")
 	}
-	if err := a.check.begin(a.Sums, a.From, a.Length); err != nil {
+	if err := a.check.begin(a.Sums, a.RangeStart, a.Length); err != nil {
 		return fmt.Errorf("header %s: %w", HeaderSums, err)
 	}
 	return nil
 }
 
-func (a *Answer) take(name, value string) (err error) {
+func (a *Response) take(name, value string) (err error) {
 	switch {
 	case len(name) >= 3 && strings.EqualFold(name[:3], "Aw-"):
 		return a.takeOwn(name, value)
 	case strings.EqualFold(name, HeaderLoad):
 		a.Util = parseUtil(value)
 	case strings.EqualFold(name, "Content-Range"):
-		a.From, a.Size, err = parseContentRange(value)
+		a.RangeStart, a.Size, err = parseContentRange(value)
 	}
 	return err
 }
 
-func (a *Answer) takeOwn(name, value string) (err error) {
+func (a *Response) takeOwn(name, value string) (err error) {
 	switch {
 	case strings.EqualFold(name, HeaderMeta):
 		a.Meta, err = base64.RawURLEncoding.DecodeString(value)
@@ -271,15 +271,15 @@
 	case strings.EqualFold(name, HeaderBrick):
 		a.Brick = value
 	case strings.EqualFold(name, HeaderRequest):
-		a.Request = value
+		a.RequestID = value
 	case strings.EqualFold(name, HeaderSums):
 		a.Sums, err = parseSums(value)
 	case strings.EqualFold(name, HeaderReason):
 		a.Corrupt = value == Corrupt
 	case strings.EqualFold(name, HeaderOthers):
-		a.Others, err = parseAmount(value)
+		a.OtherHostsUnits, err = parseAmount(value)
 	case strings.EqualFold(name, HeaderFleet):
-		a.Fleet, err = parseAmount(value)
+		a.FleetRate, err = parseAmount(value)
 	}
 	return err
 }
--- a/internal/brick/pool.go
+++ b/internal/brick/pool.go
@@ -15,10 +15,10 @@
 
 // PoolOptions bounds the connections to bricks.
 type PoolOptions struct {
-	IdlePerBrick int           // connections kept for reuse at each brick; 0: 64
-	IdleFor      time.Duration // and for how long; 0: 30 s
-	DialTimeout  time.Duration // 0: 1 s
-	Stall        time.Duration // longest wait for the next bytes of a body that has begun; 0: 10 s
+	MaxIdlePerBrick int           // connections kept for reuse at each brick; 0: 64
+	IdleTimeout     time.Duration // and for how long; 0: 30 s
+	DialTimeout     time.Duration // 0: 1 s
+	StallTimeout    time.Duration // longest wait for the next bytes of a body that has begun; 0: 10 s
 }
 
 // Pool keeps connections to bricks. It is safe for concurrent use and never
@@ -30,30 +30,30 @@
 
 // NewPool returns an empty pool.
 func NewPool(opt PoolOptions) *Pool {
-	if opt.IdlePerBrick == 0 {
-		opt.IdlePerBrick = 64
+	if opt.MaxIdlePerBrick == 0 {
+		opt.MaxIdlePerBrick = 64
 	}
-	if opt.IdleFor == 0 {
-		opt.IdleFor = 30 * time.Second
+	if opt.IdleTimeout == 0 {
+		opt.IdleTimeout = 30 * time.Second
 	}
 	if opt.DialTimeout == 0 {
 		opt.DialTimeout = time.Second
 	}
-	if opt.Stall == 0 {
-		opt.Stall = 10 * time.Second
+	if opt.StallTimeout == 0 {
+		opt.StallTimeout = 10 * time.Second
 	}
-	return &Pool{opt: opt, conns: connpool.NewPool(connpool.Options{MaxIdlePerAddress: opt.IdlePerBrick, IdleTimeout: opt.IdleFor,
+	return &Pool{opt: opt, conns: connpool.NewPool(connpool.Options{MaxIdlePerAddress: opt.MaxIdlePerBrick, IdleTimeout: opt.IdleTimeout,
 		DialTimeout: opt.DialTimeout, HeadLimits: http1.DefaultLimits})}
 }
 
 // Close closes the idle connections; those in use close when they come back.
 func (p *Pool) Close() { p.conns.Close() }
 
-// Keep closes the idle connections to all addresses but those given.
-func (p *Pool) Keep(addresses []string) { p.conns.CloseIdleExcept(addresses) }
+// CloseIdleExcept closes the idle connections to all addresses but those given.
+func (p *Pool) CloseIdleExcept(addresses []string) { p.conns.CloseIdleExcept(addresses) }
 
-// Dialed returns how many connections were opened.
-func (p *Pool) Dialed() int64 {
+// DialCount returns how many connections were opened.
+func (p *Pool) DialCount() int64 {
 	_, _, dialed := p.conns.Counts()
 	return dialed
 }
@@ -72,7 +72,7 @@
 // Do sends a call to the brick at address and reads the answer's head into
 // ans. On nil the caller reads ans.Body and calls ans.Done. Any error is a
 // *Failure, and nothing is left to do.
-func (p *Pool) Do(at *Attempt, address string, call *Call, ans *Answer) error {
+func (p *Pool) Do(at *Attempt, address string, call *Request, ans *Response) error {
 	if len(call.Name) > nameMost || len(call.Meta) > codecMost {
 		return fail(arrowwalk.NotSent, ReasonBadAnswer, errors.New("name or meta too large"))
 	}
@@ -94,8 +94,8 @@
 	if err := ans.read(&c.resp); err != nil {
 		return p.lose(at, c, &http1.Error{Status: 502, Reason: err.Error()})
 	}
-	if ans.Request != "" && ans.Request != call.Request { // a second answer to one before
-		return p.lose(at, c, &http1.Error{Status: 502, Reason: "the answer is to request " + ans.Request})
+	if ans.RequestID != "" && ans.RequestID != call.RequestID { // a second answer to one before
+		return p.lose(at, c, &http1.Error{Status: 502, Reason: "the answer is to request " + ans.RequestID})
 	}
 	c.body.Reset(c.Reader, c.resp.Framing)
 	if call.Method == "HEAD" {
@@ -103,7 +103,7 @@
 	}
 	ans.Body = &c.body
 	if refused := ans.refusal(); refused != nil {
-		ans.Done(p, ans.Body.Drain(smallRest))
+		ans.Release(p, ans.Body.Drain(smallRest))
 		return refused
 	}
 	return nil
@@ -113,7 +113,7 @@
 const smallRest = 16 << 10
 
 // refusal maps the statuses that are no answer to the client's request.
-func (a *Answer) refusal() *Failure {
+func (a *Response) refusal() *Failure {
 	switch {
 	case a.Status == statusFull:
 		return fail(arrowwalk.Overloaded, ReasonFull, nil)
@@ -173,7 +173,7 @@
 
 // send writes the call's head and body. A small body goes out with the head
 // in one write.
-func (c *conn) send(call *Call) error {
+func (c *conn) send(call *Request) error {
 	c.WriteBuf = call.append(c.WriteBuf[:0], time.Until(call.Deadline))
 	if call.bodyLen() == 0 {
 		_, err := c.Write(c.WriteBuf)
@@ -215,10 +215,10 @@
 // stall bound, or until the deadline where streaming is false. Errors are
 // io.EOF at the end, else a *Failure, after which the connection is closed and
 // Done does nothing.
-func (a *Answer) Read(p *Pool, buf []byte) (int, error) {
+func (a *Response) Read(p *Pool, buf []byte) (int, error) {
 	n, err := a.Body.Read(buf)
 	if !a.check.add(buf[:n]) {
-		a.Done(p, false)
+		a.Release(p, false)
 		return 0, fail(arrowwalk.Failed, ReasonCorrupt, errCorrupt)
 	}
 	if err == nil || errors.Is(err, io.EOF) {
@@ -234,7 +234,7 @@
 
 // ReadBlock reads as Read does, but to the end of a block of the body's
 // checksums: what it returns was found right. buf has room for a block.
-func (a *Answer) ReadBlock(p *Pool, buf []byte) (int, error) {
+func (a *Response) ReadBlock(p *Pool, buf []byte) (int, error) {
 	if len(a.check.sums) == 0 {
 		return a.Read(p, buf)
 	}
@@ -249,20 +249,20 @@
 	return int(want), nil
 }
 
-// Stream tells that the answer is being passed on: from now on each wait for
+// BeginStream tells that the answer is being passed on: from now on each wait for
 // bytes has the pool's stall bound in place of the call's deadline.
-func (a *Answer) Stream(p *Pool) { a.at.ExtendDeadline(time.Now().Add(p.opt.Stall)) }
+func (a *Response) BeginStream(p *Pool) { a.at.ExtendDeadline(time.Now().Add(p.opt.StallTimeout)) }
 
 // ReadAll reads the whole body into buf, which it grows, up to most bytes.
-func (a *Answer) ReadAll(p *Pool, buf []byte, most int64) ([]byte, error) {
+func (a *Response) ReadAll(p *Pool, buf []byte, most int64) ([]byte, error) {
 	if a.Length > most {
-		a.Done(p, false)
+		a.Release(p, false)
 		return buf, fail(arrowwalk.Failed, ReasonBadAnswer, errors.New("answer too large"))
 	}
 	buf = slices.Grow(buf[:0], int(a.Length))
 	for !a.Body.Done() {
 		if int64(len(buf)) > most {
-			a.Done(p, false)
+			a.Release(p, false)
 			return buf, fail(arrowwalk.Failed, ReasonBadAnswer, errors.New("answer too large"))
 		}
 		buf = slices.Grow(buf, 512)
@@ -278,9 +278,9 @@
 	return buf, nil
 }
 
-// Done gives the connection back: to the pool where the body was read to its
+// Release gives the connection back: to the pool where the body was read to its
 // end and more may follow, else it is closed.
-func (a *Answer) Done(p *Pool, whole bool) {
+func (a *Response) Release(p *Pool, whole bool) {
 	c := a.conn
 	if c == nil {
 		return
--- a/internal/brick/pool_test.go
+++ b/internal/brick/pool_test.go
@@ -60,13 +60,13 @@
 			address = answerWith(t, c.text, c.hangUp)
 		}
 		p := NewPool(PoolOptions{})
-		var ans Answer
+		var ans Response
 		at := &Attempt{}
-		err := p.Do(at, address, &Call{Method: "GET", Space: "o", Name: "a/b", Deadline: time.Now().Add(200 * time.Millisecond)}, &ans)
+		err := p.Do(at, address, &Request{Method: "GET", Space: "o", Name: "a/b", Deadline: time.Now().Add(200 * time.Millisecond)}, &ans)
 		if err == nil {
 			var body []byte
 			if body, err = ans.ReadAll(p, nil, 1000); err == nil {
-				ans.Done(p, true)
+				ans.Release(p, true)
 				if !strings.HasSuffix(c.text, string(body)) {
 					t.Errorf("%s: body %q", c.name, body)
 				}
@@ -88,10 +88,10 @@
 	p := NewPool(PoolOptions{})
 	defer p.Close()
 	get := func(address string, at *Attempt) error {
-		var ans Answer
-		err := p.Do(at, address, &Call{Method: "PUT", Space: "o", Name: "k", Body: Bytes(bytes.Repeat([]byte("x"), 100)), Deadline: time.Now().Add(10 * time.Second)}, &ans)
+		var ans Response
+		err := p.Do(at, address, &Request{Method: "PUT", Space: "o", Name: "k", Body: Bytes(bytes.Repeat([]byte("x"), 100)), Deadline: time.Now().Add(10 * time.Second)}, &ans)
 		if err == nil {
-			ans.Done(p, ans.Body.Drain(100))
+			ans.Release(p, ans.Body.Drain(100))
 		}
 		return err
 	}
@@ -101,7 +101,7 @@
 			t.Fatal(err)
 		}
 	}
-	if n := p.Dialed(); n != 1 {
+	if n := p.DialCount(); n != 1 {
 		t.Errorf("%d connections for 5 requests in turn", n)
 	}
 	for range 3 {
@@ -117,7 +117,7 @@
 		}
 		p.conns.Put(c)
 	}
-	p.Keep([]string{closes})
+	p.CloseIdleExcept([]string{closes})
 	if c := p.conns.PopIdle(keeps); c != nil {
 		t.Error("connections to a brick that left are kept")
 	}
@@ -137,11 +137,11 @@
 	f.Fuzz(func(t *testing.T, load, rng, amount, meta string) {
 		p := http1.Response{Status: 206, Framing: http1.Framing{Length: 2, HasLength: true}, Fields: http1.Fields{
 			{Name: HeaderLoad, Value: load}, {Name: "Content-Range", Value: rng}, {Name: HeaderOthers, Value: amount}, {Name: HeaderMeta, Value: meta}}}
-		var a Answer
+		var a Response
 		if err := a.read(&p); err != nil {
 			return
 		}
-		if a.From < 0 || a.Size < a.From+a.Length || a.Others < 0 || a.Util < -1 {
+		if a.RangeStart < 0 || a.Size < a.RangeStart+a.Length || a.OtherHostsUnits < 0 || a.Util < -1 {
 			t.Errorf("%+v", a)
 		}
 		name, err := Unescape(string(AppendName(nil, meta)))
@@ -156,21 +156,21 @@
 func TestAnswerToAnotherRequest(t *testing.T) {
 	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nAw-Brick: b@1\r\nAw-Request: 0-r-1-1.0\r\n\r\nok"
 	addr := answerWith(t, answer, false)
-	p := NewPool(PoolOptions{IdlePerBrick: 2, DialTimeout: time.Second})
+	p := NewPool(PoolOptions{MaxIdlePerBrick: 2, DialTimeout: time.Second})
 	defer p.Close()
-	var ans Answer
+	var ans Response
 	for _, c := range []struct {
 		request string
 		good    bool
 	}{{"0-r-1-1.0", true}, {"0-r-2-2.0", false}} {
 		var at Attempt
-		err := p.Do(&at, addr, &Call{Method: "GET", Space: "o", Name: "x", Request: c.request, Deadline: time.Now().Add(time.Second)}, &ans)
+		err := p.Do(&at, addr, &Request{Method: "GET", Space: "o", Name: "x", RequestID: c.request, Deadline: time.Now().Add(time.Second)}, &ans)
 		var f *Failure
 		if good := err == nil; good != c.good || !good && (!errors.As(err, &f) || f.Status != arrowwalk.Reset || f.Reason != ReasonBadAnswer) {
 			t.Errorf("request %s: %v", c.request, err)
 		}
 		if err == nil {
-			ans.Done(p, ans.Body.Drain(10))
+			ans.Release(p, ans.Body.Drain(10))
 		}
 	}
 }
--- a/internal/brick/proto.go
+++ b/internal/brick/proto.go
@@ -104,18 +104,18 @@
 	return -1
 }
 
-// Listed is an item of a list's answer (JSON). Bytes are base64 in JSON, so
+// ListItem is an item of a list's answer (JSON). Bytes are base64 in JSON, so
 // that any name passes unchanged.
-type Listed struct {
-	Name    []byte `json:"n"`
-	Meta    []byte `json:"m,omitempty"`
-	Size    int64  `json:"s,omitempty"`
-	Version uint64 `json:"v,omitempty"`
-	Rolled  bool   `json:"r,omitempty"`
+type ListItem struct {
+	Name     []byte `json:"n"`
+	Meta     []byte `json:"m,omitempty"`
+	Size     int64  `json:"s,omitempty"`
+	Version  uint64 `json:"v,omitempty"`
+	IsPrefix bool   `json:"r,omitempty"`
 }
 
-// ListAnswer is the body of a list's answer.
-type ListAnswer struct {
-	Items []Listed `json:"items"`
-	More  bool     `json:"more"`
+// ListResponse is the body of a list's answer.
+type ListResponse struct {
+	Items []ListItem `json:"items"`
+	More  bool       `json:"more"`
 }
--- a/internal/brickd/brickd_test.go
+++ b/internal/brickd/brickd_test.go
@@ -35,12 +35,12 @@
 	return s, dir
 }
 
-func call(t *testing.T, s *Server, c brick.Call) (*brick.Answer, string) {
+func call(t *testing.T, s *Server, c brick.Request) (*brick.Response, string) {
 	t.Helper()
 	p := brick.NewPool(brick.PoolOptions{})
 	defer p.Close()
 	c.Deadline = time.Now().Add(10 * time.Second)
-	ans := &brick.Answer{}
+	ans := &brick.Response{}
 	if err := p.Do(&brick.Attempt{}, s.Addr(), &c, ans); err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ans.Done(p, true)
+	ans.Release(p, true)
 	return ans, string(body)
 }
 
@@ -57,7 +57,7 @@
 	zone := NewZone(time.Minute)
 	a, dirA := serve(t, Options{ID: "a", Zone: zone})
 	b, dirB := serve(t, Options{ID: "b", Zone: zone})
-	put := brick.Call{Method: "PUT", Space: "o", Name: "k", Body: brick.Bytes("one"), Key: "key-1", Meta: []byte("m")}
+	put := brick.Request{Method: "PUT", Space: "o", Name: "k", Body: brick.Bytes("one"), Key: "key-1", Meta: []byte("m")}
 	first, _ := call(t, a, put)
 	var repeats atomic.Int32
 	var wg sync.WaitGroup
@@ -92,25 +92,25 @@
 
 func TestProtocol(t *testing.T) {
 	s, _ := serve(t, Options{ID: "a"})
-	put, _ := call(t, s, brick.Call{Method: "PUT", Space: "o", Name: "x/../%\x00é", Body: brick.Bytes("0123456789"), Meta: []byte("meta")})
+	put, _ := call(t, s, brick.Request{Method: "PUT", Space: "o", Name: "x/../%\x00é", Body: brick.Bytes("0123456789"), Meta: []byte("meta")})
 	if put.Status != 200 || put.Version == 0 || !strings.HasPrefix(put.Brick, "a@") || put.Util < 0 {
 		t.Errorf("put: %+v", put)
 	}
 	for _, c := range []struct {
 		name   string
-		call   brick.Call
+		call   brick.Request
 		status int
 		body   string
 	}{
-		{"whole", brick.Call{Method: "GET", Name: "x/../%\x00é"}, 200, "0123456789"},
-		{"range", brick.Call{Method: "GET", Name: "x/../%\x00é", Range: "bytes=2-3"}, 206, "23"},
-		{"suffix", brick.Call{Method: "GET", Name: "x/../%\x00é", Range: "bytes=-3"}, 206, "789"},
-		{"beyond", brick.Call{Method: "GET", Name: "x/../%\x00é", Range: "bytes=10-"}, 416, "no byte of the range is there\n"},
-		{"head", brick.Call{Method: "HEAD", Name: "x/../%\x00é"}, 200, ""},
-		{"absent", brick.Call{Method: "GET", Name: "x"}, 404, "no such blob\n"},
-		{"there already", brick.Call{Method: "PUT", Name: "x/../%\x00é", IfAbsent: true}, 412, "the blob's version is another\n"},
-		{"other version", brick.Call{Method: "DELETE", Name: "x/../%\x00é", IfVersion: 5}, 412, "the blob's version is another\n"},
-		{"deleted", brick.Call{Method: "DELETE", Name: "x/../%\x00é", IfVersion: put.Version}, 204, ""},
+		{"whole", brick.Request{Method: "GET", Name: "x/../%\x00é"}, 200, "0123456789"},
+		{"range", brick.Request{Method: "GET", Name: "x/../%\x00é", Range: "bytes=2-3"}, 206, "23"},
+		{"suffix", brick.Request{Method: "GET", Name: "x/../%\x00é", Range: "bytes=-3"}, 206, "789"},
+		{"beyond", brick.Request{Method: "GET", Name: "x/../%\x00é", Range: "bytes=10-"}, 416, "no byte of the range is there\n"},
+		{"head", brick.Request{Method: "HEAD", Name: "x/../%\x00é"}, 200, ""},
+		{"absent", brick.Request{Method: "GET", Name: "x"}, 404, "no such blob\n"},
+		{"there already", brick.Request{Method: "PUT", Name: "x/../%\x00é", IfAbsent: true}, 412, "the blob's version is another\n"},
+		{"other version", brick.Request{Method: "DELETE", Name: "x/../%\x00é", IfVersion: 5}, 412, "the blob's version is another\n"},
+		{"deleted", brick.Request{Method: "DELETE", Name: "x/../%\x00é", IfVersion: put.Version}, 204, ""},
 	} {
 		c.call.Space = "o"
 		if ans, body := call(t, s, c.call); ans.Status != c.status || body != c.body {
@@ -126,9 +126,9 @@
 		host int
 		want float64
 	}{{1, 0}, {2, 0}, {2, 0}, {1, 4}, {1, 0}, {2, 4}} {
-		ans, _ := call(t, s, brick.Call{Method: "GET", Space: "o", Name: "k", Host: c.host, Volume: 7, Units: 2})
-		if ans.Others != c.want {
-			t.Errorf("call %d by host %d: %g units through others, want %g", i, c.host, ans.Others, c.want)
+		ans, _ := call(t, s, brick.Request{Method: "GET", Space: "o", Name: "k", Host: c.host, Volume: 7, Units: 2})
+		if ans.OtherHostsUnits != c.want {
+			t.Errorf("call %d by host %d: %g units through others, want %g", i, c.host, ans.OtherHostsUnits, c.want)
 		}
 	}
 }
@@ -137,7 +137,7 @@
 // refuses them and still reads.
 func TestFullQueueAndReadOnlyDisk(t *testing.T) {
 	hold := make(chan struct{})
-	s, dir := serve(t, Options{ID: "a", Workers: 1, Queue: 1, Zone: NewZone(time.Minute)})
+	s, dir := serve(t, Options{ID: "a", Workers: 1, MaxQueue: 1, Zone: NewZone(time.Minute)})
 	if _, _, err := dir.Put(context.Background(), "o", store.Info{Name: "k", Size: 1}, strings.NewReader("x"), nil, store.Condition{}); err != nil {
 		t.Fatal(err)
 	}
@@ -154,7 +154,7 @@
 	}
 	p := brick.NewPool(brick.PoolOptions{})
 	defer p.Close()
-	err := p.Do(&brick.Attempt{}, s.Addr(), &brick.Call{Method: "GET", Space: "o", Name: "k", Deadline: time.Now().Add(5 * time.Second)}, &brick.Answer{})
+	err := p.Do(&brick.Attempt{}, s.Addr(), &brick.Request{Method: "GET", Space: "o", Name: "k", Deadline: time.Now().Add(5 * time.Second)}, &brick.Response{})
 	if f, ok := err.(*brick.Failure); !ok || f.Reason != brick.ReasonFull {
 		t.Errorf("with a full queue: %v", err)
 	}
@@ -164,7 +164,7 @@
 	if got := statusOf(&os.PathError{Op: "write", Err: os.ErrPermission}); got != 507 {
 		t.Errorf("a disk that takes no writes: %d", got)
 	}
-	if ans, body := call(t, s, brick.Call{Method: "GET", Space: "o", Name: "k"}); ans.Status != 200 || body != "x" {
+	if ans, body := call(t, s, brick.Request{Method: "GET", Space: "o", Name: "k"}); ans.Status != 200 || body != "x" {
 		t.Errorf("read: %d %q", ans.Status, body)
 	}
 }
--- a/internal/brickd/patch.go
+++ b/internal/brickd/patch.go
@@ -162,7 +162,7 @@
 		return &reply{status: 400, text: err.Error()}
 	}
 	body := make([]byte, c.req.Length)
-	c.nc.SetReadDeadline(time.Now().Add(c.s.opt.Idle))
+	c.nc.SetReadDeadline(time.Now().Add(c.s.opt.IdleTimeout))
 	if _, err := io.ReadFull(&c.body, body); err != nil {
 		return &reply{status: 400, text: err.Error()}
 	}
--- a/internal/brickd/patch_test.go
+++ b/internal/brickd/patch_test.go
@@ -11,17 +11,17 @@
 // nobody whose epoch is over, also after the brick has started anew.
 func TestExtents(t *testing.T) {
 	s, dir := serve(t, Options{})
-	patch := func(epoch, number uint64, offset int64, body string, truncate bool) brick.Call {
-		return brick.Call{Method: "PATCH", Space: brick.SpaceExtents, Name: "v/7", Epoch: epoch, Number: number, Offset: offset, Truncate: truncate, Body: brick.Bytes(body)}
+	patch := func(epoch, number uint64, offset int64, body string, truncate bool) brick.Request {
+		return brick.Request{Method: "PATCH", Space: brick.SpaceExtents, Name: "v/7", Epoch: epoch, Number: number, Offset: offset, Truncate: truncate, Body: brick.Bytes(body)}
 	}
-	get := func(epoch uint64) brick.Call {
-		return brick.Call{Method: "GET", Space: brick.SpaceExtents, Name: "v/7", Epoch: epoch}
+	get := func(epoch uint64) brick.Request {
+		return brick.Request{Method: "GET", Space: brick.SpaceExtents, Name: "v/7", Epoch: epoch}
 	}
-	fence := func(epoch uint64) brick.Call {
-		return brick.Call{Method: "PUT", Space: brick.SpaceFences, Name: "v", Epoch: epoch, Body: brick.Bytes(nil)}
+	fence := func(epoch uint64) brick.Request {
+		return brick.Request{Method: "PUT", Space: brick.SpaceFences, Name: "v", Epoch: epoch, Body: brick.Bytes(nil)}
 	}
 	for i, c := range []struct {
-		call   brick.Call
+		call   brick.Request
 		status int
 		repeat bool
 		want   string // what the extent has afterwards
@@ -40,7 +40,7 @@
 		{patch(2, 2, 0, "", true), 200, false, ""},
 		{patch(2, 1, 0, "XXXX", false), 200, true, ""}, // what was emptied stays so
 		{patch(2, 3, extentMost, "x", false), 400, false, ""},
-		{brick.Call{Method: "PATCH", Space: "o", Name: "k", Body: brick.Bytes("x")}, 405, false, ""},
+		{brick.Request{Method: "PATCH", Space: "o", Name: "k", Body: brick.Bytes("x")}, 405, false, ""},
 	} {
 		ans, _ := call(t, s, c.call)
 		if ans.Status != c.status || ans.Repeat != c.repeat {
--- a/internal/brickd/reply.go
+++ b/internal/brickd/reply.go
@@ -70,10 +70,10 @@
 	items, more := c.s.dir.List(x.Space, store.Query{
 		Prefix: values.Get("prefix"), After: values.Get("after"), Delimiter: values.Get("delimiter"), MaxItems: most,
 	})
-	answer := brick.ListAnswer{Items: make([]brick.Listed, 0, len(items)), More: more}
+	answer := brick.ListResponse{Items: make([]brick.ListItem, 0, len(items)), More: more}
 	for _, it := range items {
-		answer.Items = append(answer.Items, brick.Listed{
-			Name: []byte(it.Name), Meta: it.Meta, Size: it.Size, Version: it.Version, Rolled: it.IsPrefix,
+		answer.Items = append(answer.Items, brick.ListItem{
+			Name: []byte(it.Name), Meta: it.Meta, Size: it.Size, Version: it.Version, IsPrefix: it.IsPrefix,
 		})
 	}
 	text, err := json.Marshal(answer)
@@ -153,7 +153,7 @@
 	if c.req.Method != "HEAD" {
 		c.out = append(c.out, text...)
 	}
-	c.nc.SetWriteDeadline(time.Now().Add(c.s.opt.Idle))
+	c.nc.SetWriteDeadline(time.Now().Add(c.s.opt.IdleTimeout))
 	if err := c.write(c.out); err != nil {
 		return err
 	}
@@ -173,13 +173,13 @@
 		if err := c.answer(r); err != nil {
 			return err
 		}
-		if f.Twice {
+		if f.RespondTwice {
 			return c.answer(r)
 		}
 		return nil
 	}
 	err := c.sendBlob(x, r, f)
-	if err == nil && f.Twice {
+	if err == nil && f.RespondTwice {
 		err = c.sendBlob(x, r, Fault{})
 	}
 	return err
@@ -191,10 +191,10 @@
 func (c *conn) sendBlob(x *Exchange, r *reply, f Fault) error {
 	if x.Method == "HEAD" {
 		c.head(r, r.length)
-		c.nc.SetWriteDeadline(time.Now().Add(c.s.opt.Idle))
+		c.nc.SetWriteDeadline(time.Now().Add(c.s.opt.IdleTimeout))
 		return c.write(c.out)
 	}
-	length := r.length - min(f.Short, r.length)
+	length := r.length - min(f.MissingBytes, r.length)
 	if f.CutAfter > 0 {
 		length = min(length, f.CutAfter)
 	}
@@ -206,8 +206,8 @@
 		return nil
 	}
 	x.Sent = length
-	if f.Long > 0 {
-		c.nc.Write(make([]byte, f.Long))
+	if f.ExtraBytes > 0 {
+		c.nc.Write(make([]byte, f.ExtraBytes))
 		return errCut
 	}
 	if length < r.length {
@@ -227,14 +227,14 @@
 	if err != nil {
 		return c.answer(failedRead(r, err))
 	}
-	if f.Bare {
+	if f.OmitChecksums {
 		r.sums = nil
 	}
-	if f.Flip && len(first) > 0 {
+	if f.FlipBit && len(first) > 0 {
 		first[len(first)/2] ^= 1
 	}
 	c.head(r, r.length)
-	c.nc.SetWriteDeadline(time.Now().Add(c.s.opt.Idle))
+	c.nc.SetWriteDeadline(time.Now().Add(c.s.opt.IdleTimeout))
 	first = first[:min(int64(len(first)), length)]
 	c.out = append(c.out, first...)
 	if err := c.write(c.out); err != nil {
--- a/internal/brickd/server.go
+++ b/internal/brickd/server.go
@@ -30,16 +30,16 @@
 
 // Options of a brick.
 type Options struct {
-	ID      string
-	Zone    *Zone         // whose bricks drop each other's repeats
-	Meter   *Meter        // of what volumes are served everywhere; nil: not told
-	Workers int           // requests served at once; 0: 16
-	Queue   int           // requests that may wait for a worker; 0: 1024
-	Conns   int           // connections at once; 0: 4096
-	Idle    time.Duration // for which a connection may say nothing; 0: 2 min
-	BodyMax int64         // bytes of a body; 0: 64 MiB
-	Hook    Hook          // scripted faults; nil: none
-	Log     *slog.Logger
+	ID           string
+	Zone         *Zone         // whose bricks drop each other's repeats
+	Meter        *Meter        // of what volumes are served everywhere; nil: not told
+	Workers      int           // requests served at once; 0: 16
+	MaxQueue     int           // requests that may wait for a worker; 0: 1024
+	MaxConns     int           // connections at once; 0: 4096
+	IdleTimeout  time.Duration // for which a connection may say nothing; 0: 2 min
+	MaxBodyBytes int64         // bytes of a body; 0: 64 MiB
+	Hook         Hook          // scripted faults; nil: none
+	Log          *slog.Logger
 }
 
 // Server is a running brick.
@@ -69,13 +69,13 @@
 		}
 	}
 	orInt(&opt.Workers, 16)
-	orInt(&opt.Queue, 1024)
-	orInt(&opt.Conns, 4096)
-	if opt.Idle == 0 {
-		opt.Idle = 2 * time.Minute
+	orInt(&opt.MaxQueue, 1024)
+	orInt(&opt.MaxConns, 4096)
+	if opt.IdleTimeout == 0 {
+		opt.IdleTimeout = 2 * time.Minute
 	}
-	if opt.BodyMax == 0 {
-		opt.BodyMax = 64 << 20
+	if opt.MaxBodyBytes == 0 {
+		opt.MaxBodyBytes = 64 << 20
 	}
 	if opt.Zone == nil {
 		opt.Zone = NewZone(4 * time.Second)
@@ -84,7 +84,7 @@
 		opt.Log = slog.New(slog.DiscardHandler)
 	}
 	s := &Server{opt: opt, dir: dir, ln: ln, started: time.Now().UnixMicro(),
-		line: newLine(admission.Limits{Workers: opt.Workers, MaxQueued: opt.Queue}), conns: map[*conn]struct{}{}}
+		line: newLine(admission.Limits{Workers: opt.Workers, MaxQueued: opt.MaxQueue}), conns: map[*conn]struct{}{}}
 	s.name = fmt.Sprintf("%s@%d", opt.ID, s.started)
 	s.busy.init(opt.Workers)
 	s.wg.Add(1)
@@ -133,7 +133,7 @@
 		}
 		c := &conn{s: s, nc: nc}
 		s.mu.Lock()
-		refused := s.closing || len(s.conns) >= s.opt.Conns
+		refused := s.closing || len(s.conns) >= s.opt.MaxConns
 		if !refused {
 			s.conns[c] = struct{}{}
 			s.wg.Add(1)
@@ -182,7 +182,7 @@
 	c.in = bufio.NewReaderSize(c.nc, 16<<10)
 	heads := http1.NewReader(c.in, http1.DefaultLimits)
 	for {
-		c.nc.SetReadDeadline(time.Now().Add(c.s.opt.Idle))
+		c.nc.SetReadDeadline(time.Now().Add(c.s.opt.IdleTimeout))
 		if err := heads.ReadRequest(&c.req); err != nil {
 			if status := http1.StatusOf(err); status != 0 {
 				c.answer(&reply{status: status, text: err.Error(), cut: true})
@@ -199,22 +199,22 @@
 // Exchange is one request as it came over the socket and how it was answered;
 // a Hook and the stand-ins' logs see it.
 type Exchange struct {
-	Brick    string
-	Zone     string
-	Started  int64 // of the brick
-	At       time.Time
-	Came     time.Time // it may have come so early: this process may have stood still
-	Method   string
-	Space    string
-	Name     string
-	List     bool
-	Request  string // as HeaderRequest has it
-	Host     int
-	Volume   uint64
-	Units    float64
-	Key      string
-	Deadline time.Duration
-	Range    string
+	Brick           string
+	Zone            string
+	Started         int64 // of the brick
+	At              time.Time
+	EarliestArrival time.Time // it may have come so early: this process may have stood still
+	Method          string
+	Space           string
+	Name            string
+	List            bool
+	Request         string // as HeaderRequest has it
+	Host            int
+	Volume          uint64
+	Units           float64
+	Key             string
+	Deadline        time.Duration
+	Range           string
 
 	Status   int  // of the answer; 0: none was given
 	Repeat   bool // dropped as a repeat
@@ -225,27 +225,27 @@
 
 // Fault is what a Hook makes of a request.
 type Fault struct {
-	Delay    time.Duration // of the answer, before the work
-	Silent   bool          // the work is done, no answer is given
-	Mute     bool          // nothing is done and no answer is given
-	Status   int           // answer this in place of the work
-	CutAfter int64         // cut the connection after so many bytes of the body; -1: before the answer
-	Short    int64         // bytes of the body left out, though its length is told
-	Long     int64         // bytes too many
-	Flip     bool          // a bit of the answer's body is another
-	Bare     bool          // the answer has no checksums
-	Garbage  bool          // answer with what is not HTTP
-	Endless  bool          // answer with a header without end
-	Twice    bool          // give the answer two times
-	Work     time.Duration // a worker is busy for so long besides
-	Wait     <-chan struct{}
+	Delay         time.Duration // of the answer, before the work
+	DropResponse  bool          // the work is done, no answer is given
+	IgnoreRequest bool          // nothing is done and no answer is given
+	Status        int           // answer this in place of the work
+	CutAfter      int64         // cut the connection after so many bytes of the body; -1: before the answer
+	MissingBytes  int64         // bytes of the body left out, though its length is told
+	ExtraBytes    int64         // bytes too many
+	FlipBit       bool          // a bit of the answer's body is another
+	OmitChecksums bool          // the answer has no checksums
+	Garbage       bool          // answer with what is not HTTP
+	EndlessHeader bool          // answer with a header without end
+	RespondTwice  bool          // give the answer two times
+	ExtraWork     time.Duration // a worker is busy for so long besides
+	WaitFor       <-chan struct{}
 }
 
 // Hook scripts a brick's faults and keeps its log. Its calls may come from
 // many goroutines at once.
 type Hook interface {
-	Arrived(x *Exchange) Fault
-	Answered(x *Exchange)
+	OnRequest(x *Exchange) Fault
+	OnResponse(x *Exchange)
 }
 
 func (c *conn) handle() error {
@@ -255,28 +255,28 @@
 	}
 	var f Fault
 	if c.s.opt.Hook != nil {
-		f = c.s.opt.Hook.Arrived(x)
+		f = c.s.opt.Hook.OnRequest(x)
 		c.wrote = time.Time{}
 		defer func() {
 			if x.Answered = c.wrote; x.Answered.IsZero() {
 				x.Answered = time.Now()
 			}
-			c.s.opt.Hook.Answered(x)
+			c.s.opt.Hook.OnResponse(x)
 		}()
 	}
-	if f.Wait != nil {
-		<-f.Wait
+	if f.WaitFor != nil {
+		<-f.WaitFor
 	}
 	if done, err := c.before(x, f); done {
 		return err
 	}
 	r, release := c.work(x)
 	x.Status, x.Repeat = r.status, r.repeat
-	if f.Work > 0 && r.status != 503 && r.status != 421 {
-		timer := time.NewTimer(f.Work)
+	if f.ExtraWork > 0 && r.status != 503 && r.status != 421 {
+		timer := time.NewTimer(f.ExtraWork)
 		<-timer.C
 	}
-	if f.Silent {
+	if f.DropResponse {
 		release()
 		x.Status = 0
 		return c.hang()
@@ -293,7 +293,7 @@
 		<-timer.C
 	}
 	switch {
-	case f.Mute:
+	case f.IgnoreRequest:
 		return true, c.hang()
 	case f.Status != 0:
 		x.Status = f.Status
@@ -301,7 +301,7 @@
 	case f.Garbage:
 		c.nc.Write([]byte("\x00\x01garbage \xff without a line"))
 		return true, errCut
-	case f.Endless:
+	case f.EndlessHeader:
 		line := []byte("X-More: " + strings.Repeat("y", 1000) + "\r\n")
 		c.nc.Write([]byte("HTTP/1.1 200 OK\r\n"))
 		for range 1 << 10 { // a stranger's patience is bounded too
@@ -316,7 +316,7 @@
 
 // hang says nothing until the peer closes.
 func (c *conn) hang() error {
-	c.nc.SetReadDeadline(time.Now().Add(c.s.opt.Idle))
+	c.nc.SetReadDeadline(time.Now().Add(c.s.opt.IdleTimeout))
 	io.Copy(io.Discard, c.in)
 	return errCut
 }
@@ -343,7 +343,7 @@
 // exchange reads the protocol's fields of a request.
 func (c *conn) exchange() (*Exchange, error) {
 	c.request = ""
-	x := &Exchange{Brick: c.s.opt.ID, Zone: c.s.opt.Zone.Name, Started: c.s.started, At: time.Now(), Came: c.came(), Method: c.req.Method}
+	x := &Exchange{Brick: c.s.opt.ID, Zone: c.s.opt.Zone.Name, Started: c.s.started, At: time.Now(), EarliestArrival: c.came(), Method: c.req.Method}
 	path, query, _ := strings.Cut(c.req.Target, "?")
 	path, ok := strings.CutPrefix(path, "/v1/")
 	if !ok {
@@ -503,8 +503,8 @@
 }
 
 func (c *conn) put(x *Exchange) *reply {
-	if !c.req.HasLength || c.req.Length > c.s.opt.BodyMax {
-		return &reply{status: 413, text: fmt.Sprintf("body without a length, or over %d bytes", c.s.opt.BodyMax)}
+	if !c.req.HasLength || c.req.Length > c.s.opt.MaxBodyBytes {
+		return &reply{status: 413, text: fmt.Sprintf("body without a length, or over %d bytes", c.s.opt.MaxBodyBytes)}
 	}
 	cond, err := c.condition()
 	if err != nil {
@@ -515,7 +515,7 @@
 		return &reply{status: 400, text: "header Aw-Meta: " + err.Error()}
 	}
 	info := store.Info{Name: x.Name, Meta: meta, Size: c.req.Length, Whole: c.req.Fields.Get(brick.HeaderWhole) == "1"}
-	c.nc.SetReadDeadline(time.Now().Add(c.s.opt.Idle))
+	c.nc.SetReadDeadline(time.Now().Add(c.s.opt.IdleTimeout))
 	sums, err := brick.ParseSums(c.req.Fields.Get(brick.HeaderSums), info.Size)
 	if err != nil {
 		return &reply{status: 400, text: "header " + brick.HeaderSums + ": " + err.Error()}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -463,9 +463,9 @@
 // Placement returns the map of slots to shards.
 func (c *Config) Placement() (*placement.Map, error) {
 	if len(c.Slots) == 0 {
-		return placement.Even(c.Shards)
+		return placement.NewEven(c.Shards)
 	}
-	return placement.FromRanges(c.Shards, c.Slots)
+	return placement.NewFromRanges(c.Shards, c.Slots)
 }
 
 // UnitsFor returns the units of a request that moves size bytes.
--- a/internal/endtoend/hard_test.go
+++ b/internal/endtoend/hard_test.go
@@ -263,9 +263,9 @@
 		fault brickd.Fault
 	}{
 		{"error", brickd.Fault{Status: 500}}, {"full", brickd.Fault{Status: 503}}, {"another brick", brickd.Fault{Status: 421}},
-		{"too few bytes", brickd.Fault{Short: 5}}, {"too many bytes", brickd.Fault{Long: 5}}, {"garbage", brickd.Fault{Garbage: true}},
-		{"endless header", brickd.Fault{Endless: true}}, {"cut in the body", brickd.Fault{CutAfter: 1000}},
-		{"cut before the answer", brickd.Fault{CutAfter: -1}}, {"twice", brickd.Fault{Twice: true}}, {"mute", brickd.Fault{Mute: true}},
+		{"too few bytes", brickd.Fault{MissingBytes: 5}}, {"too many bytes", brickd.Fault{ExtraBytes: 5}}, {"garbage", brickd.Fault{Garbage: true}},
+		{"endless header", brickd.Fault{EndlessHeader: true}}, {"cut in the body", brickd.Fault{CutAfter: 1000}},
+		{"cut before the answer", brickd.Fault{CutAfter: -1}}, {"twice", brickd.Fault{RespondTwice: true}}, {"mute", brickd.Fault{IgnoreRequest: true}},
 	} {
 		for key, body := range bodies {
 			for _, every := range []int{1, 2} {
@@ -476,7 +476,7 @@
 		t.Fatal(err)
 	}
 	hold := make(chan struct{})
-	b.Play(bricks.Script{Fault: brickd.Fault{Wait: hold}, Writes: true})
+	b.Play(bricks.Script{Fault: brickd.Fault{WaitFor: hold}, Writes: true})
 	answers := make(chan clients.Answer, 8)
 	for i := range 8 {
 		c := raw(g)
@@ -485,7 +485,7 @@
 			answers <- c.Do(&clients.Request{Method: "PUT", Path: fmt.Sprint("/papers/", i), Body: []byte("x")})
 		}()
 	}
-	for until := time.Now().Add(5 * time.Second); len(g.Host().State().Running) < 8 && time.Now().Before(until); {
+	for until := time.Now().Add(5 * time.Second); len(g.Host().Snapshot().Running) < 8 && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
 	stopped := make(chan struct{})
--- a/internal/front/s3/bucket.go
+++ b/internal/front/s3/bucket.go
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = x.store(brick.Call{Space: brick.SpaceBuckets, Name: x.bucket, Meta: meta, IfAbsent: true}, x.home(x.bucket))
+	_, err = x.store(brick.Request{Space: brick.SpaceBuckets, Name: x.bucket, Meta: meta, IfAbsent: true}, x.home(x.bucket))
 	if errors.Is(err, errPrecondition) {
 		return owned
 	}
@@ -171,7 +171,7 @@
 		return refuse(403, "AccessDenied", "The bucket is one of the gateway's settings.")
 	}
 	for _, space := range []string{brick.SpaceObjects, brick.SpaceUploads} {
-		items, _, err := x.pagesEverywhere(space, brick.List{Prefix: x.bucket + "/", Most: 1})
+		items, _, err := x.pagesEverywhere(space, brick.ListQuery{Prefix: x.bucket + "/", MaxItems: 1})
 		if err != nil {
 			return err
 		}
@@ -220,7 +220,7 @@
 	if err := x.noBody(); err != nil {
 		return err
 	}
-	items, _, err := x.pagesEverywhere(brick.SpaceBuckets, brick.List{Most: bucketsMost})
+	items, _, err := x.pagesEverywhere(brick.SpaceBuckets, brick.ListQuery{MaxItems: bucketsMost})
 	if err != nil {
 		return err
 	}
--- a/internal/front/s3/exchange.go
+++ b/internal/front/s3/exchange.go
@@ -60,7 +60,7 @@
 )
 
 func newExchange(c *conn) *exchange {
-	id := c.s.opt.Host.Label() + "-" + strconv.FormatUint(c.s.sequence.Add(1), 10)
+	id := c.s.opt.Host.RunID() + "-" + strconv.FormatUint(c.s.sequence.Add(1), 10)
 	now := time.Now()
 	return &exchange{s: c.s, c: c, id: id, began: now, from: now}
 }
@@ -76,7 +76,7 @@
 	if rest > 0 {
 		rest = max(0, rest-int64(x.c.in.Buffered()))
 	}
-	from, ok := x.s.opt.Host.Came(x.c.raw, x.c.empty, got+x.c.in.Buffered(), rest, span)
+	from, ok := x.s.opt.Host.RequestArrival(x.c.raw, x.c.empty, got+x.c.in.Buffered(), rest, span)
 	x.away = x.away || ok && rest != 0
 	return from, ok
 }
@@ -209,7 +209,7 @@
 		return
 	}
 	text := append([]byte(xml.Header), marshal(errorBody{
-		Code: api.code, Message: api.message, Resource: x.path, RequestID: x.id, HostID: x.s.opt.Host.Label(),
+		Code: api.code, Message: api.message, Resource: x.path, RequestID: x.id, HostID: x.s.opt.Host.RunID(),
 	})...)
 	fields := http1.Fields{{Name: "Content-Type", Value: "application/xml"}}
 	if api.status == 503 {
--- a/internal/front/s3/get.go
+++ b/internal/front/s3/get.go
@@ -123,7 +123,7 @@
 		j.Request.Range = "" // passed over
 		g.rng = ""
 	}
-	j.Take = g.take
+	j.HandleResponse = g.take
 	if g.head {
 		j.Request.Method = "HEAD"
 	}
@@ -136,7 +136,7 @@
 		}
 		return g.refused
 	}
-	x.s.sizes.Saw(uint64(x.volume.ID), g.want.length)
+	x.s.sizes.Observe(uint64(x.volume.ID), g.want.length)
 	switch {
 	case g.head:
 		return x.answerHead(g)
@@ -157,7 +157,7 @@
 	if g.head {
 		return 0
 	}
-	guess := g.x.s.sizes.Guess(uint64(g.x.volume.ID), most)
+	guess := g.x.s.sizes.Estimate(uint64(g.x.volume.ID), most)
 	if s, ok, err := parseRange(g.rng, 1<<62); ok && err == nil && s.length < 1<<60 {
 		return min(s.length, most)
 	}
@@ -166,7 +166,7 @@
 
 // take looks at the home's answer: it settles the status and reads or passes
 // on the body.
-func (g *reading) take(j *attempts.Call, ans *brick.Answer) error {
+func (g *reading) take(j *attempts.Call, ans *brick.Response) error {
 	g.refused, g.list, g.small = nil, nil, nil
 	switch ans.Status {
 	case 404:
@@ -203,7 +203,7 @@
 	if ans.Whole {
 		return g.takeManifest(ans)
 	}
-	if ans.Length != g.want.length || ans.Status != g.status || ans.Status == 206 && ans.From != g.want.from {
+	if ans.Length != g.want.length || ans.Status != g.status || ans.Status == 206 && ans.RangeStart != g.want.from {
 		return &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonBadAnswer, Err: errors.New("the answer is not the range that was asked for")}
 	}
 	if ans.Length <= smallAnswer {
@@ -214,11 +214,11 @@
 
 // discard gives up an answer's body: a short one is read, for a long one the
 // connection goes.
-func (g *reading) discard(ans *brick.Answer) {
-	ans.Done(g.x.s.opt.Pool, ans.Body.Drain(smallAnswer))
+func (g *reading) discard(ans *brick.Response) {
+	ans.Release(g.x.s.opt.Pool, ans.Body.Drain(smallAnswer))
 }
 
-func (g *reading) takeSmall(ans *brick.Answer) error {
+func (g *reading) takeSmall(ans *brick.Response) error {
 	if g.pooled == nil {
 		g.pooled = copyBuffers.Get().(*[copyBytes]byte)
 	}
@@ -227,7 +227,7 @@
 	return err
 }
 
-func (g *reading) takeManifest(ans *brick.Answer) error {
+func (g *reading) takeManifest(ans *brick.Response) error {
 	text, err := ans.ReadAll(g.x.s.opt.Pool, nil, manifestMost)
 	if err != nil {
 		return err
@@ -284,7 +284,7 @@
 // pass sends length bytes of a brick's answer on to the client as they come.
 // A client that takes none for a while does not hold the brick: the rest is
 // kept, and sent after the attempt is over.
-func (g *reading) pass(j *attempts.Call, ans *brick.Answer, length int64) error {
+func (g *reading) pass(j *attempts.Call, ans *brick.Response, length int64) error {
 	x, pool := g.x, g.x.s.opt.Pool
 	buf := copyBuffers.Get().(*[copyBytes]byte)
 	defer copyBuffers.Put(buf)
@@ -297,8 +297,8 @@
 			return err
 		}
 		left -= int64(n)
-		if !j.Began {
-			j.Stream()
+		if !j.ResponseBegun {
+			j.BeginStream()
 			if !x.begun {
 				g.writeHead()
 				if err := x.write(x.c.out); err != nil {
@@ -306,7 +306,7 @@
 				}
 			}
 		}
-		ans.Stream(pool)
+		ans.BeginStream(pool)
 		took, err := x.writeSome(buf[:n])
 		if err != nil {
 			return errTake
@@ -325,8 +325,8 @@
 }
 
 // keep reads the rest of an answer into a buffer; false: there is no room.
-func (g *reading) keep(ans *brick.Answer, begun []byte, left int64) (bool, error) {
-	b := g.x.s.opt.Spool.Buffer()
+func (g *reading) keep(ans *brick.Response, begun []byte, left int64) (bool, error) {
+	b := g.x.s.opt.Spool.NewBuffer()
 	if u := g.x.s.opt.Spool.Usage(); u.Memory+left+int64(len(begun)) > g.x.s.cfg.Bounds.MemoryBytes {
 		return false, nil
 	}
@@ -347,7 +347,7 @@
 }
 
 type answerReader struct {
-	ans  *brick.Answer
+	ans  *brick.Response
 	pool *brick.Pool
 }
 
@@ -413,7 +413,7 @@
 		j.Request.Range = fmt.Sprintf("bytes=%d-%d", p.from, p.from+p.length-1)
 	}
 	lost := false
-	j.Take = func(j *attempts.Call, ans *brick.Answer) error {
+	j.HandleResponse = func(j *attempts.Call, ans *brick.Response) error {
 		lost = ans.Status != 200 && ans.Status != 206
 		if lost {
 			g.discard(ans)
@@ -428,7 +428,7 @@
 		return err
 	}
 	if lost {
-		x.s.log.Error("piece missing", "request", x.id, "brick", string(j.Node.ID), "status", j.Answer.Status)
+		x.s.log.Error("piece missing", "request", x.id, "brick", string(j.Node.ID), "status", j.Response.Status)
 		return errInternal
 	}
 	if g.rest != nil {
--- a/internal/front/s3/janitor.go
+++ b/internal/front/s3/janitor.go
@@ -117,7 +117,7 @@
 )
 
 func (j *janitor) do(c chore) {
-	x := &exchange{s: j.s, c: &conn{s: j.s}, id: j.s.opt.Host.Label() + "-janitor", volume: c.volume, began: time.Now(), from: time.Now()}
+	x := &exchange{s: j.s, c: &conn{s: j.s}, id: j.s.opt.Host.RunID() + "-janitor", volume: c.volume, began: time.Now(), from: time.Now()}
 	for range choreTries {
 		if j.attempt(x, &c) == nil {
 			return
@@ -174,7 +174,7 @@
 // removeAll deletes what one shard has with a prefix, but those pieces whose
 // base is excepted.
 func (j *janitor) removeAll(x *exchange, space string, shard int, prefix string, except map[string]bool) error {
-	list := brick.List{Prefix: prefix, Most: keysMost}
+	list := brick.ListQuery{Prefix: prefix, MaxItems: keysMost}
 	for {
 		x.renew()
 		page, err := x.page(space, shard, list)
--- a/internal/front/s3/list.go
+++ b/internal/front/s3/list.go
@@ -154,7 +154,7 @@
 		return "", nil
 	}
 	lead := x.bucket + "/"
-	list := brick.List{Prefix: lead + l.prefix, Delimiter: l.delimiter, Most: l.most}
+	list := brick.ListQuery{Prefix: lead + l.prefix, Delimiter: l.delimiter, MaxItems: l.most}
 	if after != "" {
 		list.After = lead + after
 	}
@@ -166,7 +166,7 @@
 	last := ""
 	for _, it := range items {
 		last = string(it.Name[len(lead):])
-		if it.Rolled {
+		if it.IsPrefix {
 			out.CommonPrefixes = append(out.CommonPrefixes, commonPrefix{l.text(last)})
 			continue
 		}
--- a/internal/front/s3/multipart.go
+++ b/internal/front/s3/multipart.go
@@ -85,7 +85,7 @@
 		return err
 	}
 	id := newID()
-	call := brick.Call{Space: brick.SpaceUploads, Name: uploadName(x.bucket, x.key, id), Meta: meta, IfAbsent: true}
+	call := brick.Request{Space: brick.SpaceUploads, Name: uploadName(x.bucket, x.key, id), Meta: meta, IfAbsent: true}
 	if _, err := x.store(call, x.objectHome()); err != nil {
 		return err
 	}
@@ -155,14 +155,14 @@
 
 // storeParts stores a part's body as pieces, however small it is.
 func (x *exchange) storeParts(u *upload, base string) ([]run, error) {
-	body := x.s.opt.Spool.Buffer()
+	body := x.s.opt.Spool.NewBuffer()
 	defer body.Release()
 	runs, err := x.storeBody(u, base, body)
 	if err != nil || runs != nil || body.Len() == 0 {
 		return runs, err
 	}
 	name := placement.Piece(base, 0)
-	if _, err := x.store(brick.Call{Space: brick.SpacePieces, Name: name, Body: body}, x.home(name)); err != nil {
+	if _, err := x.store(brick.Request{Space: brick.SpacePieces, Name: name, Body: body}, x.home(name)); err != nil {
 		return []run{{base, body.Len(), x.s.cfg.PieceBytes}}, err
 	}
 	return []run{{base, body.Len(), x.s.cfg.PieceBytes}}, nil
@@ -177,7 +177,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = x.store(brick.Call{Space: brick.SpaceParts, Name: partName(upload, p), Meta: meta}, x.objectHome())
+	_, err = x.store(brick.Request{Space: brick.SpaceParts, Name: partName(upload, p), Meta: meta}, x.objectHome())
 	return err
 }
 
@@ -185,7 +185,7 @@
 // and then of their times.
 func (x *exchange) parts(upload string, shard int) ([]partRecord, error) {
 	var out []partRecord
-	list := brick.List{Prefix: upload + "/", Most: keysMost}
+	list := brick.ListQuery{Prefix: upload + "/", MaxItems: keysMost}
 	for {
 		page, err := x.page(brick.SpaceParts, shard, list)
 		if err != nil {
@@ -335,7 +335,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = x.store(brick.Call{Space: brick.SpaceUploads, Name: uploadName(x.bucket, x.key, id), Meta: meta, IfVersion: version}, x.objectHome())
+	_, err = x.store(brick.Request{Space: brick.SpaceUploads, Name: uploadName(x.bucket, x.key, id), Meta: meta, IfVersion: version}, x.objectHome())
 	if !errors.Is(err, errPrecondition) {
 		return err
 	}
@@ -514,7 +514,7 @@
 	out := uploadsResult{Bucket: x.bucket, KeyMarker: l.text(x.query.Get("key-marker")), UploadIDMarker: x.query.Get("upload-id-marker"),
 		Prefix: l.text(l.prefix), Delimiter: l.text(l.delimiter), EncodingType: l.encodingType(), MaxUploads: l.most}
 	lead := x.bucket + "/"
-	list := brick.List{Prefix: lead + l.prefix, Delimiter: l.delimiter, Most: max(1, l.most)}
+	list := brick.ListQuery{Prefix: lead + l.prefix, Delimiter: l.delimiter, MaxItems: max(1, l.most)}
 	if marker := x.query.Get("key-marker"); marker != "" {
 		list.After = lead + marker + "\x00" + cmp.Or(out.UploadIDMarker, "~") // an id is before "~"
 		if l.delimiter != "" && strings.HasSuffix(marker, l.delimiter) {
@@ -528,7 +528,7 @@
 	for _, it := range items {
 		key, id, _ := strings.Cut(string(it.Name[len(lead):]), "\x00")
 		out.NextKeyMarker, out.NextUploadIDMarker = l.text(key), id
-		if it.Rolled {
+		if it.IsPrefix {
 			out.CommonPrefixes = append(out.CommonPrefixes, commonPrefix{l.text(key)})
 			continue
 		}
--- a/internal/front/s3/put.go
+++ b/internal/front/s3/put.go
@@ -37,7 +37,7 @@
 		return err
 	}
 	id := newID()
-	body := x.s.opt.Spool.Buffer()
+	body := x.s.opt.Spool.NewBuffer()
 	defer body.Release()
 	runs, err := x.storeBody(u, id+"/o", body)
 	if err == nil {
@@ -74,8 +74,8 @@
 }
 
 // writeConditions reads If-Match and If-None-Match of a write.
-func (x *exchange) writeConditions() (brick.Call, error) {
-	var call brick.Call
+func (x *exchange) writeConditions() (brick.Request, error) {
+	var call brick.Request
 	fields := x.c.req.Fields
 	if v, ok := fields.Lookup("If-None-Match"); ok {
 		if v != "*" {
@@ -132,7 +132,7 @@
 			}
 			runs[0].Size += got
 			name := placement.Piece(base, index)
-			call := brick.Call{Space: brick.SpacePieces, Name: name, Body: body}
+			call := brick.Request{Space: brick.SpacePieces, Name: name, Body: body}
 			began := time.Now()
 			if _, err := x.store(call, x.home(name)); err != nil {
 				return runs, err
@@ -167,7 +167,7 @@
 
 // storeRecord writes an object's one record: with its body, or with the list
 // of its pieces. The pieces of the object that it replaces are dropped.
-func (x *exchange) storeRecord(call brick.Call, rec *record, id string, runs []run, body *spool.Buffer) error {
+func (x *exchange) storeRecord(call brick.Request, rec *record, id string, runs []run, body *spool.Buffer) error {
 	call.Space, call.Name = brick.SpaceObjects, placement.Object(x.bucket, x.key)
 	if runs != nil {
 		rec.Data = id
@@ -330,7 +330,7 @@
 	return x.copyFrom(bucket, key, directive == "REPLACE", call)
 }
 
-func (x *exchange) copyFrom(bucket, key string, replace bool, call brick.Call) error {
+func (x *exchange) copyFrom(bucket, key string, replace bool, call brick.Request) error {
 	from := placement.Object(bucket, key)
 	ans, text, ok, err := x.fetch(brick.SpaceObjects, from, x.home(from), true)
 	if err != nil {
@@ -395,7 +395,7 @@
 			if !ok {
 				return nil, errInternal
 			}
-			if _, err := x.store(brick.Call{Space: brick.SpacePieces, Name: to, Body: brick.Bytes(data)}, x.home(to)); err != nil {
+			if _, err := x.store(brick.Request{Space: brick.SpacePieces, Name: to, Body: brick.Bytes(data)}, x.home(to)); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/front/s3/server.go
+++ b/internal/front/s3/server.go
@@ -36,8 +36,8 @@
 	Now    func() time.Time // wall clock for signatures; nil: time.Now
 	// Seen is told what attempts showed of bricks, and Ended how tasks of
 	// collections ended; nil: nobody is.
-	Seen  func(attempts.Seen)
-	Ended func(bucket string, plan, shard int, end host.End)
+	Seen  func(attempts.Observation)
+	Ended func(bucket string, plan, shard int, end host.TaskStatus)
 	// Unready says why nothing can be served, or ""; nil: it always can.
 	Unready func() string
 	// NoAge takes what is found after a stall for fresh; for proofs that must
@@ -113,8 +113,8 @@
 		quit: make(chan struct{}), sizes: sizing.NewEstimator(64 << 10),
 		verifier: sigv4.NewVerifier(cfg.Region, config.MS(cfg.Timeouts.SkewMS), opt.Keys),
 		limits:   http1.Limits{MaxLineBytes: min(16<<10, cfg.Bounds.HeaderBytes), MaxHeadBytes: cfg.Bounds.HeaderBytes, MaxFields: 200}}
-	s.sender = attempts.Sender{Pool: opt.Pool, Host: opt.Host, Config: cfg, Seen: opt.Seen, AnyBrick: opt.AnyBrick}
-	s.longest = s.sender.Longest()
+	s.sender = attempts.Sender{Pool: opt.Pool, Host: opt.Host, Config: cfg, Observe: opt.Seen, AcceptAnyBrick: opt.AnyBrick}
+	s.longest = s.sender.MaxTimeout()
 	s.buckets.init(cfg)
 	s.janitor = startJanitor(s)
 	s.wg.Add(2)
@@ -426,7 +426,7 @@
 
 // serveOne reads and answers one request; false: the connection ends.
 func (c *conn) serveOne() bool {
-	c.s.opt.Host.Alive()
+	c.s.opt.Host.Heartbeat()
 	heads := http1.NewReader(c.in, c.s.limits)
 	if err := heads.ReadRequest(&c.req); err != nil {
 		c.refuseHead(err)
@@ -438,7 +438,7 @@
 	x.begin()
 	x.handle()
 	for _, t := range x.late {
-		c.s.opt.Host.Answered(t)
+		c.s.opt.Host.ResponseSent(t)
 	}
 	if x.close || c.req.Close || c.s.closing.Load() {
 		c.linger()
--- a/internal/front/s3/task.go
+++ b/internal/front/s3/task.go
@@ -30,11 +30,11 @@
 // be a refusal of what was asked, as 404. Else it is the error to answer with.
 func (x *exchange) do(j *job) error {
 	j.ID = x.id
-	j.Task = host.Task{Class: j.class, Volume: x.volume, Units: j.units, Shard: j.shard, Until: x.due(j.class), Again: x.again, Tells: x.tells}
+	j.Task = host.Task{Class: j.class, Volume: x.volume, Units: j.units, Shard: j.shard, Deadline: x.due(j.class), IsRetry: x.again, ReportsResponse: x.tells}
 	if j.class == config.ClassWrite && j.Request.Space == brick.SpaceObjects && x.s.cfg.Classes.Write.Ordered {
 		j.Task.HasKey, j.Task.Key = true, placement.Hash(j.Request.Name)
 	}
-	j.Ready(&x.s.sender)
+	j.Prepare(&x.s.sender)
 	if !x.c.enter(&j.Task) {
 		return errGone
 	}
@@ -44,30 +44,30 @@
 		x.owes(&j.Task)
 	}
 	if ended := x.s.opt.Ended; ended != nil {
-		ended(x.bucket, x.volume.Plan, j.shard, v.End)
+		ended(x.bucket, x.volume.Plan, j.shard, v.Status)
 	}
-	switch v.End {
+	switch v.Status {
 	case host.Served:
-		if j.Answer.Status == 507 {
+		if j.Response.Status == 507 {
 			return errDiskFull
 		}
-		if j.Began && j.Reason != "" {
+		if j.ResponseBegun && j.Reason != "" {
 			return errCut
 		}
 		return nil
 	case host.Refused:
-		return slowDown(v.After)
-	case host.Gone:
+		return slowDown(v.RetryAfter)
+	case host.ClientGone:
 		return errGone
 	}
-	x.s.log.Warn("request failed", "request", x.id, "task", j.Task.ID(), "tries", v.Tries, "last", string(j.Reason))
+	x.s.log.Warn("request failed", "request", x.id, "task", j.Task.ID(), "tries", v.Attempts, "last", string(j.Reason))
 	return errInternal
 }
 
 // owes keeps a task until the client's answer is written, for a host that lets
 // answers go first after a stall. Several may end at once.
 func (x *exchange) owes(t *host.Task) {
-	if !t.Late() {
+	if !t.EndedAfterStall() {
 		return
 	}
 	x.c.mu.Lock()
@@ -81,16 +81,16 @@
 // readJob returns a job that reads a blob.
 func (x *exchange) readJob(space, name string, shard int, size int64) *job {
 	return &job{class: config.ClassRead, shard: shard, units: x.s.cfg.UnitsFor(size),
-		Call: attempts.Call{Request: brick.Call{Method: "GET", Space: space, Name: name}}}
+		Call: attempts.Call{Request: brick.Request{Method: "GET", Space: space, Name: name}}}
 }
 
 // fetch reads a small blob whole. ok is false where there is none.
-func (x *exchange) fetch(space, name string, shard int, body bool) (ans brick.Answer, text []byte, ok bool, err error) {
+func (x *exchange) fetch(space, name string, shard int, body bool) (ans brick.Response, text []byte, ok bool, err error) {
 	j := x.readJob(space, name, shard, 0)
 	if !body {
 		j.Request.Method = "HEAD"
 	} else {
-		j.Take = func(_ *attempts.Call, ans *brick.Answer) error {
+		j.HandleResponse = func(_ *attempts.Call, ans *brick.Response) error {
 			var err error
 			text, err = ans.ReadAll(x.s.opt.Pool, nil, manifestMost)
 			return err
@@ -99,23 +99,23 @@
 	if err := x.do(j); err != nil {
 		return ans, nil, false, err
 	}
-	switch j.Answer.Status {
+	switch j.Response.Status {
 	case 200:
-		return j.Answer, text, true, nil
+		return j.Response, text, true, nil
 	case 404:
-		return j.Answer, nil, false, nil
+		return j.Response, nil, false, nil
 	}
 	return ans, nil, false, x.unexpected(j)
 }
 
 func (x *exchange) unexpected(j *job) error {
 	x.s.log.Error("unexpected answer from a brick", "request", x.id, "brick", string(j.Node.ID),
-		"method", j.Request.Method, "space", j.Request.Space, "status", j.Answer.Status)
+		"method", j.Request.Method, "space", j.Request.Space, "status", j.Response.Status)
 	return errInternal
 }
 
 // store writes a blob. A 412 comes back as errPrecondition.
-func (x *exchange) store(call brick.Call, shard int) (brick.Answer, error) {
+func (x *exchange) store(call brick.Request, shard int) (brick.Response, error) {
 	call.Method = "PUT"
 	var size int64
 	if call.Body != nil {
@@ -123,29 +123,29 @@
 	}
 	j := &job{class: config.ClassWrite, shard: shard, units: x.s.cfg.UnitsFor(size), Call: attempts.Call{Request: call}}
 	if err := x.do(j); err != nil {
-		return brick.Answer{}, err
+		return brick.Response{}, err
 	}
-	switch j.Answer.Status {
+	switch j.Response.Status {
 	case 200:
-		return j.Answer, nil
+		return j.Response, nil
 	case 412:
-		return j.Answer, errPrecondition
+		return j.Response, errPrecondition
 	}
-	return j.Answer, x.unexpected(j)
+	return j.Response, x.unexpected(j)
 }
 
 // remove deletes a blob; ok is false where there was none.
-func (x *exchange) remove(space, name string, shard int, version uint64) (ans brick.Answer, ok bool, err error) {
+func (x *exchange) remove(space, name string, shard int, version uint64) (ans brick.Response, ok bool, err error) {
 	j := &job{class: config.ClassWrite, shard: shard, units: x.s.cfg.UnitsFor(0),
-		Call: attempts.Call{Request: brick.Call{Method: "DELETE", Space: space, Name: name, IfVersion: version}}}
+		Call: attempts.Call{Request: brick.Request{Method: "DELETE", Space: space, Name: name, IfVersion: version}}}
 	if err := x.do(j); err != nil {
 		return ans, false, err
 	}
-	switch j.Answer.Status {
+	switch j.Response.Status {
 	case 204, 404:
-		return j.Answer, j.Answer.Status == 204, nil
+		return j.Response, j.Response.Status == 204, nil
 	case 412:
-		return j.Answer, false, errPrecondition
+		return j.Response, false, errPrecondition
 	}
 	return ans, false, x.unexpected(j)
 }
@@ -154,12 +154,12 @@
 const listMost = 64 << 20
 
 // page reads one page of a space at one shard.
-func (x *exchange) page(space string, shard int, list brick.List) (*brick.ListAnswer, error) {
-	answer := &brick.ListAnswer{}
-	j := x.readJob(space, "", shard, int64(list.Most)*100)
+func (x *exchange) page(space string, shard int, list brick.ListQuery) (*brick.ListResponse, error) {
+	answer := &brick.ListResponse{}
+	j := x.readJob(space, "", shard, int64(list.MaxItems)*100)
 	j.units = min(j.units, x.s.cfg.MostUnits())
 	j.Request.List = &list
-	j.Take = func(_ *attempts.Call, ans *brick.Answer) error {
+	j.HandleResponse = func(_ *attempts.Call, ans *brick.Response) error {
 		text, err := ans.ReadAll(x.s.opt.Pool, nil, listMost)
 		if err != nil {
 			return err
@@ -167,7 +167,7 @@
 		if ans.Status != 200 {
 			return nil
 		}
-		*answer = brick.ListAnswer{}
+		*answer = brick.ListResponse{}
 		if err := json.Unmarshal(text, answer); err != nil {
 			return &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonBadAnswer, Err: err}
 		}
@@ -176,7 +176,7 @@
 	if err := x.do(j); err != nil {
 		return nil, err
 	}
-	if j.Answer.Status != 200 {
+	if j.Response.Status != 200 {
 		return nil, x.unexpected(j)
 	}
 	return answer, nil
@@ -215,8 +215,8 @@
 
 // pagesEverywhere reads a page at each shard and returns all items in order
 // of their names, rolled ones once, and whether there are more.
-func (x *exchange) pagesEverywhere(space string, list brick.List) ([]brick.Listed, bool, error) {
-	pages := make([]*brick.ListAnswer, x.s.slots.Shards())
+func (x *exchange) pagesEverywhere(space string, list brick.ListQuery) ([]brick.ListItem, bool, error) {
+	pages := make([]*brick.ListResponse, x.s.slots.Shards())
 	err := x.everywhere(func(shard int) error {
 		var err error
 		pages[shard], err = x.page(space, shard, list)
@@ -225,14 +225,14 @@
 	if err != nil {
 		return nil, false, err
 	}
-	return mergePages(pages, list.Most)
+	return mergePages(pages, list.MaxItems)
 }
 
 // mergePages merges sorted pages. Each page holds its shard's first most
 // items, so the first most of all are among them.
-func mergePages(pages []*brick.ListAnswer, most int) ([]brick.Listed, bool, error) {
+func mergePages(pages []*brick.ListResponse, most int) ([]brick.ListItem, bool, error) {
 	at := make([]int, len(pages))
-	var out []brick.Listed
+	var out []brick.ListItem
 	for {
 		best := -1
 		for i, p := range pages {
@@ -246,7 +246,7 @@
 		}
 		it := pages[best].Items[at[best]]
 		at[best]++
-		if n := len(out); n > 0 && it.Rolled && out[n-1].Rolled && string(out[n-1].Name) == string(it.Name) {
+		if n := len(out); n > 0 && it.IsPrefix && out[n-1].IsPrefix && string(out[n-1].Name) == string(it.Name) {
 			continue
 		}
 		if len(out) == most {
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -46,7 +46,7 @@
 		}
 		g.words.Clear() // what an order took back may be said again
 		g.keeper.Refresh()
-		g.host.State() // comes back after the host has taken the change
+		g.host.Snapshot() // comes back after the host has taken the change
 	})
 	if g.opt.Control == "" {
 		return nil
@@ -87,29 +87,29 @@
 }
 
 // ended counts how a collection's task ended.
-func (g *Gateway) ended(bucket string, plan, shard int, end host.End) {
+func (g *Gateway) ended(bucket string, plan, shard int, end host.TaskStatus) {
 	if bucket == "" { // a chore of the gateway's own: no collection's
 		return
 	}
-	ends := map[host.End]trafficstats.Outcome{host.Served: trafficstats.Served, host.Refused: trafficstats.Refused, host.Failed: trafficstats.Failed}
+	ends := map[host.TaskStatus]trafficstats.Outcome{host.Served: trafficstats.Served, host.Refused: trafficstats.Refused, host.Failed: trafficstats.Failed}
 	if e, ok := ends[end]; ok {
 		g.desk.Stats.RecordOutcome(bucket, g.opt.Config.Plans[plan].Name, shard, e)
 	}
 }
 
 // HostLabel names this run of this host (control.Source).
-func (g *Gateway) HostLabel() string { return g.host.Label() }
+func (g *Gateway) HostLabel() string { return g.host.RunID() }
 
 // RunningRequests lists the requests that the host owes an answer (control.Source).
 func (g *Gateway) RunningRequests() []control.RunningRequest {
-	state := g.host.State()
+	state := g.host.Snapshot()
 	if state == nil {
 		return nil
 	}
 	out := make([]control.RunningRequest, 0, len(state.Running))
 	for _, r := range state.Running {
-		out = append(out, control.RunningRequest{ID: r.Label, Class: g.host.Settings().Classes[r.Class].Name, Units: r.Units,
-			AgeUS: r.Age.Microseconds(), Stage: r.Stage, Brick: r.Brick, Attempts: r.Tries, Volume: uint64(r.Volume)})
+		out = append(out, control.RunningRequest{ID: r.ClientRequestID, Class: g.host.Settings().Classes[r.Class].Name, Units: r.Units,
+			AgeUS: r.Age.Microseconds(), Stage: r.Stage, Brick: r.Brick, Attempts: r.Attempts, Volume: uint64(r.Volume)})
 	}
 	slices.SortFunc(out, func(a, b control.RunningRequest) int { return cmp.Compare(b.AgeUS, a.AgeUS) })
 	return out
@@ -119,10 +119,10 @@
 func (g *Gateway) Snapshot() *control.Snapshot {
 	now := time.Now()
 	stats, front, use := g.host.Stats(), g.front.Stats(), g.spool.Usage()
-	s := &control.Snapshot{At: now.UnixMicro(), Host: g.host.Label(), Accepted: stats.Taken,
+	s := &control.Snapshot{At: now.UnixMicro(), Host: g.host.RunID(), Accepted: stats.Accepted,
 		Served: stats.Ended["served"], Refused: stats.Ended["refused"], Failed: stats.Ended["failed"], Connections: front.Conns,
 		BodyMemoryBytes: use.Memory, SpoolBytes: use.File, LastEvent: g.desk.LastEventNumber()}
-	state := g.host.State()
+	state := g.host.Snapshot()
 	if state == nil {
 		return s
 	}
@@ -150,7 +150,7 @@
 	for _, e := range g.bricks {
 		bad[e.name] = e.dir.QuarantinedBlocks()
 	}
-	n, longest := g.host.Stalls()
+	n, longest := g.host.StallStats()
 	s.Stalls, s.MaxStallUS = n, longest.Microseconds()
 	warm := arrowwalk.Micros(g.opt.Config.Rules.WarmWithinMS) * 1000
 	for _, st := range g.desk.Statuses() {
@@ -168,7 +168,7 @@
 }
 
 // volumes joins what was counted of collections with the module's view.
-func (g *Gateway) volumes(state *host.State) []control.VolumeStatus {
+func (g *Gateway) volumes(state *host.Snapshot) []control.VolumeStatus {
 	views := map[arrowwalk.VolumeID]arrowwalk.VolumeView{}
 	for _, v := range state.Volumes {
 		views[v.ID] = v
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -121,8 +121,8 @@
 	if g.host, err = host.New(host.Options{Settings: cfg.Module(), Log: g.opt.Log}); err != nil {
 		return err
 	}
-	g.pool = brick.NewPool(brick.PoolOptions{IdlePerBrick: cfg.Bounds.BrickIdle, DialTimeout: config.MS(cfg.Timeouts.DialMS),
-		Stall: config.MS(cfg.Classes.Read.DeadlineMS)})
+	g.pool = brick.NewPool(brick.PoolOptions{MaxIdlePerBrick: cfg.Bounds.BrickIdle, DialTimeout: config.MS(cfg.Timeouts.DialMS),
+		StallTimeout: config.MS(cfg.Classes.Read.DeadlineMS)})
 	g.spool = spool.NewPool(cfg.Bounds.MemoryBytes, cfg.Bounds.SpoolBytes, cfg.Bounds.SpoolDir)
 	if err := g.follow(list); err != nil {
 		return err
@@ -215,7 +215,7 @@
 	cfg := g.opt.Config
 	shape := membership.Topology{Zones: cfg.Zones, Shards: cfg.Shards}
 	keeper, err := membership.StartTracker(membership.TrackerOptions{Topology: shape, Host: g.host, Prober: asker{g.pool}, CacheDir: cfg.CacheDir,
-		Log: g.opt.Log, OnAddresses: g.pool.Keep, TrustCache: g.opt.DropGuard == "expect", OnList: g.listed, Overlay: g.overlay})
+		Log: g.opt.Log, OnAddresses: g.pool.CloseIdleExcept, TrustCache: g.opt.DropGuard == "expect", OnList: g.listed, Overlay: g.overlay})
 	if err != nil {
 		return err
 	}
@@ -256,7 +256,7 @@
 	if !ok {
 		deadline = time.Now().Add(time.Second)
 	}
-	id, err := a.pool.Ask(at, address, name, deadline)
+	id, err := a.pool.Identify(at, address, name, deadline)
 	return evidence(err), id.Started
 }
 
@@ -275,7 +275,7 @@
 }
 
 // seen passes on what an attempt showed.
-func (g *Gateway) seen(s attempts.Seen) {
+func (g *Gateway) seen(s attempts.Observation) {
 	full := s.Reason == brick.ReasonDiskFull
 	turned := g.desk.Stats.RecordAttempt(trafficstats.Attempt{Brick: s.Brick, Volume: s.Volume, Units: s.Units, Latency: s.Latency,
 		OK: s.Reason == "", Reason: string(s.Reason), Util: s.Util, Write: s.Write, Full: full}, time.Now())
--- a/internal/gateway/volumes.go
+++ b/internal/gateway/volumes.go
@@ -48,7 +48,7 @@
 
 func (g *Gateway) openExports() error {
 	store, err := volume.New(volume.Options{Config: g.opt.Config, Host: g.host, Pool: g.pool, Log: g.opt.Log, NoFence: g.opt.DropGuard == "fence", Seen: g.seen,
-		Ended: func(name string, plan, shard int, end host.End) { g.ended("volume/"+name, plan, shard, end) }})
+		Ended: func(name string, plan, shard int, end host.TaskStatus) { g.ended("volume/"+name, plan, shard, end) }})
 	if err != nil {
 		return err
 	}
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -46,9 +46,9 @@
 // message is what others hand to the loop.
 type message struct {
 	event   arrowwalk.Event
-	task    *Task          // of a Request or Outcome
-	members []Member       // of a NodeList
-	ask     func(s *State) // answered by the loop between two steps
+	task    *Task             // of a Request or Outcome
+	members []Member          // of a NodeList
+	ask     func(s *Snapshot) // answered by the loop between two steps
 }
 
 // loop is what only the owner touches: one goroutine at a time, the host's own
@@ -93,8 +93,8 @@
 	return h, nil
 }
 
-// Label names this run of this host: NUMBER-START. Request ids begin with it.
-func (h *Host) Label() string { return h.label }
+// RunID names this run of this host: NUMBER-START. Request ids begin with it.
+func (h *Host) RunID() string { return h.label }
 
 // Settings returns what the module was told at its start.
 func (h *Host) Settings() arrowwalk.Settings { return h.opt.Settings }
@@ -194,69 +194,69 @@
 // Do has the module decide on a task until it has its one final word, and runs
 // its attempts on the caller's goroutine. It returns before Until, give or
 // take a tick, unless an attempt streams its answer.
-func (h *Host) Do(t *Task) Verdict {
+func (h *Host) Do(t *Task) TaskResult {
 	t.taken = time.Now()
 	t.running = -1
 	t.signals = make(chan signal, 4)
 	t.request = arrowwalk.Request{
 		ID: arrowwalk.RequestID(h.last.Add(1)), Class: t.Class, Volume: t.Volume, HasKey: t.HasKey, Key: t.Key,
-		Units: t.Units, Shard: t.Shard, Again: t.Again,
+		Units: t.Units, Shard: t.Shard, Again: t.IsRetry,
 	}
 	h.stats.taken.Add(1)
-	v := Verdict{End: Failed}
+	v := TaskResult{Status: Failed}
 	if h.post(message{event: &t.request, task: t}) {
 		t.begun.Store(true)
 		v = h.follow(t)
 	}
-	h.stats.ended[v.End].Add(1)
+	h.stats.ended[v.Status].Add(1)
 	return v
 }
 
 // follow carries out what the module says of t until it is over.
-func (h *Host) follow(t *Task) Verdict {
+func (h *Host) follow(t *Task) TaskResult {
 	tries := 0
 	for s := range t.signals {
 		switch s.kind {
 		case signalRefuse:
-			return Verdict{End: Refused, After: s.after, Tries: tries}
+			return TaskResult{Status: Refused, RetryAfter: s.after, Attempts: tries}
 		case signalFail, signalStop:
-			return Verdict{End: Failed, Tries: tries}
+			return TaskResult{Status: Failed, Attempts: tries}
 		case signalGone:
-			return Verdict{End: Gone, Tries: tries}
+			return TaskResult{Status: ClientGone, Attempts: tries}
 		}
 		tries++
 		h.alive(t)
 		began := time.Now()
 		r := h.try(t, s)
-		if r.Closed {
+		if r.Final {
 			t.over.Store(true)
 		}
 		h.stats.statuses[r.Status].Add(1)
 		if r.Status != arrowwalk.OK {
-			r.Lay = h.unseen(began)
+			r.SocketDelay = h.unseen(began)
 		}
-		latency := time.Since(began) - r.Lay
+		latency := time.Since(began) - r.SocketDelay
 		h.post(message{task: t, event: &arrowwalk.Outcome{
 			Attempt: arrowwalk.Attempt{Request: t.request.ID, Number: s.number, Node: s.member.ID},
-			Status:  r.Status, Latency: arrowwalk.Micros(latency.Microseconds()), Closed: r.Closed,
-			FleetUse: r.FleetUse, OthersUnits: r.OthersUnits, Load: r.Load,
+			Status:  r.Status, Latency: arrowwalk.Micros(latency.Microseconds()), Closed: r.Final,
+			FleetUse: r.FleetUse, OthersUnits: r.OtherHostsUnits, Load: r.Load,
 		}})
-		if r.Closed {
-			return Verdict{End: Served, Tries: tries}
+		if r.Final {
+			return TaskResult{Status: Served, Attempts: tries}
 		}
 	}
-	return Verdict{End: Failed, Tries: tries}
+	return TaskResult{Status: Failed, Attempts: tries}
 }
 
-func (h *Host) try(t *Task, s signal) Result {
+func (h *Host) try(t *Task, s signal) AttemptResult {
 	if t.over.Load() || !time.Now().Before(s.until) { // the final word came before the attempt began, or comes now
-		return Result{Status: arrowwalk.NotSent}
+		return AttemptResult{Status: arrowwalk.NotSent}
 	}
-	return t.Runner.Try(&Try{Request: t.request.ID, Number: s.number, Member: s.member, Until: s.until})
+	return t.Runner.Try(&Attempt{Request: t.request.ID, Number: s.number, Member: s.member, Deadline: s.until})
 }
 
-// Stream tells that the answer to t has begun: its deadline no longer counts.
-func (h *Host) Stream(t *Task, number int, node arrowwalk.NodeID) {
+// BeginStream tells that the answer to t has begun: its deadline no longer counts.
+func (h *Host) BeginStream(t *Task, number int, node arrowwalk.NodeID) {
 	h.post(message{event: &arrowwalk.StreamStarted{Request: t.request.ID, Attempt: number, Node: node}})
 }
 
@@ -334,9 +334,9 @@
 	switch e := m.event.(type) {
 	case *arrowwalk.Request:
 		// Left counts from this step: the host may have stood still since Do.
-		e.Left = arrowwalk.Micros(h.wall+h.micros(m.task.Until)) - now
+		e.Left = arrowwalk.Micros(h.wall+h.micros(m.task.Deadline)) - now
 		l.tasks[e.ID] = m.task
-		m.task.until = l.until(m.task.Until)
+		m.task.until = l.until(m.task.Deadline)
 	case *arrowwalk.Outcome:
 		m.task.running = -1
 		if e.Closed {
@@ -345,7 +345,7 @@
 	case *arrowwalk.Abandoned:
 		if t := m.task; !t.over.Swap(true) {
 			t.signals <- signal{kind: signalGone}
-			if t.running >= 0 && !t.Outlive {
+			if t.running >= 0 && !t.OutlivesClient {
 				t.Runner.Abort(t.running)
 			}
 		}
@@ -401,7 +401,7 @@
 	if t == nil || t.over.Load() {
 		return
 	}
-	owed := h.catching && t.Tells
+	owed := h.catching && t.ReportsResponse
 	if owed { // before it is over: who sees that sees this too
 		h.still.owe(t)
 		t.late.Store(true)
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -82,20 +82,20 @@
 
 // runner answers as it is told.
 type runner struct {
-	results []Result
+	results []AttemptResult
 	block   chan struct{} // closed by Abort
 	tries   atomic.Int32
 	aborts  atomic.Int32
 	once    sync.Once
 }
 
-func (r *runner) Try(t *Try) Result {
+func (r *runner) Try(t *Attempt) AttemptResult {
 	n := int(r.tries.Add(1)) - 1
 	if n < len(r.results) {
 		return r.results[n]
 	}
 	<-r.block
-	return Result{Status: arrowwalk.Cancelled}
+	return AttemptResult{Status: arrowwalk.Cancelled}
 }
 
 func (r *runner) Abort(int) {
@@ -104,21 +104,21 @@
 }
 
 func TestVerdicts(t *testing.T) {
-	ok := Result{Status: arrowwalk.OK, Closed: true}
+	ok := AttemptResult{Status: arrowwalk.OK, Final: true}
 	for _, c := range []struct {
 		name    string
 		class   int
 		shard   int
-		results []Result
-		end     End
+		results []AttemptResult
+		end     TaskStatus
 		tries   int
 	}{
-		{"served", 0, 0, []Result{ok}, Served, 1},
-		{"served at the second try", 0, 0, []Result{{Status: arrowwalk.Reset}, ok}, Served, 2},
-		{"a write that never ran is tried again", 1, 0, []Result{{Status: arrowwalk.Unreachable}, ok}, Served, 2},
-		{"refused after the last try", 0, 0, []Result{{Status: arrowwalk.Failed}, {Status: arrowwalk.Failed}, {Status: arrowwalk.Failed}}, Refused, 3},
-		{"a write that may have run fails", 1, 0, []Result{{Status: arrowwalk.Failed}, {Status: arrowwalk.Failed}, {Status: arrowwalk.Failed}}, Failed, 3},
-		{"an answer that began is the last", 0, 0, []Result{{Status: arrowwalk.Reset, Closed: true}}, Served, 1},
+		{"served", 0, 0, []AttemptResult{ok}, Served, 1},
+		{"served at the second try", 0, 0, []AttemptResult{{Status: arrowwalk.Reset}, ok}, Served, 2},
+		{"a write that never ran is tried again", 1, 0, []AttemptResult{{Status: arrowwalk.Unreachable}, ok}, Served, 2},
+		{"refused after the last try", 0, 0, []AttemptResult{{Status: arrowwalk.Failed}, {Status: arrowwalk.Failed}, {Status: arrowwalk.Failed}}, Refused, 3},
+		{"a write that may have run fails", 1, 0, []AttemptResult{{Status: arrowwalk.Failed}, {Status: arrowwalk.Failed}, {Status: arrowwalk.Failed}}, Failed, 3},
+		{"an answer that began is the last", 0, 0, []AttemptResult{{Status: arrowwalk.Reset, Final: true}}, Served, 1},
 		{"a silent read is refused in time", 0, 0, nil, Refused, 1},
 		{"a silent write fails in time", 1, 0, nil, Failed, 1},
 		{"no brick holds the shard", 0, 1, nil, Refused, 0},
@@ -130,15 +130,15 @@
 		h.Nodes(arrowwalk.ListSnapshot, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
 		r := &runner{results: c.results, block: make(chan struct{})}
 		began := time.Now()
-		v := h.Do(&Task{Class: c.class, Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 1, Shard: c.shard, Until: began.Add(400 * time.Millisecond), Runner: r})
-		if v.End != c.end || v.Tries != c.tries || int(r.tries.Load()) != c.tries {
+		v := h.Do(&Task{Class: c.class, Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 1, Shard: c.shard, Deadline: began.Add(400 * time.Millisecond), Runner: r})
+		if v.Status != c.end || v.Attempts != c.tries || int(r.tries.Load()) != c.tries {
 			t.Errorf("%s: %+v after %d tries, want %s after %d", c.name, v, r.tries.Load(), c.end, c.tries)
 		}
 		if took := time.Since(began); took > 600*time.Millisecond {
 			t.Errorf("%s: took %s", c.name, took)
 		}
-		if v.End == Refused && v.After != time.Second {
-			t.Errorf("%s: advice %s", c.name, v.After)
+		if v.Status == Refused && v.RetryAfter != time.Second {
+			t.Errorf("%s: advice %s", c.name, v.RetryAfter)
 		}
 		h.Close()
 	}
@@ -153,11 +153,11 @@
 	}
 	h.Nodes(arrowwalk.ListSnapshot, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
 	var wg sync.WaitGroup
-	var ends [Gone + 1]atomic.Int32
-	task := func(results []Result, abandon bool, until time.Duration) {
+	var ends [ClientGone + 1]atomic.Int32
+	task := func(results []AttemptResult, abandon bool, until time.Duration) {
 		defer wg.Done()
 		r := &runner{results: results, block: make(chan struct{})}
-		tk := &Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 0.1, Until: time.Now().Add(until), Runner: r}
+		tk := &Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 0.1, Deadline: time.Now().Add(until), Runner: r}
 		if abandon {
 			go func() {
 				for r.tries.Load() == 0 && !tk.over.Load() {
@@ -166,34 +166,34 @@
 				h.Abandon(tk)
 			}()
 		}
-		ends[h.Do(tk).End].Add(1)
+		ends[h.Do(tk).Status].Add(1)
 	}
 	for i := range 400 {
 		wg.Add(1)
-		go task([]Result{{Status: arrowwalk.OK, Closed: true}}, false, time.Second)
+		go task([]AttemptResult{{Status: arrowwalk.OK, Final: true}}, false, time.Second)
 		if i%100 == 0 {
 			wg.Add(1)
 			go task(nil, true, 2*time.Second)
 		}
 	}
 	wg.Wait()
-	if gone := ends[Gone].Load(); gone != 4 || ends[Served].Load() < 300 {
+	if gone := ends[ClientGone].Load(); gone != 4 || ends[Served].Load() < 300 {
 		t.Errorf("gone %d, served %d, refused %d, failed %d", gone, ends[Served].Load(), ends[Refused].Load(), ends[Failed].Load())
 	}
-	if s := h.State(); len(s.Running) != 0 {
+	if s := h.Snapshot(); len(s.Running) != 0 {
 		t.Errorf("%d tasks are kept", len(s.Running))
 	}
 	wg.Add(1)
 	go task(nil, false, time.Minute)
-	for len(h.State().Running) == 0 {
+	for len(h.Snapshot().Running) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	h.Close()
 	wg.Wait()
-	if v := h.Do(&Task{Runner: &runner{}}); v.End != Failed {
+	if v := h.Do(&Task{Runner: &runner{}}); v.Status != Failed {
 		t.Errorf("after the stop: %+v", v)
 	}
-	if s := h.Stats(); s.Taken != s.Ended["served"]+s.Ended["refused"]+s.Ended["failed"]+s.Ended["gone"] {
+	if s := h.Stats(); s.Accepted != s.Ended["served"]+s.Ended["refused"]+s.Ended["failed"]+s.Ended["gone"] {
 		t.Errorf("%+v", s)
 	}
 }
@@ -208,24 +208,24 @@
 	defer h.Close()
 	h.Nodes(arrowwalk.ListSnapshot, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
 	r := &runner{block: make(chan struct{})}
-	tk := &Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 0.1, Until: time.Now().Add(time.Minute), Runner: r, Outlive: true}
+	tk := &Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 0.1, Deadline: time.Now().Add(time.Minute), Runner: r, OutlivesClient: true}
 	if h.Abandon(tk) {
 		t.Error("a task that was not begun is abandoned")
 	}
-	end := make(chan End)
-	go func() { end <- h.Do(tk).End }()
+	end := make(chan TaskStatus)
+	go func() { end <- h.Do(tk).Status }()
 	for r.tries.Load() == 0 || !h.Abandon(tk) {
 		time.Sleep(time.Millisecond)
 	}
-	h.State() // a step later
+	h.Snapshot() // a step later
 	if r.aborts.Load() != 0 {
 		t.Error("the attempt was aborted")
 	}
 	close(r.block)
-	if got := <-end; got != Gone {
+	if got := <-end; got != ClientGone {
 		t.Errorf("ended as %s", got)
 	}
-	if s := h.State(); len(s.Running) != 0 {
+	if s := h.Snapshot(); len(s.Running) != 0 {
 		t.Errorf("%d tasks are kept", len(s.Running))
 	}
 }
@@ -238,10 +238,10 @@
 	}
 	defer h.Close()
 	h.Nodes(arrowwalk.ListSnapshot, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
-	ok := []Result{{Status: arrowwalk.OK, Closed: true}}
+	ok := []AttemptResult{{Status: arrowwalk.OK, Final: true}}
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			h.Do(&Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 0.01, Until: time.Now().Add(time.Second), Runner: &runner{results: ok}})
+			h.Do(&Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 0.01, Deadline: time.Now().Add(time.Second), Runner: &runner{results: ok}})
 		}
 	})
 }
@@ -261,7 +261,7 @@
 			}
 			defer func() { h.Close() }()
 			h.Nodes(arrowwalk.ListSnapshot, 1, members)
-			ok := []Result{{Status: arrowwalk.OK, Closed: true}}
+			ok := []AttemptResult{{Status: arrowwalk.OK, Final: true}}
 			for i := 0; b.Loop(); i++ {
 				switch what {
 				case "start":
@@ -273,10 +273,10 @@
 				case "change":
 					h.Nodes(arrowwalk.ListDelta, int64(i), members[i%5000:i%5000+1])
 				default:
-					h.Do(&Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 0.01, Shard: i % 5000, Until: time.Now().Add(time.Second), Runner: &runner{results: ok}})
+					h.Do(&Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 0.01, Shard: i % 5000, Deadline: time.Now().Add(time.Second), Runner: &runner{results: ok}})
 				}
 			}
-			b.ReportMetric(float64(h.Stats().StepMost.Microseconds()), "worst-step-us")
+			b.ReportMetric(float64(h.Stats().MaxStepTime.Microseconds()), "worst-step-us")
 		})
 	}
 }
--- a/internal/host/shutdown_test.go
+++ b/internal/host/shutdown_test.go
@@ -19,8 +19,8 @@
 	h.Nodes(arrowwalk.ListSnapshot, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
 	var wg sync.WaitGroup
 	do := func(r *runner) {
-		v := h.Do(&Task{Class: 1, Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 1, Until: time.Now().Add(time.Minute), Runner: r})
-		if v.End != Failed && v.End != Refused {
+		v := h.Do(&Task{Class: 1, Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 1, Deadline: time.Now().Add(time.Minute), Runner: r})
+		if v.Status != Failed && v.Status != Refused {
 			t.Errorf("%+v", v)
 		}
 	}
--- a/internal/host/still.go
+++ b/internal/host/still.go
@@ -125,11 +125,11 @@
 	}
 }
 
-// Alive is a sign of life: who is about to read something new calls it. Where
+// Heartbeat is a sign of life: who is about to read something new calls it. Where
 // it ends a stall, the module is stepped first, so that what is overdue has its
 // final word, and the call waits until those words are out, for a bounded time.
 // On the usual way it is a clock and a load.
-func (h *Host) Alive() { h.alive(nil) }
+func (h *Host) Heartbeat() { h.alive(nil) }
 
 // alive is Alive for what is to be sent for t; nil: for what is to be read.
 func (h *Host) alive(t *Task) {
@@ -215,10 +215,10 @@
 	}
 }
 
-// Stood tells whether the host stood still and went on less than span ago, and
+// RecentStall tells whether the host stood still and went on less than span ago, and
 // when the first such stall began. Bytes that are read then may have lain in
 // their socket. On the usual way it is a clock and a load.
-func (h *Host) Stood(span time.Duration) (from time.Time, ok bool) {
+func (h *Host) RecentStall(span time.Duration) (from time.Time, ok bool) {
 	now := h.now()
 	limit := h.still.limit.Load() // first: who sees the new limit must see the stall that made it
 	ended := h.still.ended.Load()
@@ -239,12 +239,12 @@
 // what came last may have come when room was made for it, just now.
 const windowLeast = 32 << 10
 
-// Came returns since when a client may have waited of whose request got bytes
+// RequestArrival returns since when a client may have waited of whose request got bytes
 // were just read, and rest bytes are to be read on the connection, which was
 // seen empty at a time; rest -1: that is not known. It is told where the host
 // stood still and went on less than span ago; what was read may have lain there.
-func (h *Host) Came(raw syscall.RawConn, empty time.Time, got int, rest int64, span time.Duration) (time.Time, bool) {
-	from, ok := h.Stood(span)
+func (h *Host) RequestArrival(raw syscall.RawConn, empty time.Time, got int, rest int64, span time.Duration) (time.Time, bool) {
+	from, ok := h.RecentStall(span)
 	if !ok {
 		return time.Time{}, false
 	}
@@ -255,10 +255,10 @@
 	return h.base.Add(time.Duration(f.ArrivalTime(h.micros(from))) * time.Microsecond), true
 }
 
-// Lay returns how long an attempt's answer, whose head was just read, lay in
+// SocketDelay returns how long an attempt's answer, whose head was just read, lay in
 // its socket because the host stood still, where that was less than span ago.
-func (h *Host) Lay(raw syscall.RawConn, began time.Time, span time.Duration) time.Duration {
-	came, ok := h.Came(raw, began, 0, 0, span)
+func (h *Host) SocketDelay(raw syscall.RawConn, began time.Time, span time.Duration) time.Duration {
+	came, ok := h.RequestArrival(raw, began, 0, 0, span)
 	if !ok {
 		return 0
 	}
@@ -280,17 +280,17 @@
 
 func (h *Host) micros(t time.Time) int64 { return t.Sub(h.base).Microseconds() }
 
-// Answered tells that the final word of a task of Do is on its way to the
+// ResponseSent tells that the final word of a task of Do is on its way to the
 // client. A front that writes one after a stall calls it; else the new waits
 // for that word as long as it may.
-func (h *Host) Answered(t *Task) {
+func (h *Host) ResponseSent(t *Task) {
 	if t.late.Load() {
 		h.still.paid(t)
 	}
 }
 
-// Stalls returns how often the host stood still, and for how long at most.
-func (h *Host) Stalls() (n uint64, longest time.Duration) {
+// StallStats returns how often the host stood still, and for how long at most.
+func (h *Host) StallStats() (n uint64, longest time.Duration) {
 	h.still.mu.Lock()
 	defer h.still.mu.Unlock()
 	n, most := h.still.detect.Totals()
--- a/internal/host/still_test.go
+++ b/internal/host/still_test.go
@@ -29,10 +29,10 @@
 			t.Fatal(err)
 		}
 		h.Nodes(arrowwalk.ListSnapshot, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
-		if _, ok := h.Stood(time.Minute); ok {
+		if _, ok := h.RecentStall(time.Minute); ok {
 			t.Error("a stall before there was one")
 		}
-		old := &Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 1, Until: time.Now().Add(50 * time.Millisecond), Tells: true,
+		old := &Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 1, Deadline: time.Now().Add(50 * time.Millisecond), ReportsResponse: true,
 			Runner: &runner{block: make(chan struct{})}}
 		var wg sync.WaitGroup
 		wg.Add(1)
@@ -41,30 +41,30 @@
 			defer wg.Done()
 			v := h.Do(old)
 			word = time.Now()
-			if v.End != Refused && v.End != Failed || !old.Late() {
-				t.Errorf("overdue: %+v, late %v", v, old.Late())
+			if v.Status != Refused && v.Status != Failed || !old.EndedAfterStall() {
+				t.Errorf("overdue: %+v, late %v", v, old.EndedAfterStall())
 			}
 			if written {
 				time.Sleep(5 * time.Millisecond) // writing takes its time
 				answered = time.Now()
-				h.Answered(old)
+				h.ResponseSent(old)
 			}
 		}()
-		for len(h.State().Running) == 0 {
+		for len(h.Snapshot().Running) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		before := time.Now().Add(-time.Second)
 		began := stand(h, 600*time.Millisecond)
-		h.Alive()
+		h.Heartbeat()
 		passed := time.Now()
 		wg.Wait()
-		from, ok := h.Stood(time.Minute)
+		from, ok := h.RecentStall(time.Minute)
 		// A beat that waits for the lock looked at the clock before it: the stall
 		// begins there, a beat late at the usual pace.
 		if !ok || from.After(began.Add(300*time.Millisecond)) || from.Before(before) {
 			t.Errorf("stood: %v, %s after it did", ok, from.Sub(began))
 		}
-		if n, most := h.Stalls(); n == 0 || most < 600*time.Millisecond-max(0, from.Sub(began)) {
+		if n, most := h.StallStats(); n == 0 || most < 600*time.Millisecond-max(0, from.Sub(began)) {
 			t.Errorf("%d stalls, the longest %s", n, most)
 		}
 		if written && passed.Before(answered) {
@@ -73,11 +73,11 @@
 		if wait := passed.Sub(word); !written && wait > 200*time.Millisecond {
 			t.Errorf("the new waited %s for a word that is never written", wait)
 		}
-		for len(h.State().Running) > 0 { // its attempt is called off
+		for len(h.Snapshot().Running) > 0 { // its attempt is called off
 			time.Sleep(time.Millisecond)
 		}
-		r := &runner{results: []Result{{Status: arrowwalk.OK, Closed: true}}}
-		if v := h.Do(&Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 1, Until: time.Now().Add(time.Second), Runner: r}); v.End != Served {
+		r := &runner{results: []AttemptResult{{Status: arrowwalk.OK, Final: true}}}
+		if v := h.Do(&Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 1, Deadline: time.Now().Add(time.Second), Runner: r}); v.Status != Served {
 			t.Errorf("after the stall: %+v", v)
 		}
 		h.Close()
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -29,9 +29,9 @@
 	shards int
 }
 
-// Even spreads the slots over shards as evenly as can be: slot s goes to shard
+// NewEven spreads the slots over shards as evenly as can be: slot s goes to shard
 // s mod shards.
-func Even(shards int) (*Map, error) {
+func NewEven(shards int) (*Map, error) {
 	if shards < 1 || shards > Slots {
 		return nil, fmt.Errorf("shards: %d is not from 1 to %d", shards, Slots)
 	}
@@ -42,9 +42,9 @@
 	return m, nil
 }
 
-// FromRanges makes a map of a table in which each slot must occur once.
-func FromRanges(shards int, table []Range) (*Map, error) {
-	m, err := Even(shards)
+// NewFromRanges makes a map of a table in which each slot must occur once.
+func NewFromRanges(shards int, table []Range) (*Map, error) {
+	m, err := NewEven(shards)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -17,7 +17,7 @@
 	}
 	for name, shape := range shapes {
 		for _, shards := range []int{3, 6, 42} {
-			m, err := Even(shards)
+			m, err := NewEven(shards)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -59,7 +59,7 @@
 		{2, []Range{{5, 4, 0}}, "slots[0]: 5 to 4"},
 		{0, nil, "shards: 0"},
 	} {
-		m, err := FromRanges(c.shards, c.table)
+		m, err := NewFromRanges(c.shards, c.table)
 		if c.err == "" {
 			if err != nil || m.shard[0] != 0 || m.shard[4095] != 1 {
 				t.Errorf("%+v: %v", c, err)
--- a/internal/platform/frontend/conn.go
+++ b/internal/platform/frontend/conn.go
@@ -119,7 +119,7 @@
 
 // serveOne reads and answers one request; false: the connection ends.
 func (c *conn) serveOne() bool {
-	c.s.opt.Host.Alive()
+	c.s.opt.Host.Heartbeat()
 	if err := http1.NewReader(c.in, c.s.limits).ReadRequest(&c.req); err != nil {
 		return c.refuse(err)
 	}
@@ -209,7 +209,7 @@
 	x.call.Init(c.s.opt.Sender)
 	x.call.ClientGone = c.lookLeft
 	x.task = host.Task{Class: a.class, Volume: a.volume, Key: a.piece, HasKey: true, Units: a.units, Shard: a.shard,
-		Until: c.came().Add(a.timeout), Again: a.again, Runner: &x.call, Label: a.id, Outlive: true, Tells: true}
+		Deadline: c.came().Add(a.timeout), IsRetry: a.again, Runner: &x.call, ClientRequestID: a.id, OutlivesClient: true, ReportsResponse: true}
 	c.asked++
 	c.s.stats.requests.Add(1)
 	if !c.enter(x) {
@@ -219,13 +219,13 @@
 	v := c.s.opt.Host.Do(&x.task)
 	c.leave(x)
 	defer x.call.ReleaseResponse()
-	defer c.s.opt.Host.Answered(&x.task)
-	switch v.End {
+	defer c.s.opt.Host.ResponseSent(&x.task)
+	switch v.Status {
 	case host.Served:
 		return c.answer(200, "", x.call.ResponseBody)
 	case host.Refused:
-		return c.answer(503, c.retryAfter(v.After), nil)
-	case host.Gone:
+		return c.answer(503, c.retryAfter(v.RetryAfter), nil)
+	case host.ClientGone:
 		c.s.stats.gone.Add(1)
 		return false
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -208,5 +208,5 @@
 	open, idle, dialed := p.sender.Counts()
 	return []any{"requests", s.Requests, "bad", s.Rejected, "gone", s.ClientsGone, "evicted", s.Evicted, "turned", s.TurnedAway,
 		"draining", s.Draining, "open", s.Open, "conns", s.Conns, "brick_conns", open, "brick_idle", idle, "dialed", dialed,
-		"ended", h.Ended, "attempts", h.Attempts, "stalls", h.Stalls, "stall_max", h.StallMax, "step_mean", h.StepMean}
+		"ended", h.Ended, "attempts", h.Attempts, "stalls", h.Stalls, "stall_max", h.MaxStall, "step_mean", h.MeanStepTime}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -380,7 +380,7 @@
 	if _, _, now := r.p.sender.Counts(); now-dialed > 1 {
 		t.Errorf("%d new connections for 3 requests in turn", now-dialed)
 	}
-	if running := r.p.host.State().Running; len(running) != 0 {
+	if running := r.p.host.Snapshot().Running; len(running) != 0 {
 		t.Errorf("kept: %+v", running)
 	}
 	r.p.Stop(context.Background())
@@ -459,7 +459,7 @@
 			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), goroutines)
 		}
 	}
-	s := r.p.host.State()
+	s := r.p.host.Snapshot()
 	if len(s.Members) != 2 || len(s.Nodes) != 2 || len(s.Running) != 0 || open > 16 { // eight a brick, as they rest
 		t.Errorf("%d members, %d nodes, %d requests, %d connections to bricks are kept", len(s.Members), len(s.Nodes), len(s.Running), open)
 	}
--- a/internal/platform/start_test.go
+++ b/internal/platform/start_test.go
@@ -37,7 +37,7 @@
 	defer agent.Stop()
 	p := startAt(t, agent.Addr())
 	defer p.Stop(context.Background())
-	if s := p.host.State(); len(s.Members) != 2 {
+	if s := p.host.Snapshot(); len(s.Members) != 2 {
 		t.Errorf("%d bricks are known", len(s.Members))
 	}
 }
--- a/internal/platform/upstream/exit.go
+++ b/internal/platform/upstream/exit.go
@@ -105,27 +105,27 @@
 func (c *Call) AbortAll() { c.attempt.AbortAll() }
 
 // Try makes an attempt (host.Runner).
-func (c *Call) Try(t *host.Try) host.Result {
+func (c *Call) Try(t *host.Attempt) host.AttemptResult {
 	if !c.attempt.Begin(t.Number) || t.Member.Address == "" {
-		return host.Result{Status: arrowwalk.NotSent}
+		return host.AttemptResult{Status: arrowwalk.NotSent}
 	}
 	s, at := c.sender, &c.attempt.Attempt
 	began := time.Now()
-	nc, err := s.pool.Get(at, t.Member.Address, t.Until)
+	nc, err := s.pool.Get(at, t.Member.Address, t.Deadline)
 	if err != nil {
-		return host.Result{Status: arrowwalk.Unreachable}
+		return host.AttemptResult{Status: arrowwalk.Unreachable}
 	}
-	if !at.Attach(nc.Conn, t.Until) {
+	if !at.Attach(nc.Conn, t.Deadline) {
 		s.pool.Put(nc)
-		return host.Result{Status: arrowwalk.NotSent}
+		return host.AttemptResult{Status: arrowwalk.NotSent}
 	}
 	if c.ClientGone != nil && c.ClientGone() { // perhaps while the connection came up
 		at.Detach()
 		nc.SetDeadline(time.Time{})
 		s.pool.Put(nc)
-		return host.Result{Status: arrowwalk.NotSent}
+		return host.AttemptResult{Status: arrowwalk.NotSent}
 	}
-	r, clean := c.exchange(nc, t.Until, began)
+	r, clean := c.exchange(nc, t.Deadline, began)
 	if at.Detach() && clean {
 		nc.SetDeadline(time.Time{})
 		s.pool.Put(nc)
@@ -137,26 +137,26 @@
 
 // exchange sends the request and reads its answer; clean: the connection may
 // carry another.
-func (c *Call) exchange(nc *connpool.Conn, until, began time.Time) (r host.Result, clean bool) {
+func (c *Call) exchange(nc *connpool.Conn, until, began time.Time) (r host.AttemptResult, clean bool) {
 	nc.WriteBuf = c.append(nc.WriteBuf[:0], time.Until(until))
 	if n, err := nc.Write(nc.WriteBuf); err != nil {
 		if n < len(nc.WriteBuf) { // a brick begins a request when its last byte has come
-			return host.Result{Status: arrowwalk.Unreachable}, false
+			return host.AttemptResult{Status: arrowwalk.Unreachable}, false
 		}
-		return host.Result{Status: c.broken(err)}, false
+		return host.AttemptResult{Status: c.broken(err)}, false
 	}
 	var head http1.Response
 	if err := readHead(nc, &head, c.Method); err != nil {
-		return host.Result{Status: c.broken(err)}, false
+		return host.AttemptResult{Status: c.broken(err)}, false
 	}
 	if err := c.readBody(nc, &head); err != nil {
 		c.ReleaseResponse()
-		return host.Result{Status: c.broken(err)}, false
+		return host.AttemptResult{Status: c.broken(err)}, false
 	}
 	r = c.told(&head)
-	r.Lay = c.sender.opt.Host.Lay(nc.RawConn, began, c.sender.opt.MaxClientWait)
+	r.SocketDelay = c.sender.opt.Host.SocketDelay(nc.RawConn, began, c.sender.opt.MaxClientWait)
 	if r.Status == arrowwalk.OK {
-		r.Closed = true
+		r.Final = true
 	} else {
 		c.ReleaseResponse()
 	}
@@ -235,8 +235,8 @@
 }
 
 // told returns what a whole answer tells the module.
-func (c *Call) told(head *http1.Response) host.Result {
-	r := host.Result{Status: statusOf(head)}
+func (c *Call) told(head *http1.Response) host.AttemptResult {
+	r := host.AttemptResult{Status: statusOf(head)}
 	for i := range head.Fields {
 		name, value := head.Fields[i].Name, head.Fields[i].Value
 		switch {
@@ -246,7 +246,7 @@
 			}
 		case strings.EqualFold(name, headerElsewhere):
 			if units, ok := figure(value); ok {
-				r.OthersUnits = units
+				r.OtherHostsUnits = units
 			}
 		case strings.EqualFold(name, headerLoad):
 			r.Load = report(value, c.sender.opt.LoadFields)
--- a/internal/platform/upstream/exit_test.go
+++ b/internal/platform/upstream/exit_test.go
@@ -47,8 +47,8 @@
 	return c
 }
 
-func try(c *Call, address string, wait time.Duration) host.Result {
-	return c.Try(&host.Try{Member: host.Member{Address: address}, Until: time.Now().Add(wait)})
+func try(c *Call, address string, wait time.Duration) host.AttemptResult {
+	return c.Try(&host.Attempt{Member: host.Member{Address: address}, Deadline: time.Now().Add(wait)})
 }
 
 const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -100,7 +100,7 @@
 		}
 		r := try(call, addr, wait)
 		defer call.ReleaseResponse()
-		if r.Status != c.status || r.Closed != (c.status == arrowwalk.OK) || r.Closed != (string(call.ResponseBody) == "ok") {
+		if r.Status != c.status || r.Final != (c.status == arrowwalk.OK) || r.Final != (string(call.ResponseBody) == "ok") {
 			t.Errorf("%s: %+v with %q", c.name, r, call.ResponseBody)
 		}
 		if kept := s.pool.PopIdle(addr); (kept != nil) != c.kept {
@@ -170,11 +170,11 @@
 		t.Errorf("aborted while it waits: %+v", r)
 	}
 	call.Abort(1)
-	if r := call.Try(&host.Try{Number: 1, Member: host.Member{Address: addr}, Until: time.Now().Add(time.Second)}); r.Status != arrowwalk.NotSent {
+	if r := call.Try(&host.Attempt{Number: 1, Member: host.Member{Address: addr}, Deadline: time.Now().Add(time.Second)}); r.Status != arrowwalk.NotSent {
 		t.Errorf("aborted before it began: %+v", r)
 	}
 	served, _ := brick(t, false, good)
-	if r := call.Try(&host.Try{Number: 2, Member: host.Member{Address: served}, Until: time.Now().Add(5 * time.Second)}); r.Status != arrowwalk.OK {
+	if r := call.Try(&host.Attempt{Number: 2, Member: host.Member{Address: served}, Deadline: time.Now().Add(5 * time.Second)}); r.Status != arrowwalk.OK {
 		t.Errorf("the next attempt: %+v", r)
 	}
 }
@@ -196,7 +196,7 @@
 	} {
 		addr, _ := brick(t, false, "HTTP/1.1 200 OK\r\n"+c.fields+"Content-Length: 2\r\n\r\nok")
 		r := try(newCall(s), addr, 5*time.Second)
-		if r.Status != arrowwalk.OK || r.FleetUse != c.use || r.OthersUnits != c.units || !slices.Equal(r.Load, c.load) {
+		if r.Status != arrowwalk.OK || r.FleetUse != c.use || r.OtherHostsUnits != c.units || !slices.Equal(r.Load, c.load) {
 			t.Errorf("%q: %+v", c.fields, r)
 		}
 	}
--- a/internal/platform/upstream/race_test.go
+++ b/internal/platform/upstream/race_test.go
@@ -97,7 +97,7 @@
 	var first net.Conn
 	for n := range 2 {
 		call := newCall(s)
-		done := make(chan host.Result, 1)
+		done := make(chan host.AttemptResult, 1)
 		go func() { done <- try(call, b.addr(), 10*time.Second) }()
 		nc := <-b.asked
 		if n == 0 {
@@ -123,7 +123,7 @@
 	b, d := newHeld(t), newHeldDial()
 	s := sender(t, func(o *Options) { o.Dial = d.dial })
 	call := newCall(s)
-	done := make(chan host.Result, 1)
+	done := make(chan host.AttemptResult, 1)
 	go func() { done <- try(call, b.addr(), 10*time.Second) }()
 	<-d.up
 	call.Abort(0)
@@ -145,8 +145,8 @@
 	b, d := newHeld(t), newHeldDial()
 	s := sender(t, func(o *Options) { o.Dial = d.dial })
 	call, until := newCall(s), time.Now().Add(10*time.Second)
-	done := make(chan host.Result, 1)
-	go func() { done <- call.Try(&host.Try{Member: host.Member{Address: b.addr()}, Until: until}) }()
+	done := make(chan host.AttemptResult, 1)
+	go func() { done <- call.Try(&host.Attempt{Member: host.Member{Address: b.addr()}, Deadline: until}) }()
 	<-d.up
 	for time.Until(until) > 9900*time.Millisecond { // the connection comes up late
 		<-time.After(time.Millisecond)
@@ -169,13 +169,13 @@
 		b := newHeld(t)
 		s := sender(t, func(*Options) {})
 		call := newCall(s)
-		done := make(chan host.Result, 1)
+		done := make(chan host.AttemptResult, 1)
 		go func() { done <- try(call, b.addr(), 10*time.Second) }()
 		nc := <-b.asked
 		io.WriteString(nc, text)
 		nc.(*net.TCPConn).SetLinger(0)
 		nc.Close()
-		if r := <-done; r.Closed || r.Status == arrowwalk.OK || r.Status.NeverRan() {
+		if r := <-done; r.Final || r.Status == arrowwalk.OK || r.Status.NeverRan() {
 			t.Errorf("%q: %+v", text, r)
 		}
 		if open, _, _ := s.Counts(); open != 0 {
--- a/internal/prove/badday.go
+++ b/internal/prove/badday.go
@@ -318,11 +318,11 @@
 		{"a brick fails", of(brickd.Fault{Status: 500}, r.between(1, 4))},
 		{"a brick resets reads in mid-body", reads(of(brickd.Fault{CutAfter: int64(r.between(1, 2000))}, r.between(2, 4)))},
 		{"a brick resets writes before the answer", bricks.Script{Fault: brickd.Fault{CutAfter: -1}, Every: r.between(1, 3), Writes: true, Keep: true}},
-		{"a brick answers twice", of(brickd.Fault{Twice: true}, r.between(2, 5))},
+		{"a brick answers twice", of(brickd.Fault{RespondTwice: true}, r.between(2, 5))},
 		{"a brick answers garbage", of(brickd.Fault{Garbage: true}, r.between(2, 5))},
-		{"a header without end", of(brickd.Fault{Endless: true}, r.between(3, 5))},
-		{"too few bytes", reads(of(brickd.Fault{Short: int64(r.between(1, 20))}, r.between(2, 4)))},
-		{"too many bytes", reads(of(brickd.Fault{Long: int64(r.between(1, 20))}, r.between(2, 4)))},
+		{"a header without end", of(brickd.Fault{EndlessHeader: true}, r.between(3, 5))},
+		{"too few bytes", reads(of(brickd.Fault{MissingBytes: int64(r.between(1, 20))}, r.between(2, 4)))},
+		{"too many bytes", reads(of(brickd.Fault{ExtraBytes: int64(r.between(1, 20))}, r.between(2, 4)))},
 	}
 	r.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list
@@ -341,7 +341,7 @@
 	}
 	// For longer than bricks remember writes.
 	silent := r.span(0.8, 1.6)
-	list = append(list, d.faulty("a brick does its work and says nothing", at[3], silent, r.span(4.2, 5.3), bricks.Script{Fault: brickd.Fault{Silent: true}}))
+	list = append(list, d.faulty("a brick does its work and says nothing", at[3], silent, r.span(4.2, 5.3), bricks.Script{Fault: brickd.Fault{DropResponse: true}}))
 	list = append(list, d.dies(r, at[4], "brick-back", r.span(1.0, 3.0)), d.drains(r, at[5], "brick-new", r.span(2.5, 5)))
 	clock, jump := r.span(0.5, 5), time.Duration(r.between(-180, 180))*time.Minute
 	list = append(list, trouble{"a gateway's clock jumps", []step{
@@ -408,7 +408,7 @@
 
 // evening is what only the long form plays: troubles that overlap.
 func (d *day) evening(r dice, at, gw []int) ([]trouble, time.Duration) {
-	mute := bricks.Script{Fault: brickd.Fault{Mute: true}}
+	mute := bricks.Script{Fault: brickd.Fault{IgnoreRequest: true}}
 	lossy := bricks.Script{Fault: brickd.Fault{CutAfter: -1}, Every: r.between(8, 20)}
 	var list []trouble
 	for i, shard := range at[:2] {
--- a/internal/prove/console.go
+++ b/internal/prove/console.go
@@ -256,7 +256,7 @@
 	}
 	defer c.Close()
 	name := e.one()
-	e.bricks[name].Play(bricks.Script{Fault: brickd.Fault{Mute: true}})
+	e.bricks[name].Play(bricks.Script{Fault: brickd.Fault{IgnoreRequest: true}})
 	if err := wait(ctx, e.dice.span(0.1, 0.5)); err != nil {
 		return err
 	}
--- a/internal/prove/nodiscovery.go
+++ b/internal/prove/nodiscovery.go
@@ -357,7 +357,7 @@
 // writers' names alone would not do: half of them lie on bricks that are gone
 // or drain, and a writer that met one waits for most of the time.
 func (n *quietNight) look(ctx context.Context, by time.Duration) error {
-	slots, err := placement.Even(n.shape.Shards)
+	slots, err := placement.NewEven(n.shape.Shards)
 	if err != nil {
 		return err
 	}
--- a/internal/prove/replay.go
+++ b/internal/prove/replay.go
@@ -435,7 +435,7 @@
 	case "fail":
 		script(bricks.Script{Fault: brickd.Fault{Status: 500}, Every: max(1, int(1/max(e.By, 0.01)))})
 	case "lose":
-		script(bricks.Script{Fault: brickd.Fault{Silent: true}, Every: max(1, int(1/max(e.By, 0.01)))})
+		script(bricks.Script{Fault: brickd.Fault{DropResponse: true}, Every: max(1, int(1/max(e.By, 0.01)))})
 	case "still":
 		r.pause(e, some, time.Now().Add(span), later)
 	case "surge", "heavy":
--- a/internal/prove/rings.go
+++ b/internal/prove/rings.go
@@ -229,7 +229,7 @@
 	crash := func(ctx context.Context) error { return r.crash(ctx, socket) }
 	cold := names[d.IntN(3)]
 	list := []chapter{
-		{"a brick loses answers", on(bricks.Script{Fault: brickd.Fault{Silent: true}, Every: d.between(8, 20)})},
+		{"a brick loses answers", on(bricks.Script{Fault: brickd.Fault{DropResponse: true}, Every: d.between(8, 20)})},
 		{"a brick fails", on(bricks.Script{Fault: brickd.Fault{Status: 500}, Every: d.between(5, 15)})},
 		{"a brick is slow", on(bricks.Script{Fault: brickd.Fault{Delay: d.span(0.01, 0.1)}, Every: d.between(1, 4)})},
 		{"the gateway is killed", crash},
--- a/internal/prove/stores.go
+++ b/internal/prove/stores.go
@@ -316,7 +316,7 @@
 		err := wait(ctx, time.Second)
 		flips := d.flipReads()
 		for _, b := range d.bricks {
-			b.Play(bricks.Script{Fault: brickd.Fault{Flip: true, Bare: opt.Guard == "sums"}, Every: 7, Reads: true})
+			b.Play(bricks.Script{Fault: brickd.Fault{FlipBit: true, OmitChecksums: opt.Guard == "sums"}, Every: 7, Reads: true})
 		}
 		spoilt := 0
 		for i := 0; i < spots && err == nil; i++ {
--- a/internal/sizing/sizing.go
+++ b/internal/sizing/sizing.go
@@ -23,8 +23,8 @@
 	return &Estimator{all: float64(first), means: map[uint64]float64{}}
 }
 
-// Guess returns the expected size of a volume's next read, at most most bytes.
-func (e *Estimator) Guess(volume uint64, most int64) int64 {
+// Estimate returns the expected size of a volume's next read, at most most bytes.
+func (e *Estimator) Estimate(volume uint64, most int64) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	mean, ok := e.means[volume]
@@ -34,8 +34,8 @@
 	return min(int64(mean), most)
 }
 
-// Saw takes in the size of a read of a volume.
-func (e *Estimator) Saw(volume uint64, size int64) {
+// Observe takes in the size of a read of a volume.
+func (e *Estimator) Observe(volume uint64, size int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.all += gain * (float64(size) - e.all)
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -66,14 +66,14 @@
 	sums  []uint32 // of each block of what was written
 }
 
-// Buffer returns an empty buffer; the caller Releases it.
-func (p *Pool) Buffer() *Buffer { return &Buffer{pool: p} }
+// NewBuffer returns an empty buffer; the caller Releases it.
+func (p *Pool) NewBuffer() *Buffer { return &Buffer{pool: p} }
 
 // Len returns the number of bytes written.
 func (b *Buffer) Len() int64 { return b.size }
 
-// Spilled tells whether the body is in a file.
-func (b *Buffer) Spilled() bool { return b.file != nil }
+// IsSpilled tells whether the body is in a file.
+func (b *Buffer) IsSpilled() bool { return b.file != nil }
 
 // Fill reads r to its end, or for most bytes, and returns how many came. The
 // errors of r come back as they are; ErrFull leaves what was written.
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -31,13 +31,13 @@
 		p := NewPool(c.memory, c.file, t.TempDir())
 		body := make([]byte, c.size)
 		rnd.Read(body)
-		b := p.Buffer()
+		b := p.NewBuffer()
 		n, err := b.Fill(bytes.NewReader(body), 1<<30)
 		if c.full != errors.Is(err, ErrFull) || !c.full && (err != nil || n != int64(c.size)) {
 			t.Errorf("%+v: fill %d, %v", c, n, err)
 		}
-		if b.Spilled() != c.spilled {
-			t.Errorf("%+v: spilled %v", c, b.Spilled())
+		if b.IsSpilled() != c.spilled {
+			t.Errorf("%+v: spilled %v", c, b.IsSpilled())
 		}
 		for range 2 { // a body is sent again
 			if got, err := io.ReadAll(b.Reader()); err != nil || !bytes.Equal(got, body[:b.Len()]) {
--- a/internal/standin/bricks/site.go
+++ b/internal/standin/bricks/site.go
@@ -129,7 +129,7 @@
 	}
 	s.bricks[name] = b
 	s.mu.Unlock()
-	serve := brickd.Options{ID: name, Zone: z, Meter: s.meter, Hook: b, Workers: cmp.Or(s.Workers, 8), Queue: s.Queue}
+	serve := brickd.Options{ID: name, Zone: z, Meter: s.meter, Hook: b, Workers: cmp.Or(s.Workers, 8), MaxQueue: s.Queue}
 	if s.Quiet {
 		serve.Hook = nil
 	}
@@ -188,11 +188,11 @@
 // Count returns how many requests have ended so far.
 func (s *Site) Count() int { return s.log.Len() }
 
-// Arrived plays the script (brickd.Hook).
-func (b *Brick) Arrived(x *brickd.Exchange) brickd.Fault {
+// OnRequest plays the script (brickd.Hook).
+func (b *Brick) OnRequest(x *brickd.Exchange) brickd.Fault {
 	f := b.scripted(x)
-	if work := b.site.Work; work != nil && f.Work == 0 {
-		f.Work = work(b, x)
+	if work := b.site.Work; work != nil && f.ExtraWork == 0 {
+		f.ExtraWork = work(b, x)
 	}
 	return f
 }
@@ -201,7 +201,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.pushedOver(x) {
-		return brickd.Fault{Mute: true}
+		return brickd.Fault{IgnoreRequest: true}
 	}
 	s := &b.fault
 	write := x.Method == "PUT" || x.Method == "DELETE" || x.Method == "PATCH"
@@ -251,13 +251,13 @@
 	return b.fallen
 }
 
-// Answered logs a request (brickd.Hook).
-func (b *Brick) Answered(x *brickd.Exchange) {
+// OnResponse logs a request (brickd.Hook).
+func (b *Brick) OnResponse(x *brickd.Exchange) {
 	a := rules.Arrival{At: x.At.UnixMicro(), Ended: x.Answered.UnixMicro(), Brick: x.Brick, Zone: x.Zone, Started: x.Started,
 		Request: x.Request, Host: x.Host, Method: x.Method, Space: x.Space, Name: x.Name, Volume: x.Volume, Units: x.Units,
 		Key: x.Key, Status: x.Status, Repeat: x.Repeat, Stored: x.Stored}
-	if !x.Came.IsZero() {
-		a.Came = x.Came.UnixMicro()
+	if !x.EarliestArrival.IsZero() {
+		a.Came = x.EarliestArrival.UnixMicro()
 	}
 	b.site.log.Add(a)
 }
--- a/internal/volume/task.go
+++ b/internal/volume/task.go
@@ -27,9 +27,9 @@
 	Pool   *brick.Pool
 	Log    *slog.Logger
 	// Seen is told what attempts showed of bricks; may be nil.
-	Seen func(attempts.Seen)
+	Seen func(attempts.Observation)
 	// Ended is told how each task of a volume ended; may be nil.
-	Ended func(volume string, plan, shard int, end host.End)
+	Ended func(volume string, plan, shard int, end host.TaskStatus)
 	// NoFence takes a guard out, so that a proof is seen to fail: bricks are
 	// not told that earlier attachments are over.
 	NoFence bool
@@ -52,7 +52,7 @@
 	if opt.Log == nil {
 		opt.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Store{opt: opt, slots: slots, sender: attempts.Sender{Pool: opt.Pool, Host: opt.Host, Config: opt.Config, Seen: opt.Seen}}, nil
+	return &Store{opt: opt, slots: slots, sender: attempts.Sender{Pool: opt.Pool, Host: opt.Host, Config: opt.Config, Observe: opt.Seen}}, nil
 }
 
 // ErrIO says that a request has failed for good: for a write, it may have run.
@@ -74,19 +74,19 @@
 const recordMost = 64 << 10
 
 // takeRecord reads the answer's body as text.
-func (c *call) takeRecord(s *Store) func(*attempts.Call, *brick.Answer) error {
-	return func(_ *attempts.Call, ans *brick.Answer) (err error) {
+func (c *call) takeRecord(s *Store) func(*attempts.Call, *brick.Response) error {
+	return func(_ *attempts.Call, ans *brick.Response) (err error) {
 		c.text, err = ans.ReadAll(s.opt.Pool, c.text[:0], recordMost)
 		return err
 	}
 }
 
 // takeInto reads the answer's body straight to where it belongs.
-func (c *call) takeInto(s *Store) func(*attempts.Call, *brick.Answer) error {
-	return func(_ *attempts.Call, ans *brick.Answer) error {
+func (c *call) takeInto(s *Store) func(*attempts.Call, *brick.Response) error {
+	return func(_ *attempts.Call, ans *brick.Response) error {
 		pool := s.opt.Pool
 		if ans.Status != 200 && ans.Status != 206 {
-			ans.Done(pool, ans.Body.Drain(16<<10))
+			ans.Release(pool, ans.Body.Drain(16<<10))
 			return nil
 		}
 		left := ans.Length
@@ -101,7 +101,7 @@
 			}
 			clear(b)
 		}
-		ans.Done(pool, ans.Body.Drain(16<<10) && left == 0)
+		ans.Release(pool, ans.Body.Drain(16<<10) && left == 0)
 		if left > 0 {
 			return &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonBadAnswer, Err: errors.New("more bytes than were asked for")}
 		}
@@ -110,13 +110,13 @@
 }
 
 // newCall readies a call of a volume.
-func (s *Store) newCall(volume string, plan, class, shard int, bytes int64, b brick.Call) *call {
+func (s *Store) newCall(volume string, plan, class, shard int, bytes int64, b brick.Request) *call {
 	c := &call{} // the host may still hold a task after its verdict: none is used twice
-	c.ID = s.opt.Host.Label() + "-v" + strconv.FormatUint(s.sequence.Add(1), 10)
+	c.ID = s.opt.Host.RunID() + "-v" + strconv.FormatUint(s.sequence.Add(1), 10)
 	c.Request = b
-	c.Task = host.Task{Class: class, Units: s.opt.Config.UnitsFor(bytes), Shard: shard, Until: time.Now().Add(s.sender.Deadline(class)),
+	c.Task = host.Task{Class: class, Units: s.opt.Config.UnitsFor(bytes), Shard: shard, Deadline: time.Now().Add(s.sender.Timeout(class)),
 		Volume: arrowwalk.Volume{ID: ID(volume), Plan: plan, Hosts: s.opt.Config.Host.Count}}
-	c.Ready(&s.sender)
+	c.Prepare(&s.sender)
 	return c
 }
 
@@ -129,16 +129,16 @@
 func (s *Store) do(c *call, volume string) (after time.Duration, err error) {
 	v := c.Do()
 	if s.opt.Ended != nil {
-		s.opt.Ended(volume, c.Task.Volume.Plan, c.Task.Shard, v.End)
+		s.opt.Ended(volume, c.Task.Volume.Plan, c.Task.Shard, v.Status)
 	}
-	switch v.End {
+	switch v.Status {
 	case host.Served:
-		if c.Answer.Status == 409 {
+		if c.Response.Status == 409 {
 			return 0, ErrFenced
 		}
 		return 0, nil
 	case host.Refused:
-		return v.After, errRefused
+		return v.RetryAfter, errRefused
 	}
 	return 0, ErrIO
 }
--- a/internal/volume/volume.go
+++ b/internal/volume/volume.go
@@ -67,17 +67,17 @@
 // Find reads a volume's record, and the version that a change must meet.
 func (s *Store) Find(ctx context.Context, name string) (rec *extent.Record, version uint64, err error) {
 	err = again(ctx, retry.Read, func() (time.Duration, error) {
-		c := s.newCall(recordVolume, recordPlan, config.ClassRead, s.home(name), 0, brick.Call{Method: "GET", Space: brick.SpaceVolumes, Name: name})
-		c.Take = c.takeRecord(s)
+		c := s.newCall(recordVolume, recordPlan, config.ClassRead, s.home(name), 0, brick.Request{Method: "GET", Space: brick.SpaceVolumes, Name: name})
+		c.HandleResponse = c.takeRecord(s)
 		after, err := s.do(c, name)
 		if err != nil {
 			return after, err
 		}
-		if c.Answer.Status == 404 {
+		if c.Response.Status == 404 {
 			return 0, fmt.Errorf("volume %s: %w", name, ErrNotFound)
 		}
 		rec, err = extent.Decode(c.text)
-		version = c.Answer.Version
+		version = c.Response.Version
 		return 0, err
 	})
 	return rec, version, err
@@ -88,12 +88,12 @@
 	return again(ctx, retry.Write, func() (time.Duration, error) {
 		text := rec.Encode()
 		c := s.newCall(recordVolume, recordPlan, config.ClassWrite, s.home(rec.Name), int64(len(text)),
-			brick.Call{Method: "PUT", Space: brick.SpaceVolumes, Name: rec.Name, Body: brick.Bytes(text), IfVersion: version, IfAbsent: version == 0})
+			brick.Request{Method: "PUT", Space: brick.SpaceVolumes, Name: rec.Name, Body: brick.Bytes(text), IfVersion: version, IfAbsent: version == 0})
 		after, err := s.do(c, rec.Name)
-		if err == nil && c.Answer.Status == 412 {
+		if err == nil && c.Response.Status == 412 {
 			err = fmt.Errorf("volume %s: %w", rec.Name, errChanged)
 		}
-		if err == nil && c.Answer.Status == 507 {
+		if err == nil && c.Response.Status == 507 {
 			err = fmt.Errorf("volume %s: its brick has no room", rec.Name)
 		}
 		return after, err
@@ -160,7 +160,7 @@
 		return err
 	}
 	return again(ctx, retry.Write, func() (time.Duration, error) {
-		c := s.newCall(recordVolume, recordPlan, config.ClassWrite, s.home(name), 0, brick.Call{Method: "DELETE", Space: brick.SpaceVolumes, Name: name})
+		c := s.newCall(recordVolume, recordPlan, config.ClassWrite, s.home(name), 0, brick.Request{Method: "DELETE", Space: brick.SpaceVolumes, Name: name})
 		return s.do(c, name)
 	})
 }
@@ -170,15 +170,15 @@
 	var out []string
 	after := ""
 	for {
-		var p brick.ListAnswer
+		var p brick.ListResponse
 		err := again(ctx, retry.Read, func() (time.Duration, error) {
-			c := s.newCall(recordVolume, recordPlan, config.ClassRead, shard, 0, brick.Call{Method: "GET", Space: space, List: &brick.List{Prefix: prefix, After: after, Most: 100}})
-			c.Take = c.takeRecord(s)
+			c := s.newCall(recordVolume, recordPlan, config.ClassRead, shard, 0, brick.Request{Method: "GET", Space: space, List: &brick.ListQuery{Prefix: prefix, After: after, MaxItems: 100}})
+			c.HandleResponse = c.takeRecord(s)
 			wait, err := s.do(c, prefix)
 			if err != nil {
 				return wait, err
 			}
-			p = brick.ListAnswer{}
+			p = brick.ListResponse{}
 			return 0, json.Unmarshal(c.text, &p)
 		})
 		if err != nil {
@@ -207,7 +207,7 @@
 				continue
 			}
 			err := again(ctx, retry.Write, func() (time.Duration, error) {
-				return s.do(s.newCall(recordVolume, recordPlan, config.ClassWrite, shard, 0, brick.Call{Method: "DELETE", Space: brick.SpaceExtents, Name: name}), rec.Name)
+				return s.do(s.newCall(recordVolume, recordPlan, config.ClassWrite, shard, 0, brick.Request{Method: "DELETE", Space: brick.SpaceExtents, Name: name}), rec.Name)
 			})
 			if err != nil {
 				return err
@@ -314,10 +314,10 @@
 			close(wait)
 			return nil
 		}
-		c := v.s.newCall(v.rec.Name, v.plan, config.ClassWrite, shard, 0, brick.Call{Method: "PUT", Space: brick.SpaceFences, Name: v.rec.Name, Epoch: v.rec.Epoch, Body: brick.Bytes(nil)})
+		c := v.s.newCall(v.rec.Name, v.plan, config.ClassWrite, shard, 0, brick.Request{Method: "PUT", Space: brick.SpaceFences, Name: v.rec.Name, Epoch: v.rec.Epoch, Body: brick.Bytes(nil)})
 		_, err := v.s.do(c, v.rec.Name)
-		if err == nil && c.Answer.Status != 200 {
-			err = fmt.Errorf("%w: fence: status %d", ErrIO, c.Answer.Status)
+		if err == nil && c.Response.Status != 200 {
+			err = fmt.Errorf("%w: fence: status %d", ErrIO, c.Response.Status)
 		}
 		if err != nil {
 			v.mu.Lock()
@@ -394,15 +394,15 @@
 	}
 	return again(ctx, retry.Read, func() (time.Duration, error) {
 		c := v.s.newCall(v.rec.Name, v.plan, config.ClassRead, shard, p.Bytes,
-			brick.Call{Method: "GET", Space: brick.SpaceExtents, Name: name, Epoch: v.rec.Epoch, Range: fmt.Sprintf("bytes=%d-%d", p.Offset, p.Offset+p.Bytes-1)})
+			brick.Request{Method: "GET", Space: brick.SpaceExtents, Name: name, Epoch: v.rec.Epoch, Range: fmt.Sprintf("bytes=%d-%d", p.Offset, p.Offset+p.Bytes-1)})
 		c.into = into
-		c.Take = c.takeInto(v.s)
+		c.HandleResponse = c.takeInto(v.s)
 		after, err := v.s.do(c, v.rec.Name)
 		v.note(err)
 		if err != nil {
 			return after, err
 		}
-		status := c.Answer.Status
+		status := c.Response.Status
 		switch status {
 		case 200, 206:
 			return 0, nil
@@ -458,14 +458,14 @@
 	}
 	number := v.number.Add(1)
 	return again(ctx, retry.Write, func() (time.Duration, error) {
-		c := v.s.newCall(v.rec.Name, v.plan, config.ClassWrite, shard, b.Len(), brick.Call{Method: "PATCH", Space: brick.SpaceExtents, Name: name,
+		c := v.s.newCall(v.rec.Name, v.plan, config.ClassWrite, shard, b.Len(), brick.Request{Method: "PATCH", Space: brick.SpaceExtents, Name: name,
 			Epoch: v.rec.Epoch, Offset: p.Offset, Number: number, Truncate: truncate, Body: b})
 		after, err := v.s.do(c, v.rec.Name)
 		v.note(err)
 		if err != nil {
 			return after, err
 		}
-		status := c.Answer.Status
+		status := c.Response.Status
 		if status != 200 {
 			return 0, fmt.Errorf("%w: status %d", ErrIO, status)
 		}
