--- a/scheduler.go
+++ b/scheduler.go
@@ -22,140 +22,140 @@
 // The tuned values. "Paper" is the CHAMELEON paper, "design" the design page,
 // "ours" was chosen here by runs on all deployments.
 const (
-	second        Micros = 1_000_000
-	beatSpan             = second / 10  // ours: how often the host looks whether it stood still
-	stallLeast           = second / 20  // ours: a beat so late tells of a stall
-	capSpan              = second / 2   // ours: how often caps are learned
-	intervalSpan         = 2 * second   // design: the quadrants' interval
-	pulseSpan            = second / 100 // ours: how often waiting requests are looked at anew
-	stepPart             = 0.05         // paper: a step, as part of the volume's even part
-	stepsPerCheck        = 3            // paper's m: steps between two looks at what they brought
-	capAimPart           = 0.2          // ours: part of the tightest aim that units out may take
-	lostTimes            = 4.0          // ours: mean latencies after which an answer may be lost
-	capLeast             = 0.25         // ours: least cap, in mean requests
-	capFirst             = 2.0          // ours: cap of a node not known yet, in mean requests
-	capStep              = 1.25         // ours: by how much a cap may change at a time
-	capMost              = 32.0         // design: units out at a node at most
-	learnPart            = 0.3          // ours: weight of a new sample in running means
-	busyPart             = 0.5          // ours: an interval is busy when the cap bound for this part
-	feasiblePart         = 1.1          // ours: part of the expected time that must fit before the aim
-	sharePart            = 0.3          // ours: queue, in tightest aims, above which no share is sent
-	startPart            = 0.2          // ours: queue, in tightest aims, at a node not known yet
-	sparePart            = 0.1          // ours: and no spare
-	drainLeast           = 0.03         // ours: by how much a queue not heard of drains in its time, at least
-	lossyPart            = 0.02         // ours: weight of an answer in the share of lost ones
-	lossyFrom            = 0.02         // ours: share of lost answers from which silence is not trusted
-	usualPart            = 0.1          // ours: weight of an interval in what a shard usually serves
-	coldShare            = 0.5          // ours: part of a cold node's bounds used: it may be slower
-	cheapPart            = 0.1          // ours: weight of an answer quicker than a class's work is held to be
-	dearPart             = 0.02         // ours: and of one that took longer, which may have waited
-	limitFull            = 0.9          // ours: above this part of its store a limit is not scarce
-	listFirst            = second / 2   // ours: first wait before asking for the list again; it doubles
-	volumeAge            = 60 * second  // ours: volumes idle for so long are forgotten
-	scanMost             = 4            // ours: requests of a lane looked at before the next lane
-	tokenSpan            = second       // ours: tokens a paced volume may save up
-	tokenInterval uint64 = 0            // timers: the interval,
-	tokenPulse    uint64 = 1            // waiting requests,
-	tokenList     uint64 = 2            // the node list,
-	tokenRequest  uint64 = 16           // and from here on a request's deadline
+	second                Micros = 1_000_000
+	tickInterval                 = second / 10  // ours: how often the host looks whether it stood still
+	minStall                     = second / 20  // ours: a beat so late tells of a stall
+	capUpdateInterval            = second / 2   // ours: how often caps are learned
+	quadrantInterval             = 2 * second   // design: the quadrants' interval
+	dispatchInterval             = second / 100 // ours: how often waiting requests are looked at anew
+	rateStepFraction             = 0.05         // paper: a step, as part of the volume's even part
+	stepsPerCutReview            = 3            // paper's m: steps between two looks at what they brought
+	capAimFraction               = 0.2          // ours: part of the tightest aim that units out may take
+	lostLatencyMultiple          = 4.0          // ours: mean latencies after which an answer may be lost
+	minCapRequests               = 0.25         // ours: least cap, in mean requests
+	initialCapRequests           = 2.0          // ours: cap of a node not known yet, in mean requests
+	maxCapChange                 = 1.25         // ours: by how much a cap may change at a time
+	maxCapUnits                  = 32.0         // design: units out at a node at most
+	queueDelayWeight             = 0.3          // ours: weight of a new sample in running means
+	busyFraction                 = 0.5          // ours: an interval is busy when the cap bound for this part
+	feasibilityMargin            = 1.1          // ours: part of the expected time that must fit before the aim
+	maxShareDelayFraction        = 0.3          // ours: queue, in tightest aims, above which no share is sent
+	initialDelayFraction         = 0.2          // ours: queue, in tightest aims, at a node not known yet
+	maxSpareDelayFraction        = 0.1          // ours: and no spare
+	minDrainRate                 = 0.03         // ours: by how much a queue not heard of drains in its time, at least
+	lossWeight                   = 0.02         // ours: weight of an answer in the share of lost ones
+	lossThreshold                = 0.02         // ours: share of lost answers from which silence is not trusted
+	usualRateWeight              = 0.1          // ours: weight of an interval in what a shard usually serves
+	coldUsageFraction            = 0.5          // ours: part of a cold node's bounds used: it may be slower
+	costDecreaseWeight           = 0.1          // ours: weight of an answer quicker than a class's work is held to be
+	costIncreaseWeight           = 0.02         // ours: and of one that took longer, which may have waited
+	ampleLimitFraction           = 0.9          // ours: above this part of its store a limit is not scarce
+	initialListBackoff           = second / 2   // ours: first wait before asking for the list again; it doubles
+	volumeIdleTimeout            = 60 * second  // ours: volumes idle for so long are forgotten
+	maxQueueScan                 = 4            // ours: requests of a lane looked at before the next lane
+	tokenBurstTime               = second       // ours: tokens a paced volume may save up
+	timerTokenTick        uint64 = 0            // timers: the interval,
+	timerTokenDispatch    uint64 = 1            // waiting requests,
+	timerTokenNodeList    uint64 = 2            // the node list,
+	timerTokenRequestBase uint64 = 16           // and from here on a request's deadline
 )
 
 // Step takes the events of one time, in their order, and returns what is to
 // be done, in order. The returned slice is valid until the next call.
 func (s *Scheduler) Step(now Micros, events ...Event) []Action {
 	s.now, s.actions = now, s.actions[:0]
-	if !s.begun {
-		s.begun, s.born, s.ended = true, now, now
-		s.beat()
-		if s.set.Subscribe {
-			s.act(Action{Kind: Subscribe})
+	if !s.started {
+		s.started, s.startedAt, s.intervalEndedAt = true, now, now
+		s.startTick()
+		if s.settings.Subscribe {
+			s.emit(Action{Kind: Subscribe})
 		}
 	}
 	// A beat long overdue tells that the host stood still: all that came
 	// meanwhile comes now, and its times are not the nodes'.
-	if s.stall = s.now - s.due; s.stall > stallLeast {
-		s.stall += beatSpan
+	if s.stall = s.now - s.nextTickAt; s.stall > minStall {
+		s.stall += tickInterval
 	} else {
 		s.stall = 0
 	}
 	for _, e := range events {
-		s.handle(e)
+		s.handleEvent(e)
 	}
 	s.dispatch()
 	return s.actions
 }
 
-func (s *Scheduler) handle(e Event) {
+func (s *Scheduler) handleEvent(e Event) {
 	switch e := e.(type) {
 	case *NodeList:
-		s.list(e)
+		s.handleNodeList(e)
 	case *Request:
-		s.accept(e)
+		s.acceptRequest(e)
 	case *Outcome:
-		s.outcome(e)
+		s.handleOutcome(e)
 	case *TimerFired:
-		s.ring(e.Token)
+		s.handleTimer(e.Token)
 	case *StreamStarted:
 		if r := s.requests[e.Request]; r != nil {
-			r.stream = true
+			r.streaming = true
 		}
 	case *Abandoned:
 		if r := s.requests[e.Request]; r != nil {
-			s.settle(r)
+			s.closeRequest(r)
 		}
 	case *Shutdown:
-		s.end = e.At
+		s.shutdownAt = e.At
 		for _, id := range slices.Sorted(maps.Keys(s.requests)) {
-			if r := s.requests[id]; r.deadline > s.end {
-				r.deadline = s.end
-				s.deadline(r)
+			if r := s.requests[id]; r.deadline > s.shutdownAt {
+				r.deadline = s.shutdownAt
+				s.setDeadlineTimer(r)
 			}
 		}
 	}
 }
 
-// beat sets the timer of the next look at intervals and stalls.
-func (s *Scheduler) beat() {
-	s.due = s.now + beatSpan
-	s.timer(beatSpan, tokenInterval)
+// startTick sets the timer of the next look at intervals and stalls.
+func (s *Scheduler) startTick() {
+	s.nextTickAt = s.now + tickInterval
+	s.setTimer(tickInterval, timerTokenTick)
 }
 
-// ring handles a timer.
-func (s *Scheduler) ring(token uint64) {
+// handleTimer handles a timer.
+func (s *Scheduler) handleTimer(token uint64) {
 	switch {
-	case token == tokenInterval:
-		if s.now >= s.learned+capSpan {
-			s.learnCaps()
+	case token == timerTokenTick:
+		if s.now >= s.capsUpdatedAt+capUpdateInterval {
+			s.updateCaps()
 		}
-		if s.now >= s.ended+intervalSpan {
-			s.interval()
+		if s.now >= s.intervalEndedAt+quadrantInterval {
+			s.endInterval()
 		}
-		s.beat()
-	case token == tokenPulse:
-		s.pulsing = false
+		s.startTick()
+	case token == timerTokenDispatch:
+		s.dispatchTimerSet = false
 		for _, sh := range s.shards {
-			sh.dirty = true
-			s.dropLost(sh.node)
+			sh.needsDispatch = true
+			s.releaseLostAttempts(sh.node)
 		}
-	case token == tokenList:
-		s.act(Action{Kind: Subscribe})
-	case token >= tokenRequest:
-		if r := s.requests[RequestID(token-tokenRequest)]; r != nil && !r.over && !r.stream {
-			s.finish(r)
+	case token == timerTokenNodeList:
+		s.emit(Action{Kind: Subscribe})
+	case token >= timerTokenRequestBase:
+		if r := s.requests[RequestID(token-timerTokenRequestBase)]; r != nil && !r.closed && !r.streaming {
+			s.refuseOrFail(r)
 		}
 	}
 }
 
-// list follows the node list.
-func (s *Scheduler) list(l *NodeList) {
+// handleNodeList follows the node handleNodeList.
+func (s *Scheduler) handleNodeList(l *NodeList) {
 	if l.Kind == ListFailed {
-		s.logf("node list failed, asking again in %d ms", s.wait/1000)
-		s.timer(s.wait+Micros(s.dice.random()*float64(s.wait)), tokenList)
-		s.wait = min(2*s.wait, max(listFirst, s.set.Rules.AskEvery/4))
+		s.logf("node list failed, asking again in %d ms", s.listBackoff/1000)
+		s.setTimer(s.listBackoff+Micros(s.random.uniform()*float64(s.listBackoff)), timerTokenNodeList)
+		s.listBackoff = min(2*s.listBackoff, max(initialListBackoff, s.settings.Rules.AskEvery/4))
 		return
 	}
 	if l.Kind != ListStored {
-		s.wait = listFirst
+		s.listBackoff = initialListBackoff
 	}
 	if l.Kind != ListDelta {
 		for _, sh := range s.shards {
@@ -166,25 +166,25 @@
 		}
 	}
 	for _, entry := range l.Nodes {
-		s.learnNode(entry)
+		s.updateNode(entry)
 	}
 }
 
-// learnNode takes one entry of the list.
-func (s *Scheduler) learnNode(entry Node) {
+// updateNode takes one entry of the list.
+func (s *Scheduler) updateNode(entry Node) {
 	n := s.nodes[entry.ID]
 	if n == nil {
 		if entry.State == Removed {
 			return
 		}
-		n = &node{Node: Node{Started: -1}, cap: capFirst * s.set.MeanUnits}
+		n = &node{Node: Node{Started: -1}, unitCap: initialCapRequests * s.settings.MeanUnits}
 		s.nodes[entry.ID] = n
 	}
 	if entry.Started > n.Started { // not known (any more): many hosts may start at once
-		n.queue, n.sampled = startPart*float64(s.tightest), s.now
+		n.queueDelay, n.queueDelayAt = initialDelayFraction*float64(s.tightestAim), s.now
 	}
 	n.Node = entry
-	sh := s.shard(entry.Shard)
+	sh := s.shardAt(entry.Shard)
 	if sh == nil {
 		return
 	}
@@ -192,108 +192,108 @@
 		(sh.node.State != Ready || entry.Started > sh.node.Started) {
 		sh.node = n
 	}
-	sh.dirty = true
+	sh.needsDispatch = true
 }
 
-// accept takes a client's request.
-func (s *Scheduler) accept(q *Request) {
+// acceptRequest takes a client's request.
+func (s *Scheduler) acceptRequest(q *Request) {
 	if s.requests[q.ID] != nil {
 		return
 	}
-	s.taken.add(s.now, 1)
-	r := &request{Request: q, taken: s.now, deadline: s.now + q.Left, patience: 0.5 + s.dice.random()}
-	if s.end > 0 {
-		r.deadline = min(r.deadline, s.end)
+	s.accepted.add(s.now, 1)
+	r := &request{Request: q, acceptedAt: s.now, deadline: s.now + q.Left, delayTolerance: 0.5 + s.random.uniform()}
+	if s.shutdownAt > 0 {
+		r.deadline = min(r.deadline, s.shutdownAt)
 	}
 	s.requests[q.ID] = r
-	if !s.set.known(q) || r.deadline <= s.now {
-		s.finish(r)
+	if !s.settings.hasClassAndPlan(q) || r.deadline <= s.now {
+		s.refuseOrFail(r)
 		return
 	}
-	r.class = &s.set.Classes[q.Class]
-	r.aimAt = s.now + s.aim(r)
+	r.class = &s.settings.Classes[q.Class]
+	r.aimAt = s.now + s.aimSpan(r)
 	if q.Again { // the aim counts from the client's first try
 		r.aimAt -= max(0, r.class.Deadline-q.Left)
 	} else { // and from when it came, which Left tells after a stall
-		s.patience[q.Class] = max(s.patience[q.Class], q.Left)
-		r.aimAt -= min(s.stall, s.patience[q.Class]-q.Left)
+		s.clientTimeout[q.Class] = max(s.clientTimeout[q.Class], q.Left)
+		r.aimAt -= min(s.stall, s.clientTimeout[q.Class]-q.Left)
 	}
-	r.vol = s.volume(q.Volume)
-	s.deadline(r)
+	r.vol = s.findOrAddVolume(q.Volume)
+	s.setDeadlineTimer(r)
 	if r.class.Ordered && q.HasKey {
-		t := s.turns[q.Key]
+		t := s.keyQueues[q.Key]
 		if t == nil {
-			t = &turn{}
-			s.turns[q.Key] = t
+			t = &keyQueue{}
+			s.keyQueues[q.Key] = t
 		}
-		r.turn = t
-		t.queue = append(t.queue, r)
-		if t.queue[0] != r {
+		r.keyQueue = t
+		t.requests = append(t.requests, r)
+		if t.requests[0] != r {
 			return
 		}
 	}
 	s.enqueue(r)
 }
 
-// deadline sets the timer of the last moment for r's final answer.
-func (s *Scheduler) deadline(r *request) {
-	s.timer(max(0, r.deadline-s.now-s.set.Tick), tokenRequest+uint64(r.ID))
+// setDeadlineTimer sets the timer of the last moment for r's final answer.
+func (s *Scheduler) setDeadlineTimer(r *request) {
+	s.setTimer(max(0, r.deadline-s.now-s.settings.Tick), timerTokenRequestBase+uint64(r.ID))
 }
 
-// volume returns the state of a volume, made anew where it is not known. Its
+// findOrAddVolume returns the state of a findOrAddVolume, made anew where it is not known. Its
 // limit opens with one largest request at this host's start, not with a full
 // part: a host that was killed may have spent its part just before.
-func (s *Scheduler) volume(q Volume) *volume {
+func (s *Scheduler) findOrAddVolume(q Volume) *volume {
 	v := s.volumes[q.ID]
 	if v == nil {
-		v = &volume{id: q.ID, plan: &s.set.Plans[q.Plan], hosts: float64(max(1, q.Hosts)), quad: meet}
-		v.filled, v.store, v.reserve = s.born, s.set.MostUnits, s.set.MostUnits/v.hosts
+		v = &volume{id: q.ID, plan: &s.settings.Plans[q.Plan], hosts: float64(max(1, q.Hosts)), quadrant: meet}
+		v.refilledAt, v.limitUnits, v.reserveUnits = s.startedAt, s.settings.MostUnits, s.settings.MostUnits/v.hosts
 		s.volumes[q.ID] = v
-		s.order = append(s.order, v)
+		s.volumeOrder = append(s.volumeOrder, v)
 	}
 	v.hosts = max(v.hosts, float64(q.Hosts))
-	v.last = s.now
+	v.lastRequestAt = s.now
 	return v
 }
 
-// fill brings the stores of a volume up to now.
-func (s *Scheduler) fill(v *volume) {
-	span := float64(s.now-v.filled) / float64(second)
-	v.filled = s.now
-	v.store = min(v.store+v.plan.LimitRate/v.hosts*span, v.plan.LimitBurst/v.hosts)
+// refillTokens brings the stores of a volume up to now.
+func (s *Scheduler) refillTokens(v *volume) {
+	span := float64(s.now-v.refilledAt) / float64(second)
+	v.refilledAt = s.now
+	v.limitUnits = min(v.limitUnits+v.plan.LimitRate/v.hosts*span, v.plan.LimitBurst/v.hosts)
 	part := v.plan.Reserve
-	if !s.set.TellsOthers {
+	if !s.settings.TellsOthers {
 		part /= v.hosts
 	}
-	v.reserve = min(v.reserve+part*span, (v.plan.Reserve+s.set.MostUnits)/v.hosts)
-	v.tokens = min(v.tokens+v.rate*span, v.rate*float64(tokenSpan/second)+s.set.MostUnits)
+	v.reserveUnits = min(v.reserveUnits+part*span, (v.plan.Reserve+s.settings.MostUnits)/v.hosts)
+	v.tokens = min(v.tokens+v.tokenRate*span, v.tokenRate*float64(tokenBurstTime/second)+s.settings.MostUnits)
 }
 
 // enqueue lets r wait at its shard, or at the best one for a new object.
 func (s *Scheduler) enqueue(r *request) {
-	sh := s.shard(r.Shard)
+	sh := s.shardAt(r.Shard)
 	if r.Shard < 0 {
-		sh = s.place(r)
+		sh = s.chooseShard(r)
 	}
 	if sh == nil {
-		s.finish(r)
+		s.refuseOrFail(r)
 		return
 	}
-	l := s.laneOf(r, sh)
-	r.lane, r.queued = l, true
-	i := len(l.queue)
-	for i > 0 && l.queue[i-1].aimAt > r.aimAt {
+	l := s.waitQueueFor(r, sh)
+	r.waitQueue, r.queued = l, true
+	i := len(l.requests)
+	for i > 0 && l.requests[i-1].aimAt > r.aimAt {
 		i--
 	}
-	l.queue = slices.Insert(l.queue, i, r)
-	sh.wait += r.Units
-	sh.dirty = true
+	l.requests = slices.Insert(l.requests, i, r)
+	sh.waitingUnits += r.Units
+	sh.needsDispatch = true
 }
 
-// place chooses the shard of a new object: the one whose node should answer
+// chooseShard chooses the shard of a new object: the one whose node should answer
 // first, by what waits and is out there and how long its answers take; a cold
 // one only where this host's turn has come.
-func (s *Scheduler) place(r *request) *shard {
+func (s *Scheduler) chooseShard(r *request) *shard {
 	var best *shard
 	var least float64
 	for _, sh := range s.shards {
@@ -301,11 +301,11 @@
 		if n == nil || n.State != Ready {
 			continue
 		}
-		load := (sh.wait + n.out + r.Units) / max(n.cap, 1) * max(s.expected(n)+s.own(r), 1)
-		if allowed, cold := s.coldPart(n); cold && (sh.wait > 0 || !s.bears(n, r, allowed)) {
+		load := (sh.waitingUnits + n.unitsInFlight + r.Units) / max(n.unitCap, 1) * max(s.expectedDelay(n)+s.serviceTime(r), 1)
+		if allowed, cold := s.coldBudget(n); cold && (sh.waitingUnits > 0 || !s.fitsColdBudget(n, r, allowed)) {
 			load += float64(second)
 		}
-		load *= 1 + 0.1*s.dice.random()
+		load *= 1 + 0.1*s.random.uniform()
 		if best == nil || load < least {
 			best, least = sh, load
 		}
@@ -317,38 +317,38 @@
 func (s *Scheduler) dispatch() {
 	waiting := false
 	for _, sh := range s.shards {
-		for sh.dirty {
-			sh.dirty = false
+		for sh.needsDispatch {
+			sh.needsDispatch = false
 			for s.sendNext(sh) {
 			}
 		}
-		waiting = waiting || sh.wait > 0
+		waiting = waiting || sh.waitingUnits > 0
 	}
-	if waiting && !s.pulsing {
-		s.pulsing = true
-		s.timer(pulseSpan, tokenPulse)
+	if waiting && !s.dispatchTimerSet {
+		s.dispatchTimerSet = true
+		s.setTimer(dispatchInterval, timerTokenDispatch)
 	}
 }
 
 // sendNext sends the best waiting request of a shard; false: none may go.
 func (s *Scheduler) sendNext(sh *shard) bool {
 	n := sh.node
-	if sh.wait <= 0 || n == nil || n.State != Ready {
+	if sh.waitingUnits <= 0 || n == nil || n.State != Ready {
 		return false
 	}
-	n.looks++
-	if n.out > 0 && n.out+s.set.MeanUnits > n.cap {
-		n.bound++
+	n.capChecks++
+	if n.unitsInFlight > 0 && n.unitsInFlight+s.settings.MeanUnits > n.unitCap {
+		n.capHits++
 		return false
 	}
 	var best *request
-	var bestRank rank
-	for _, l := range sh.lanes {
-		r := s.candidate(l, n)
+	var bestRank priority
+	for _, l := range sh.waitQueues {
+		r := s.nextCandidate(l, n)
 		if r == nil {
 			continue
 		}
-		if k := s.rank(r, n); s.admits(n, r, k.level) && (best == nil || k.before(bestRank)) {
+		if k := s.priorityOf(r, n); s.admitsLevel(n, r, k.level) && (best == nil || k.precedes(bestRank)) {
 			best, bestRank = r, k
 		}
 	}
@@ -359,47 +359,47 @@
 	return true
 }
 
-// admits tells whether n is quick enough for a request of a level. Many hosts
+// admitsLevel tells whether n is quick enough for a request of a level. Many hosts
 // fill one node, each with too little for a cap of its own to tell: what is
 // worth less waits first when answers get slow. The bounds are scattered by
 // request, so that hosts do not stop and start in step.
-func (s *Scheduler) admits(n *node, r *request, level int) bool {
-	queue := s.expected(n) / float64(s.tightest) / r.patience
+func (s *Scheduler) admitsLevel(n *node, r *request, level int) bool {
+	queue := s.expectedDelay(n) / float64(s.tightestAim) / r.delayTolerance
 	switch level {
 	case levelShare:
-		return queue <= sharePart
+		return queue <= maxShareDelayFraction
 	case levelSpare:
-		return queue <= sparePart
+		return queue <= maxSpareDelayFraction
 	}
 	return true
 }
 
-// own returns the time that r's work should take on a node that is not slow.
-func (s *Scheduler) own(r *request) float64 { return s.cost[r.Class] * r.Units }
+// serviceTime returns the time that r's work should take on a node that is not slow.
+func (s *Scheduler) serviceTime(r *request) float64 { return s.unitCost[r.Class] * r.Units }
 
-// expected returns how long a request should wait at n now. What was seen is
+// expectedDelay returns how long a request should wait at n now. What was seen is
 // taken to drain with time: a host that holds back gets no news.
-func (s *Scheduler) expected(n *node) float64 {
-	drained := max(0, n.queue-s.drain()*float64(s.now-n.sampled))
-	if s.lossy < lossyFrom { // where answers get lost, a missing one tells nothing
-		drained = max(drained, s.oldest(n))
+func (s *Scheduler) expectedDelay(n *node) float64 {
+	drained := max(0, n.queueDelay-s.drainRate()*float64(s.now-n.queueDelayAt))
+	if s.lossShare < lossThreshold { // where answers get lost, a missing one tells nothing
+		drained = max(drained, s.oldestWait(n))
 	}
 	return drained
 }
 
-// candidate returns the first request of a lane that may be sent now. Those
+// nextCandidate returns the first request of a lane that may be sent now. Those
 // that gate bars or that not even an idle node could serve in time are
 // answered: what is late takes as much of a node and earns a fraction.
-func (s *Scheduler) candidate(l *lane, n *node) *request {
-	for i, looked := 0, 0; i < len(l.queue) && looked < scanMost; i++ {
-		r := l.queue[i]
-		left, verdict := float64(r.aimAt-s.now), s.gate(r, n)
+func (s *Scheduler) nextCandidate(l *waitQueue, n *node) *request {
+	for i, looked := 0, 0; i < len(l.requests) && looked < maxQueueScan; i++ {
+		r := l.requests[i]
+		left, verdict := float64(r.aimAt-s.now), s.checkSend(r, n)
 		switch {
-		case verdict == bar || left <= feasiblePart*s.own(r):
-			s.finish(r)
+		case verdict == sendNever || left <= feasibilityMargin*s.serviceTime(r):
+			s.refuseOrFail(r)
 			i = -1
-		case left < feasiblePart*(s.expected(n)+s.own(r)):
-		case verdict == pass:
+		case left < feasibilityMargin*(s.expectedDelay(n)+s.serviceTime(r)):
+		case verdict == sendNow:
 			return r
 		default:
 			looked++
@@ -415,119 +415,119 @@
 	levelSpare          // out of tokens
 )
 
-// rank is the order in which waiting requests go: by the worth of their units,
+// priority is the order in which waiting requests go: by the worth of their units,
 // then by aim.
-type rank struct {
+type priority struct {
 	level int
 	value float64
 	aimAt Micros
 }
 
-func (k rank) before(o rank) bool {
+func (k priority) precedes(o priority) bool {
 	return cmp.Or(cmp.Compare(o.value, k.value), cmp.Compare(k.aimAt, o.aimAt)) < 0
 }
 
-func (s *Scheduler) rank(r *request, n *node) rank {
+func (s *Scheduler) priorityOf(r *request, n *node) priority {
 	v := r.vol
-	s.fill(v)
-	k := rank{levelSpare, r.class.Worth * v.plan.WorthFactor, r.aimAt}
+	s.refillTokens(v)
+	k := priority{levelSpare, r.class.Worth * v.plan.WorthFactor, r.aimAt}
 	switch {
-	case v.reserve > 0:
+	case v.reserveUnits > 0:
 		k.level = levelReserve
-	case v.rate == 0 || v.tokens >= r.Units:
+	case v.tokenRate == 0 || v.tokens >= r.Units:
 		k.level = levelShare
-		k.value *= s.set.ShareWorth
+		k.value *= s.settings.ShareWorth
 	default:
-		k.value *= s.set.SpareWorth
+		k.value *= s.settings.SpareWorth
 	}
 	return k
 }
 
-// gate guards every send; no attempt starts without its pass.
-func (s *Scheduler) gate(r *request, n *node) verdict {
+// checkSend guards every send; no attempt starts without its pass.
+func (s *Scheduler) checkSend(r *request, n *node) sendDecision {
 	switch {
-	case r.over || s.now >= r.deadline: // rule 1
-		return bar
+	case r.closed || s.now >= r.deadline: // rule 1
+		return sendNever
 	case n.State != Ready: // rule 3: at once, ahead of the grace
-		return hold
-	case r.Shard >= 0 && r.Shard != n.Shard || len(r.attempts) >= s.set.MaxAttempts:
-		return bar
-	case r.out > 0: // one copy at a time: only one node has the data
-		return hold
-	case r.ran != nil && !mayRepeat(r, n, s.now): // rule 2
-		return bar
-	case r.turn != nil && (r.turn.queue[0] != r || s.now < r.turn.rest): // rule 5
-		return hold
-	case len(r.attempts) > 0 && !s.mayResend(): // rule 6
-		return bar
-	case !s.insideLimit(r, n): // rule 7
-		return hold
+		return sendLater
+	case r.Shard >= 0 && r.Shard != n.Shard || len(r.attempts) >= s.settings.MaxAttempts:
+		return sendNever
+	case r.inFlight > 0: // one copy at a time: only one node has the data
+		return sendLater
+	case r.firstMayHaveRun != nil && !canRepeatOn(r, n, s.now): // rule 2
+		return sendNever
+	case r.keyQueue != nil && (r.keyQueue.requests[0] != r || s.now < r.keyQueue.notBefore): // rule 5
+		return sendLater
+	case len(r.attempts) > 0 && !s.isWithinResendBudget(): // rule 6
+		return sendNever
+	case !s.isWithinVolumeLimit(r, n): // rule 7
+		return sendLater
 	}
 	// Rule 4: this host's even part of what a cold node bears, or its turn.
-	if allowed, cold := s.coldPart(n); cold && !s.bears(n, r, allowed) {
-		return hold
+	if allowed, cold := s.coldBudget(n); cold && !s.fitsColdBudget(n, r, allowed) {
+		return sendLater
 	}
-	return pass
+	return sendNow
 }
 
-// bears tells whether r fits into this host's part of what a cold node bears.
+// fitsColdBudget tells whether r fits into this host's part of what a cold node fitsColdBudget.
 // A part under one request is a turn in time: after each send the host waits
 // for as long as its part needs to grow back. First turns are scattered, so
-// that the turns of all hosts add up to what the node bears at any time.
-func (s *Scheduler) bears(n *node, r *request, allowed float64) bool {
-	span := s.set.Rules.ColdSpan
+// that the turns of all hosts add up to what the node fitsColdBudget at any time.
+func (s *Scheduler) fitsColdBudget(n *node, r *request, allowed float64) bool {
+	span := s.settings.Rules.ColdSpan
 	if r.Units <= allowed {
-		return n.sent.since(s.now-span)+r.Units <= allowed
+		return n.recentUnits.sumSince(s.now-span)+r.Units <= allowed
 	}
-	if n.turnOf != n.Started {
-		n.turnOf = n.Started
-		n.turn = max(n.Started, s.born) + Micros(s.dice.random()*s.set.MeanUnits/allowed*float64(span))
+	if n.coldPacingStart != n.Started {
+		n.coldPacingStart = n.Started
+		n.nextColdSendAt = max(n.Started, s.startedAt) + Micros(s.random.uniform()*s.settings.MeanUnits/allowed*float64(span))
 	}
-	return s.now >= n.turn
+	return s.now >= n.nextColdSendAt
 }
 
-// mayRepeat tells whether r, which may have run, may be sent to n (rule 2).
-func mayRepeat(r *request, n *node, now Micros) bool {
+// canRepeatOn tells whether r, which may have run, may be sent to n (rule 2).
+func canRepeatOn(r *request, n *node, now Micros) bool {
 	switch r.class.Repeat {
 	case Safe:
 		return true
 	case Keyed:
-		first := r.ran.node
+		first := r.firstMayHaveRun.node
 		same := r.class.Scope == ScopeAll || r.class.Scope == ScopeZone && first.Zone == n.Zone ||
 			r.class.Scope == ScopeShard && first.Shard == n.Shard
-		return same && now < r.ran.sent+r.class.Window
+		return same && now < r.firstMayHaveRun.sentAt+r.class.Window
 	}
 	return false
 }
 
-// mayResend tells whether the budget has room for one more attempt (rule 6).
-func (s *Scheduler) mayResend() bool {
-	rules := &s.set.Rules
+// isWithinResendBudget tells whether the budget has room for one more attempt (rule 6).
+func (s *Scheduler) isWithinResendBudget() bool {
+	rules := &s.settings.Rules
 	if rules.ResendSpan <= 0 {
 		return true
 	}
 	from := s.now - rules.ResendSpan
-	return s.resent.since(from)+1 <= rules.ResendFree+rules.ResendRatio*s.taken.since(from+1)
+	return s.resends.sumSince(from)+1 <= rules.ResendFree+rules.ResendRatio*s.accepted.sumSince(from+1)
 }
 
-// insideLimit tells whether this host's even part of the volume's limit
+// isWithinVolumeLimit tells whether this host's even part of the volume's limit
 // holds r (rule 7). The slack is left alone. Units of a scarce limit are kept
 // for the waiting class of the greatest worth.
-func (s *Scheduler) insideLimit(r *request, n *node) bool {
+func (s *Scheduler) isWithinVolumeLimit(r *request, n *node) bool {
 	v := r.vol
-	if r.drawn || v.plan.LimitRate <= 0 {
+	if r.limitCharged || v.plan.LimitRate <= 0 {
 		return true
 	}
-	s.fill(v)
-	if v.store < r.Units {
+	s.refillTokens(v)
+	if v.limitUnits < r.Units {
 		return false
 	}
-	if v.store >= limitFull*v.plan.LimitBurst/v.hosts {
+	if v.limitUnits >= ampleLimitFraction*v.plan.LimitBurst/v.hosts {
 		return true
 	}
 	for _, f := range v.flows {
-		for _, l := range f.lanes {
-			if len(l.queue) > 0 && s.set.Classes[l.class].Worth > r.class.Worth {
+		for _, l := range f.waitQueues {
+			if len(l.requests) > 0 && s.settings.Classes[l.class].Worth > r.class.Worth {
 				return false
 			}
 		}
@@ -535,18 +535,18 @@
 	return true
 }
 
-// coldPart returns the units that this host may send to a cold node within
+// coldBudget returns the units that this host may send to a cold node within
 // the rule's span; false for a warm one. It is an even part of what any node
 // bears, or a part of what this host was usually served there: what all hosts
 // were served together is within the node's capacity.
-func (s *Scheduler) coldPart(n *node) (float64, bool) {
-	rules := &s.set.Rules
+func (s *Scheduler) coldBudget(n *node) (float64, bool) {
+	rules := &s.settings.Rules
 	if rules.ColdUnits <= 0 || rules.WarmWithin <= 0 {
 		return 0, false
 	}
 	from := max(rules.ColdFrom, 0.01)
-	usual := s.shard(n.Shard).usual * float64(rules.ColdSpan) / float64(second)
-	part := max(rules.ColdUnits/float64(s.set.Hosts), coldShare*rules.ColdMultiple*from*usual)
+	usual := s.shardAt(n.Shard).usualRate * float64(rules.ColdSpan) / float64(second)
+	part := max(rules.ColdUnits/float64(s.settings.Hosts), coldUsageFraction*rules.ColdMultiple*from*usual)
 	if n.Started > 0 && s.now-n.Started < rules.WarmWithin {
 		age := max(0, float64(s.now-n.Started-rules.ColdSpan)/float64(rules.WarmWithin))
 		return part * (from + (1-from)*age) / from, true
@@ -557,359 +557,359 @@
 // send starts an attempt that gate has passed.
 func (s *Scheduler) send(r *request, n *node) {
 	v := r.vol
-	s.unqueue(r)
+	s.dequeue(r)
 	if len(r.attempts) > 0 {
-		s.resent.add(s.now, 1)
+		s.resends.add(s.now, 1)
 	}
-	if !r.drawn {
-		r.drawn = true
-		v.store -= r.Units
+	if !r.limitCharged {
+		r.limitCharged = true
+		v.limitUnits -= r.Units
 	}
-	v.reserve = max(v.reserve-r.Units, -s.set.MostUnits)
-	v.tokens = max(v.tokens-r.Units, -s.set.MostUnits)
-	a := &attempt{request: r, node: n, sent: s.now, units: r.Units}
+	v.reserveUnits = max(v.reserveUnits-r.Units, -s.settings.MostUnits)
+	v.tokens = max(v.tokens-r.Units, -s.settings.MostUnits)
+	a := &attempt{request: r, node: n, sentAt: s.now, units: r.Units}
 	r.attempts = append(r.attempts, a)
-	r.out++
-	n.outs = append(n.outs, a)
-	n.out += a.units
-	if allowed, cold := s.coldPart(n); cold {
-		n.turn = s.now + Micros(r.Units/allowed*float64(s.set.Rules.ColdSpan))
+	r.inFlight++
+	n.attempts = append(n.attempts, a)
+	n.unitsInFlight += a.units
+	if allowed, cold := s.coldBudget(n); cold {
+		n.nextColdSendAt = s.now + Micros(r.Units/allowed*float64(s.settings.Rules.ColdSpan))
 	}
-	n.sent.add(s.now, r.Units)
-	n.sent.since(s.now - max(s.set.Rules.ColdSpan, second))
-	s.act(Action{Kind: Send, Request: r.ID, Node: n.ID})
+	n.recentUnits.add(s.now, r.Units)
+	n.recentUnits.sumSince(s.now - max(s.settings.Rules.ColdSpan, second))
+	s.emit(Action{Kind: Send, Request: r.ID, Node: n.ID})
 }
 
-// outcome learns from an attempt's end and decides what becomes of its
+// handleOutcome learns from an attempt's end and decides what becomes of its
 // request.
-func (s *Scheduler) outcome(o *Outcome) {
+func (s *Scheduler) handleOutcome(o *Outcome) {
 	r := s.requests[o.Request]
 	if r == nil || o.Number < 0 || o.Number >= len(r.attempts) || r.attempts[o.Number].done {
 		return
 	}
 	a := r.attempts[o.Number]
 	a.done = true
-	r.out--
-	if !a.lost {
-		a.node.out = max(0, a.node.out-a.units)
+	r.inFlight--
+	if !a.presumedLost {
+		a.node.unitsInFlight = max(0, a.node.unitsInFlight-a.units)
 	}
-	s.learn(r, a, o)
-	if !o.Status.NeverRan() && r.ran == nil {
-		r.ran = a
+	s.recordOutcome(r, a, o)
+	if !o.Status.NeverRan() && r.firstMayHaveRun == nil {
+		r.firstMayHaveRun = a
 	}
 	if o.Status == NotSent && len(r.attempts) == 1 { // a moot send draws nothing
-		r.drawn = false
-		r.vol.store += r.Units
+		r.limitCharged = false
+		r.vol.limitUnits += r.Units
 	}
-	if t := r.turn; t != nil && o.Status.MayStillRun() {
-		t.rest = max(t.rest, s.now+s.set.Rules.OrderGap)
+	if t := r.keyQueue; t != nil && o.Status.MayStillRun() {
+		t.notBefore = max(t.notBefore, s.now+s.settings.Rules.OrderGap)
 	}
-	if sh := s.shard(a.node.Shard); sh != nil {
-		sh.dirty = true
+	if sh := s.shardAt(a.node.Shard); sh != nil {
+		sh.needsDispatch = true
 	}
 	switch {
-	case o.Closed || r.over:
-		s.settle(r)
-	case r.stream || s.now >= r.deadline-s.set.Tick || len(r.attempts) >= s.set.MaxAttempts ||
-		r.ran != nil && r.class.Repeat == Unsafe:
-		s.finish(r)
+	case o.Closed || r.closed:
+		s.closeRequest(r)
+	case r.streaming || s.now >= r.deadline-s.settings.Tick || len(r.attempts) >= s.settings.MaxAttempts ||
+		r.firstMayHaveRun != nil && r.class.Repeat == Unsafe:
+		s.refuseOrFail(r)
 	default:
 		s.enqueue(r)
 	}
 }
 
-// learn keeps what an outcome tells of its node and its volume.
-func (s *Scheduler) learn(r *request, a *attempt, o *Outcome) {
+// recordOutcome keeps what an outcome tells of its node and its volume.
+func (s *Scheduler) recordOutcome(r *request, a *attempt, o *Outcome) {
 	n, v := a.node, r.vol
 	switch o.Status {
 	case OK:
-		n.heard = max(n.heard, a.sent)
-		s.lossy -= lossyPart * s.lossy
+		n.newestAnsweredSentAt = max(n.newestAnsweredSentAt, a.sentAt)
+		s.lossShare -= lossWeight * s.lossShare
 		if s.stall == 0 {
-			n.spent += float64(o.Latency)
-			n.answers++
+			n.latencySum += float64(o.Latency)
+			n.answerCount++
 		}
-		v.units += r.Units
-		if sh := s.shard(n.Shard); sh != nil {
-			sh.served += r.Units
+		v.servedUnits += r.Units
+		if sh := s.shardAt(n.Shard); sh != nil {
+			sh.servedUnits += r.Units
 		}
 		per := float64(o.Latency) / max(r.Units, 1)
-		cost, gain := cmp.Or(s.cost[r.Class], per), dearPart // the work alone: the low end of what is seen
+		cost, gain := cmp.Or(s.unitCost[r.Class], per), costIncreaseWeight // the work alone: the low end of what is seen
 		if per < cost {
-			gain = cheapPart
+			gain = costDecreaseWeight
 		}
-		s.cost[r.Class] = cost + gain*(per-cost)
-		s.sample(n, float64(o.Latency)-s.own(r))
+		s.unitCost[r.Class] = cost + gain*(per-cost)
+		s.updateQueueDelay(n, float64(o.Latency)-s.serviceTime(r))
 	case Overloaded, Unreachable:
-		s.sample(n, max(n.queue, float64(s.tightest)))
+		s.updateQueueDelay(n, max(n.queueDelay, float64(s.tightestAim)))
 	case Reset, TimedOut, Cancelled:
-		if a.sent > n.heard { // not overtaken: the node is slow, the answer isn't lost
-			s.sample(n, max(n.queue, float64(o.Latency)))
+		if a.sentAt > n.newestAnsweredSentAt { // not overtaken: the node is slow, the answer isn't lost
+			s.updateQueueDelay(n, max(n.queueDelay, float64(o.Latency)))
 		} else {
-			s.lossy += lossyPart
+			s.lossShare += lossWeight
 		}
 	}
 	if o.FleetUse > 0 {
-		v.told = (o.FleetUse - 1) / 100 * v.plan.Rate
+		v.fleetRate = (o.FleetUse - 1) / 100 * v.plan.Rate
 	}
 	if o.OthersUnits > 0 {
-		v.reserve = max(v.reserve-o.OthersUnits, -s.set.MostUnits)
+		v.reserveUnits = max(v.reserveUnits-o.OthersUnits, -s.settings.MostUnits)
 	}
 }
 
-// dropLost stops counting attempts towards n's cap that have long had no
+// releaseLostAttempts stops counting attempts towards n's cap that have long had no
 // answer, where answers get lost: each would hold its room until the client
 // gives up. It calls them off, which frees safe ones for another attempt.
-func (s *Scheduler) dropLost(n *node) {
-	if n == nil || s.lossy < lossyFrom {
+func (s *Scheduler) releaseLostAttempts(n *node) {
+	if n == nil || s.lossShare < lossThreshold {
 		return
 	}
-	for _, a := range n.outs {
-		if a.done || a.lost || float64(s.now-a.sent) <= lostTimes*(n.queue+s.own(a.request)) {
+	for _, a := range n.attempts {
+		if a.done || a.presumedLost || float64(s.now-a.sentAt) <= lostLatencyMultiple*(n.queueDelay+s.serviceTime(a.request)) {
 			continue
 		}
-		a.lost = true
-		n.out = max(0, n.out-a.units)
-		r, overtaken := a.request, n.heard > a.sent
-		if s.set.Cancel && overtaken && r.class.Repeat == Safe && !r.over && !r.stream {
-			s.act(Action{Kind: Cancel, Request: r.ID, Attempt: len(r.attempts) - 1})
+		a.presumedLost = true
+		n.unitsInFlight = max(0, n.unitsInFlight-a.units)
+		r, overtaken := a.request, n.newestAnsweredSentAt > a.sentAt
+		if s.settings.Cancel && overtaken && r.class.Repeat == Safe && !r.closed && !r.streaming {
+			s.emit(Action{Kind: Cancel, Request: r.ID, Attempt: len(r.attempts) - 1})
 		}
 	}
 }
 
-// drain returns by how much a queue drains in its time while this host, one of
+// drainRate returns by how much a queue drains in its time while this host, one of
 // all that fill it, holds back.
-func (s *Scheduler) drain() float64 { return max(drainLeast, 1/float64(s.set.Hosts)) }
+func (s *Scheduler) drainRate() float64 { return max(minDrainRate, 1/float64(s.settings.Hosts)) }
 
-// sample takes in how long a request waited at n.
-func (s *Scheduler) sample(n *node, queue float64) {
+// updateQueueDelay takes in how long a request waited at n.
+func (s *Scheduler) updateQueueDelay(n *node, queue float64) {
 	if s.stall > 0 {
 		return
 	}
-	drained := max(0, n.queue-s.drain()*float64(s.now-n.sampled))
-	n.queue, n.sampled = drained+learnPart*(max(0, queue)-drained), s.now
+	drained := max(0, n.queueDelay-s.drainRate()*float64(s.now-n.queueDelayAt))
+	n.queueDelay, n.queueDelayAt = drained+queueDelayWeight*(max(0, queue)-drained), s.now
 }
 
-// finish gives the one final answer: a refusal only where no attempt may
+// refuseOrFail gives the one final answer: a refusal only where no attempt may
 // have run or a repeat is harmless (rules 1 and 2).
-func (s *Scheduler) finish(r *request) {
-	if r.over {
+func (s *Scheduler) refuseOrFail(r *request) {
+	if r.closed {
 		return
 	}
 	kind, wait := Fail, Micros(0)
-	if r.class == nil || r.ran == nil && r.out == 0 || r.class.Repeat == Safe ||
+	if r.class == nil || r.firstMayHaveRun == nil && r.inFlight == 0 || r.class.Repeat == Safe ||
 		r.class.Repeat == Keyed && r.class.Scope == ScopeAll {
-		kind, wait = Refuse, s.set.MaxWait // past its aim, its next try is worth little
+		kind, wait = Refuse, s.settings.MaxWait // past its aim, its next try is worth little
 	}
-	s.act(Action{Kind: kind, Request: r.ID, Delay: wait})
-	s.settle(r)
+	s.emit(Action{Kind: kind, Request: r.ID, Delay: wait})
+	s.closeRequest(r)
 }
 
-// settle closes r and forgets it once its last attempt has its outcome.
-func (s *Scheduler) settle(r *request) {
-	if !r.over {
-		r.over = true
-		s.unqueue(r)
+// closeRequest closes r and forgets it once its last attempt has its outcome.
+func (s *Scheduler) closeRequest(r *request) {
+	if !r.closed {
+		r.closed = true
+		s.dequeue(r)
 		if r.vol != nil && s.stall == 0 {
-			r.vol.answers++
-			r.vol.ratio += float64(s.now-r.aimAt+s.aim(r)) / float64(s.aim(r))
+			r.vol.answerCount++
+			r.vol.aimRatioSum += float64(s.now-r.aimAt+s.aimSpan(r)) / float64(s.aimSpan(r))
 		}
 	}
-	if r.out > 0 {
+	if r.inFlight > 0 {
 		return
 	}
 	delete(s.requests, r.ID)
-	if t := r.turn; t != nil {
-		head := t.queue[0] == r
-		if i := slices.Index(t.queue, r); i >= 0 {
-			t.queue = slices.Delete(t.queue, i, i+1)
+	if t := r.keyQueue; t != nil {
+		head := t.requests[0] == r
+		if i := slices.Index(t.requests, r); i >= 0 {
+			t.requests = slices.Delete(t.requests, i, i+1)
 		}
-		if head && len(t.queue) > 0 && !t.queue[0].over {
-			s.enqueue(t.queue[0])
+		if head && len(t.requests) > 0 && !t.requests[0].closed {
+			s.enqueue(t.requests[0])
 		}
-		if len(t.queue) == 0 && t.rest <= s.now {
-			delete(s.turns, r.Key)
+		if len(t.requests) == 0 && t.notBefore <= s.now {
+			delete(s.keyQueues, r.Key)
 		}
 	}
 }
 
-// interval ends an interval: quadrants are set, rates cut or given back, and
+// endInterval ends an endInterval: quadrants are set, rates cut or given back, and
 // what is old forgotten.
-func (s *Scheduler) interval() {
-	span := float64(max(s.now-s.ended, intervalSpan)) / float64(second)
-	s.ended = s.now
-	for _, v := range s.order {
-		s.measure(v, span)
+func (s *Scheduler) endInterval() {
+	span := float64(max(s.now-s.intervalEndedAt, quadrantInterval)) / float64(second)
+	s.intervalEndedAt = s.now
+	for _, v := range s.volumeOrder {
+		s.classifyVolume(v, span)
 	}
-	for _, v := range s.order {
-		s.cutFor(v)
+	for _, v := range s.volumeOrder {
+		s.cutOthersFor(v)
 	}
 	for _, sh := range s.shards {
-		if sh.served > 0 && s.now-sh.node.Started > s.set.Rules.WarmWithin {
-			sh.seen++
-			sh.usual += max(usualPart, 1/sh.seen) * (sh.served/span - sh.usual)
+		if sh.servedUnits > 0 && s.now-sh.node.Started > s.settings.Rules.WarmWithin {
+			sh.usualIntervals++
+			sh.usualRate += max(usualRateWeight, 1/sh.usualIntervals) * (sh.servedUnits/span - sh.usualRate)
 		}
-		sh.served = 0
+		sh.servedUnits = 0
 	}
-	for _, v := range s.order {
-		s.giveBack(v)
+	for _, v := range s.volumeOrder {
+		s.restoreRate(v)
 	}
-	s.forget()
+	s.evictIdle()
 }
 
-// learnCaps sets each node's cap: its service rate times a part of the tightest
+// updateCaps sets each node's cap: its service rate times a part of the tightest
 // aim. The rate is what was out over how long it took, in busy intervals only.
-func (s *Scheduler) learnCaps() {
-	s.learned = s.now
+func (s *Scheduler) updateCaps() {
+	s.capsUpdatedAt = s.now
 	for _, sh := range s.shards {
 		n := sh.node
 		if n == nil {
 			continue
 		}
-		if n.answers > 0 && float64(n.bound) >= busyPart*float64(n.looks) {
-			change := capAimPart * float64(s.tightest) / (n.spent / n.answers)
-			n.cap *= min(max(change, 1/capStep), capStep)
-			n.cap = min(max(n.cap, capLeast*s.set.MeanUnits), capMost)
+		if n.answerCount > 0 && float64(n.capHits) >= busyFraction*float64(n.capChecks) {
+			change := capAimFraction * float64(s.tightestAim) / (n.latencySum / n.answerCount)
+			n.unitCap *= min(max(change, 1/maxCapChange), maxCapChange)
+			n.unitCap = min(max(n.unitCap, minCapRequests*s.settings.MeanUnits), maxCapUnits)
 		}
-		n.spent, n.answers, n.bound, n.looks = 0, 0, 0, 0
+		n.latencySum, n.answerCount, n.capHits, n.capChecks = 0, 0, 0, 0
 	}
 }
 
-// measure sets a volume's rate, latency and quadrant.
-func (s *Scheduler) measure(v *volume, span float64) {
-	v.measured = v.units / span
-	rate, due := v.measured, v.plan.Rate/v.hosts
-	if v.told > 0 {
-		rate, due = v.told, v.plan.Rate
+// classifyVolume sets a volume's rate, latency and quadrant.
+func (s *Scheduler) classifyVolume(v *volume, span float64) {
+	v.servedRate = v.servedUnits / span
+	rate, due := v.servedRate, v.plan.Rate/v.hosts
+	if v.fleetRate > 0 {
+		rate, due = v.fleetRate, v.plan.Rate
 	}
-	v.over = v.ratio / max(v.answers, 1)
-	v.wasLucky = v.quad == lucky
+	v.meanAimRatio = v.aimRatioSum / max(v.answerCount, 1)
+	v.wasLucky = v.quadrant == lucky
 	switch {
-	case v.over > 1 && rate <= due:
-		v.quad = failed
-	case v.over > 1:
-		v.quad = exceed
+	case v.meanAimRatio > 1 && rate <= due:
+		v.quadrant = failed
+	case v.meanAimRatio > 1:
+		v.quadrant = exceed
 	case rate > due:
-		v.quad = lucky
+		v.quadrant = lucky
 	default:
-		v.quad = meet
+		v.quadrant = meet
 	}
-	v.units, v.ratio, v.answers, v.cut = 0, 0, 0, false
+	v.servedUnits, v.aimRatioSum, v.answerCount, v.wasCut = 0, 0, 0, false
 }
 
-// cutFor cuts others for a failed volume, one step an interval.
-func (s *Scheduler) cutFor(v *volume) {
-	t := &v.trial
-	if v.quad != failed {
-		t.steps, t.list = 0, nil
+// cutOthersFor cuts others for a failed volume, one step an interval.
+func (s *Scheduler) cutOthersFor(v *volume) {
+	t := &v.cuts
+	if v.quadrant != failed {
+		t.steps, t.volumes = 0, nil
 		return
 	}
-	if t.list == nil || t.steps%stepsPerCheck == 0 && s.changed(v) {
-		s.listCuts(v)
+	if t.volumes == nil || t.steps%stepsPerCutReview == 0 && s.isCutListStale(v) {
+		s.buildCutList(v)
 	}
-	for _, c := range t.list {
-		s.cutOne(c)
+	for _, c := range t.volumes {
+		s.cutRate(c)
 	}
 	t.steps++
 }
 
-// changed tells whether the list of cuts must be built anew.
-func (s *Scheduler) changed(v *volume) bool {
-	t := &v.trial
-	if v.over > t.over {
+// isCutListStale tells whether the list of cuts must be built anew.
+func (s *Scheduler) isCutListStale(v *volume) bool {
+	t := &v.cuts
+	if v.meanAimRatio > t.listedAimRatio {
 		return true
 	}
-	for i, c := range t.list {
-		if c.quad == lucky && !c.wasLucky || c.measured > 2*t.rates[i] || c.measured < t.rates[i]/2 {
+	for i, c := range t.volumes {
+		if c.quadrant == lucky && !c.wasLucky || c.servedRate > 2*t.listedRates[i] || c.servedRate < t.listedRates[i]/2 {
 			return true
 		}
 	}
 	return false
 }
 
-// listCuts lists the volumes on v's nodes that have not failed: those of the
+// buildCutList lists the volumes on v's nodes that have not failed: those of the
 // first quadrant found, lower weight first.
-func (s *Scheduler) listCuts(v *volume) {
-	t := &v.trial
-	t.list, t.rates, t.over = nil, nil, v.over
+func (s *Scheduler) buildCutList(v *volume) {
+	t := &v.cuts
+	t.volumes, t.listedRates, t.listedAimRatio = nil, nil, v.meanAimRatio
 	for _, f := range v.flows {
 		for _, g := range f.shard.flows {
-			if g.vol != v && g.vol.quad != failed && g.vol.measured > 0 && !slices.Contains(t.list, g.vol) {
-				t.list = append(t.list, g.vol)
+			if g.vol != v && g.vol.quadrant != failed && g.vol.servedRate > 0 && !slices.Contains(t.volumes, g.vol) {
+				t.volumes = append(t.volumes, g.vol)
 			}
 		}
 	}
-	slices.SortStableFunc(t.list, func(a, b *volume) int {
-		return cmp.Or(cmp.Compare(a.quad, b.quad), cmp.Compare(a.plan.Weight, b.plan.Weight))
+	slices.SortStableFunc(t.volumes, func(a, b *volume) int {
+		return cmp.Or(cmp.Compare(a.quadrant, b.quadrant), cmp.Compare(a.plan.Weight, b.plan.Weight))
 	})
-	for i, c := range t.list {
-		if c.quad != t.list[0].quad {
-			t.list = t.list[:i]
+	for i, c := range t.volumes {
+		if c.quadrant != t.volumes[0].quadrant {
+			t.volumes = t.volumes[:i]
 			break
 		}
-		t.rates = append(t.rates, c.measured)
+		t.listedRates = append(t.listedRates, c.servedRate)
 	}
 }
 
-func (v *volume) step() float64 { return stepPart * v.plan.Rate / v.hosts }
+func (v *volume) rateStep() float64 { return rateStepFraction * v.plan.Rate / v.hosts }
 
-// cutOne takes one step from c, at most one an interval whoever asks.
-func (s *Scheduler) cutOne(c *volume) {
-	if c.cut {
+// cutRate takes one step from c, at most one an interval whoever asks.
+func (s *Scheduler) cutRate(c *volume) {
+	if c.wasCut {
 		return
 	}
-	s.fill(c)
-	if c.rate == 0 {
-		c.rate, c.before = c.measured, c.measured
+	s.refillTokens(c)
+	if c.tokenRate == 0 {
+		c.tokenRate, c.uncutRate = c.servedRate, c.servedRate
 	}
-	c.cut = true
-	c.rate = max(c.rate-c.step(), c.plan.Reserve/c.hosts, c.step())
+	c.wasCut = true
+	c.tokenRate = max(c.tokenRate-c.rateStep(), c.plan.Reserve/c.hosts, c.rateStep())
 }
 
-// giveBack returns one step, by weight, to a volume on whose nodes none has
+// restoreRate returns one step, by weight, to a volume on whose nodes none has
 // failed.
-func (s *Scheduler) giveBack(v *volume) {
-	if v.rate == 0 || v.cut {
+func (s *Scheduler) restoreRate(v *volume) {
+	if v.tokenRate == 0 || v.wasCut {
 		return
 	}
 	for _, f := range v.flows {
 		for _, g := range f.shard.flows {
-			if g.vol.quad == failed {
+			if g.vol.quadrant == failed {
 				return
 			}
 		}
 	}
-	s.fill(v)
-	v.rate += v.step() * v.plan.Weight
-	if v.rate >= v.before {
-		v.rate = 0
+	s.refillTokens(v)
+	v.tokenRate += v.rateStep() * v.plan.Weight
+	if v.tokenRate >= v.uncutRate {
+		v.tokenRate = 0
 	}
 }
 
-// forget drops volumes long idle, nodes long gone and keys at rest.
-func (s *Scheduler) forget() {
-	idle := func(v *volume) bool { return s.now-v.last > volumeAge }
-	s.order = slices.DeleteFunc(s.order, func(v *volume) bool {
+// evictIdle drops volumes long idle, nodes long gone and keys at rest.
+func (s *Scheduler) evictIdle() {
+	idle := func(v *volume) bool { return s.now-v.lastRequestAt > volumeIdleTimeout }
+	s.volumeOrder = slices.DeleteFunc(s.volumeOrder, func(v *volume) bool {
 		if idle(v) {
 			delete(s.volumes, v.id)
 		}
 		return idle(v)
 	})
 	for _, sh := range s.shards {
-		sh.lanes = slices.DeleteFunc(sh.lanes, func(l *lane) bool { return idle(l.flow.vol) })
+		sh.waitQueues = slices.DeleteFunc(sh.waitQueues, func(l *waitQueue) bool { return idle(l.flow.vol) })
 		sh.flows = slices.DeleteFunc(sh.flows, func(f *flow) bool { return idle(f.vol) })
 	}
 	for id, n := range s.nodes {
-		if n.State == Removed && n.out == 0 {
+		if n.State == Removed && n.unitsInFlight == 0 {
 			delete(s.nodes, id)
 		}
 	}
-	for key, t := range s.turns {
-		if len(t.queue) == 0 && t.rest <= s.now {
-			delete(s.turns, key)
+	for key, t := range s.keyQueues {
+		if len(t.requests) == 0 && t.notBefore <= s.now {
+			delete(s.keyQueues, key)
 		}
 	}
-	from := s.now - max(s.set.Rules.ResendSpan, second)
-	s.taken.since(from)
-	s.resent.since(from)
+	from := s.now - max(s.settings.Rules.ResendSpan, second)
+	s.accepted.sumSince(from)
+	s.resends.sumSince(from)
 }
--- a/scheduler_test.go
+++ b/scheduler_test.go
@@ -60,7 +60,7 @@
 	}
 	g.step(&NodeList{Kind: ListStored, Nodes: nodes})
 	for _, n := range s.nodes {
-		n.queue = 0 // the tests' nodes are known to be idle
+		n.queueDelay = 0 // the tests' nodes are known to be idle
 	}
 	return g
 }
@@ -170,7 +170,7 @@
 			if g.sent[1] > 0 {
 				g.end(1, TimedOut) // a late outcome changes nothing
 			}
-			g.step(&TimerFired{Token: tokenRequest + 1}, &Abandoned{Request: 1})
+			g.step(&TimerFired{Token: timerTokenRequestBase + 1}, &Abandoned{Request: 1})
 			g.want(c.want...)
 			if len(g.s.requests) != 0 {
 				t.Error("the request is still held")
@@ -245,7 +245,7 @@
 	for end := g.now + span; g.now < end; {
 		g.ask(change)
 		for id := range g.sent {
-			if r := g.s.requests[id]; r != nil && r.out > 0 {
+			if r := g.s.requests[id]; r != nil && r.inFlight > 0 {
 				units += r.Units
 				g.end(id, OK)
 			}
@@ -318,19 +318,19 @@
 	set.Hosts = 300
 	g := newRig(t, set)
 	for range 3 {
-		g.s.shards[0].served = 80 // 40 units a second, for 6 s
-		g.s.ended -= intervalSpan
-		g.s.interval()
+		g.s.shards[0].servedUnits = 80 // 40 units a second, for 6 s
+		g.s.intervalEndedAt -= quadrantInterval
+		g.s.endInterval()
 	}
 	g.step(&NodeList{Kind: ListDelta, Nodes: []Node{{ID: "a", State: Removed}, {ID: "b", Started: g.now}}})
 	n := g.s.shards[0].node
-	part, cold := g.s.coldPart(n)
+	part, cold := g.s.coldBudget(n)
 	if most := set.Rules.ColdMultiple * set.Rules.ColdFrom * 40; !cold || part < 0.3*most || part > most {
 		t.Errorf("%v units, want at most %v", part, most)
 	}
 	g.run(2 * second)
-	if sh := g.s.shards[0]; sh.served > 0 || sh.usual < 30 {
-		t.Errorf("what it served cold counts as usual: %v", sh.usual)
+	if sh := g.s.shards[0]; sh.servedUnits > 0 || sh.usualRate < 30 {
+		t.Errorf("what it served cold counts as usual: %v", sh.usualRate)
 	}
 }
 
@@ -422,7 +422,7 @@
 		g.run(210 * ms)
 		before := 2.1 - 2
 		g.end(g.ask(limited), NotSent)
-		if store := g.s.volumes[9].store; store < before-0.2 || g.sent[1] != 2 {
+		if store := g.s.volumes[9].limitUnits; store < before-0.2 || g.sent[1] != 2 {
 			t.Errorf("store %v after %v sends", store, g.sent[1])
 		}
 		g.end(1, Reset) // a further attempt draws nothing either
@@ -477,12 +477,12 @@
 	for range 60 {
 		g.ask(nil)
 	}
-	if n := g.s.shards[0].node; n.out > capFirst*2 || len(g.sent) == 0 {
-		t.Errorf("%v units out at first, cap %v", n.out, n.cap)
+	if n := g.s.shards[0].node; n.unitsInFlight > initialCapRequests*2 || len(g.sent) == 0 {
+		t.Errorf("%v units out at first, cap %v", n.unitsInFlight, n.unitCap)
 	}
 	for range 400 {
 		for id := range g.sent {
-			if r := g.s.requests[id]; r != nil && r.out > 0 {
+			if r := g.s.requests[id]; r != nil && r.inFlight > 0 {
 				g.end(id, OK)
 			}
 		}
@@ -490,12 +490,12 @@
 		for range 20 {
 			g.ask(nil)
 		}
-		if n := g.s.shards[0].node; n.out > capMost {
-			t.Fatalf("%v units out, never over %v", n.out, capMost)
+		if n := g.s.shards[0].node; n.unitsInFlight > maxCapUnits {
+			t.Fatalf("%v units out, never over %v", n.unitsInFlight, maxCapUnits)
 		}
 	}
-	if n := g.s.shards[0].node; n.cap <= capFirst*2 {
-		t.Errorf("cap %v: a fast node should have raised it", n.cap)
+	if n := g.s.shards[0].node; n.unitCap <= initialCapRequests*2 {
+		t.Errorf("cap %v: a fast node should have raised it", n.unitCap)
 	}
 }
 
@@ -503,7 +503,7 @@
 	g := newRig(t, settings(), Node{ID: "a"}, Node{ID: "b", Shard: 1})
 	object := func(q *Request) { q.Shard, q.Class = -1, 2 }
 	for i, queue := range []float64{30_000, 0} {
-		g.s.shards[i].node.queue, g.s.shards[i].node.sampled = queue, g.now
+		g.s.shards[i].node.queueDelay, g.s.shards[i].node.queueDelayAt = queue, g.now
 	}
 	id := g.ask(object)
 	if g.nodeOf[id] != "b" {
@@ -523,9 +523,9 @@
 	g := newRig(t, set, Node{ID: "a"}, Node{ID: "b", Shard: 1})
 	g.step(&NodeList{Kind: ListDelta, Nodes: []Node{{ID: "b", Shard: 1, Started: g.now}}})
 	n := g.s.shards[0].node
-	n.queue, n.sampled = 300_000, g.now
+	n.queueDelay, n.queueDelayAt = 300_000, g.now
 	for range 5 {
-		if id := g.ask(func(q *Request) { q.Shard, q.Class = -1, 2 }); g.nodeOf[id] == "b" || g.s.shards[1].wait > 0 {
+		if id := g.ask(func(q *Request) { q.Shard, q.Class = -1, 2 }); g.nodeOf[id] == "b" || g.s.shards[1].waitingUnits > 0 {
 			t.Fatalf("it was to go to %q", g.nodeOf[id])
 		}
 	}
@@ -540,33 +540,33 @@
 }
 
 func play(g *rig, failing, over *volume, ratio float64) {
-	failing.units, failing.answers, failing.ratio = 1, 1, ratio
-	over.units, over.answers, over.ratio = 40, 20, 10
-	failing.last, over.last = g.now, g.now
-	g.s.interval()
+	failing.servedUnits, failing.answerCount, failing.aimRatioSum = 1, 1, ratio
+	over.servedUnits, over.answerCount, over.aimRatioSum = 40, 20, 10
+	failing.lastRequestAt, over.lastRequestAt = g.now, g.now
+	g.s.endInterval()
 }
 
 func TestCutsAreStepsAndGivenBack(t *testing.T) {
 	g := newRig(t, settings())
 	failing, over := quadrants(g)
 	play(g, failing, over, 2)
-	if failing.quad != failed || over.quad != lucky {
-		t.Fatalf("quadrants %v and %v", failing.quad, over.quad)
+	if failing.quadrant != failed || over.quadrant != lucky {
+		t.Fatalf("quadrants %v and %v", failing.quadrant, over.quadrant)
 	}
-	if want := 20 - over.step(); math.Abs(over.rate-want) > 1e-9 {
-		t.Errorf("rate %v after a step, want %v", over.rate, want)
+	if want := 20 - over.rateStep(); math.Abs(over.tokenRate-want) > 1e-9 {
+		t.Errorf("rate %v after a step, want %v", over.tokenRate, want)
 	}
 	play(g, failing, over, 1.5)
-	if want := 20 - 2*over.step(); math.Abs(over.rate-want) > 1e-9 {
-		t.Errorf("rate %v after two steps, want %v", over.rate, want)
+	if want := 20 - 2*over.rateStep(); math.Abs(over.tokenRate-want) > 1e-9 {
+		t.Errorf("rate %v after two steps, want %v", over.tokenRate, want)
 	}
 	play(g, failing, over, 0.5)
-	if want := 20 - over.step(); math.Abs(over.rate-want) > 1e-9 {
-		t.Errorf("rate %v after one step back, want %v", over.rate, want)
+	if want := 20 - over.rateStep(); math.Abs(over.tokenRate-want) > 1e-9 {
+		t.Errorf("rate %v after one step back, want %v", over.tokenRate, want)
 	}
 	play(g, failing, over, 0.5)
-	if over.rate != 0 {
-		t.Errorf("rate %v: should be unpaced again", over.rate)
+	if over.tokenRate != 0 {
+		t.Errorf("rate %v: should be unpaced again", over.tokenRate)
 	}
 }
 
@@ -575,10 +575,10 @@
 	failing, over := quadrants(g)
 	g.ask(func(q *Request) { q.Volume.ID = 3 })
 	third := g.s.volumes[3]
-	third.units, third.answers, third.ratio = 1, 1, 3
+	third.servedUnits, third.answerCount, third.aimRatioSum = 1, 1, 3
 	play(g, failing, over, 2)
-	if third.quad != failed || over.rate != 20-over.step() {
-		t.Errorf("two failed volumes in one interval took more than a step: rate %v", over.rate)
+	if third.quadrant != failed || over.tokenRate != 20-over.rateStep() {
+		t.Errorf("two failed volumes in one interval took more than a step: rate %v", over.tokenRate)
 	}
 }
 
@@ -589,26 +589,26 @@
 		want   bool
 	}{
 		{"nothing changed", func(_, _ *volume) {}, false},
-		{"its latency rose", func(failing, _ *volume) { failing.over = 3 }, true},
+		{"its latency rose", func(failing, _ *volume) { failing.meanAimRatio = 3 }, true},
 		{"a volume turned lucky", func(_, over *volume) { over.wasLucky = false }, true},
-		{"a rate doubled", func(_, over *volume) { over.measured = 41 }, true},
-		{"a rate halved", func(_, over *volume) { over.measured = 9 }, true},
+		{"a rate doubled", func(_, over *volume) { over.servedRate = 41 }, true},
+		{"a rate halved", func(_, over *volume) { over.servedRate = 9 }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(t, settings())
 			failing, over := quadrants(g)
-			for range stepsPerCheck {
+			for range stepsPerCutReview {
 				play(g, failing, over, 2)
 			}
-			if math.Abs(over.rate-20+stepsPerCheck*over.step()) > 1e-9 {
-				t.Fatalf("rate %v after %d steps", over.rate, stepsPerCheck)
+			if math.Abs(over.tokenRate-20+stepsPerCutReview*over.rateStep()) > 1e-9 {
+				t.Fatalf("rate %v after %d steps", over.tokenRate, stepsPerCutReview)
 			}
 			over.wasLucky = true
 			c.change(failing, over)
-			failing.trial.rates[0] *= 1.01 // rates[0] is written anew with the list
-			kept := failing.trial.rates[0]
-			g.s.cutFor(failing)
-			if anew := failing.trial.rates[0] != kept; anew != c.want {
+			failing.cuts.listedRates[0] *= 1.01 // rates[0] is written anew with the list
+			kept := failing.cuts.listedRates[0]
+			g.s.cutOthersFor(failing)
+			if anew := failing.cuts.listedRates[0] != kept; anew != c.want {
 				t.Errorf("built anew: %v", anew)
 			}
 		})
@@ -626,7 +626,7 @@
 			g := newRig(t, settings())
 			n := g.s.shards[0].node
 			g.end(g.ask(nil), OK)
-			before, out := n.queue, g.ask(nil)
+			before, out := n.queueDelay, g.ask(nil)
 			if c.stalled {
 				g.now += 1200 * ms
 			} else {
@@ -640,11 +640,11 @@
 			if c.stalled {
 				g.want("refuse 901", "send 902")
 			}
-			if slow := n.queue > before; slow == c.stalled {
-				t.Errorf("queue %v after %v", n.queue, before)
+			if slow := n.queueDelay > before; slow == c.stalled {
+				t.Errorf("queue %v after %v", n.queueDelay, before)
 			}
-			if missed := g.s.volumes[1].ratio > 2; missed == c.stalled {
-				t.Errorf("missed aims of %v", g.s.volumes[1].ratio)
+			if missed := g.s.volumes[1].aimRatioSum > 2; missed == c.stalled {
+				t.Errorf("missed aims of %v", g.s.volumes[1].aimRatioSum)
 			}
 			g.run(2 * second) // the timers of the pause come late and do no harm
 			if g.sent[901] > 1 {
@@ -659,12 +659,12 @@
 	g := newRig(t, settings())
 	g.ask(nil)
 	v := g.s.volumes[1]
-	v.units = 40
-	g.now = g.s.ended + 4*second
+	v.servedUnits = 40
+	g.now = g.s.intervalEndedAt + 4*second
 	g.step()
-	g.s.interval()
-	if v.measured != 10 {
-		t.Errorf("%v units a second, want 10", v.measured)
+	g.s.endInterval()
+	if v.servedRate != 10 {
+		t.Errorf("%v units a second, want 10", v.servedRate)
 	}
 }
 
@@ -684,7 +684,7 @@
 		}
 		gaps = append(gaps, g.now-start)
 	}
-	if gaps[0] > 2*listFirst+20*ms || gaps[3] <= gaps[0] || gaps[3] > set.Rules.AskEvery/2+20*ms {
+	if gaps[0] > 2*initialListBackoff+20*ms || gaps[3] <= gaps[0] || gaps[3] > set.Rules.AskEvery/2+20*ms {
 		t.Errorf("waits between calls: %v", gaps)
 	}
 }
@@ -742,10 +742,10 @@
 		}
 	}
 	g.step(&NodeList{Kind: ListDelta, Nodes: []Node{{ID: "a", State: Removed}}})
-	g.run(volumeAge + 3*intervalSpan)
+	g.run(volumeIdleTimeout + 3*quadrantInterval)
 	s := g.s
-	left := []int{len(s.requests), len(s.volumes), len(s.order), len(s.turns), len(s.nodes), len(s.shards[0].lanes),
-		len(s.shards[0].flows), len(s.taken.stamps)}
+	left := []int{len(s.requests), len(s.volumes), len(s.volumeOrder), len(s.keyQueues), len(s.nodes), len(s.shards[0].waitQueues),
+		len(s.shards[0].flows), len(s.accepted.entries)}
 	if !slices.Equal(left, make([]int, len(left))) {
 		t.Errorf("requests, volumes, order, turns, nodes, lanes, flows, stamps left: %v", left)
 	}
@@ -774,21 +774,21 @@
 		name  string
 		lossy float64
 		want  float64
-	}{{"answers get lost", 2 * lossyFrom, 0}, {"the node is slow", 0, 2}} {
+	}{{"answers get lost", 2 * lossThreshold, 0}, {"the node is slow", 0, 2}} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newRig(t, settings())
 			n := g.s.shards[0].node
-			n.queue, g.s.lossy = 20_000, c.lossy
+			n.queueDelay, g.s.lossShare = 20_000, c.lossy
 			lost := g.ask(nil)
 			g.run(200 * ms)
 			g.step()
-			g.s.dropLost(n)
-			if n.out != c.want {
-				t.Errorf("%v units out, want %v", n.out, c.want)
+			g.s.releaseLostAttempts(n)
+			if n.unitsInFlight != c.want {
+				t.Errorf("%v units out, want %v", n.unitsInFlight, c.want)
 			}
 			g.end(lost, TimedOut, func(o *Outcome) { o.Closed = true })
-			if n.out != 0 {
-				t.Errorf("%v units: the lost attempt was not taken off once", n.out)
+			if n.unitsInFlight != 0 {
+				t.Errorf("%v units: the lost attempt was not taken off once", n.unitsInFlight)
 			}
 		})
 	}
@@ -815,8 +815,8 @@
 				}
 				g.run(300 * ms)
 				g.step()
-				if slow := g.s.expected(n) > 150_000; g.sent[missing] > 0 && slow == c.overtake {
-					t.Fatalf("expects %v us, lossy %v", g.s.expected(n), g.s.lossy)
+				if slow := g.s.expectedDelay(n) > 150_000; g.sent[missing] > 0 && slow == c.overtake {
+					t.Fatalf("expects %v us, lossy %v", g.s.expectedDelay(n), g.s.lossShare)
 				}
 				if g.sent[missing] > 0 {
 					g.end(missing, TimedOut, func(o *Outcome) { o.Closed, o.Latency = true, 310*ms })
@@ -856,14 +856,14 @@
 	}{{"a new node", 1, false}, {"the node that is known", 0, true}} {
 		g := newRig(t, settings())
 		g.step(&NodeList{Kind: ListDelta, Nodes: []Node{{ID: "a", Started: c.started}}})
-		n, r := g.s.shards[0].node, &request{Request: &Request{Units: 2}, patience: 1}
-		if got := g.s.admits(n, r, levelSpare); got != c.want || !g.s.admits(n, r, levelReserve) {
+		n, r := g.s.shards[0].node, &request{Request: &Request{Units: 2}, delayTolerance: 1}
+		if got := g.s.admitsLevel(n, r, levelSpare); got != c.want || !g.s.admitsLevel(n, r, levelReserve) {
 			t.Errorf("%s: spare %v, want %v", c.name, got, c.want)
 		}
 		for range 10 {
-			g.s.sample(n, 0)
+			g.s.updateQueueDelay(n, 0)
 		}
-		if !g.s.admits(n, r, levelSpare) {
+		if !g.s.admitsLevel(n, r, levelSpare) {
 			t.Errorf("%s: still held for slow after quick answers", c.name)
 		}
 	}
@@ -878,16 +878,16 @@
 	}{{20 * ms, true, true, true}, {90 * ms, true, true, false}, {250 * ms, true, false, false}} {
 		g := newRig(t, settings())
 		n := g.s.shards[0].node
-		n.queue, n.sampled = float64(c.latency-20*ms), g.now
-		r := &request{Request: &Request{Units: 2}, patience: 1}
+		n.queueDelay, n.queueDelayAt = float64(c.latency-20*ms), g.now
+		r := &request{Request: &Request{Units: 2}, delayTolerance: 1}
 		for level, want := range []bool{c.reserve, c.share, c.spare} {
-			if got := g.s.admits(n, r, level); got != want {
+			if got := g.s.admitsLevel(n, r, level); got != want {
 				t.Errorf("latency %d, level %d: %v", c.latency, level, got)
 			}
 		}
 		g.now += 4 * second // what was seen drains, though nothing more is seen
 		g.step()
-		if !g.s.admits(n, r, levelSpare) {
+		if !g.s.admitsLevel(n, r, levelSpare) {
 			t.Errorf("latency %d: the node is still held for slow", c.latency)
 		}
 	}
--- a/settings.go
+++ b/settings.go
@@ -11,13 +11,13 @@
 		return nil, err
 	}
 	s := &Scheduler{
-		set: set, nodes: map[NodeID]*node{}, requests: map[RequestID]*request{},
-		volumes: map[VolumeID]*volume{}, turns: map[uint64]*turn{}, cost: make([]float64, len(set.Classes)),
-		patience: make([]Micros, len(set.Classes)),
-		tightest: set.Classes[0].Aim, wait: listFirst, dice: generator(set.Seed),
+		settings: set, nodes: map[NodeID]*node{}, requests: map[RequestID]*request{},
+		volumes: map[VolumeID]*volume{}, keyQueues: map[uint64]*keyQueue{}, unitCost: make([]float64, len(set.Classes)),
+		clientTimeout: make([]Micros, len(set.Classes)),
+		tightestAim:   set.Classes[0].Aim, listBackoff: initialListBackoff, random: splitMix64(set.Seed),
 	}
 	for _, c := range set.Classes {
-		s.tightest = min(s.tightest, c.Aim)
+		s.tightestAim = min(s.tightestAim, c.Aim)
 	}
 	return s, nil
 }
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// known tells whether the settings name a request's class and plan.
-func (set *Settings) known(q *Request) bool {
+// hasClassAndPlan tells whether the settings name a request's class and plan.
+func (set *Settings) hasClassAndPlan(q *Request) bool {
 	return q.Class >= 0 && q.Class < len(set.Classes) && q.Volume.Plan >= 0 && q.Volume.Plan < len(set.Plans)
 }
