--- a/scheduler.go
+++ b/scheduler.go
@@ -1,17 +1,33 @@
 package arrowwalk
 
-// Every decision is in this file; its interface (settings, events, actions)
-// is in types.go. The mechanism is CHAMELEON's, as seen from one host:
+// This file holds every scheduling decision. Its interface (settings, events
+// and actions) is in types.go, its state in state.go. The mechanism follows
+// the CHAMELEON paper, seen from one of many hosts:
 //
-//   - Each volume has a quadrant per interval: failed (under its plan's rate,
-//     over its aim), meet, exceed or lucky. For a failed volume the host cuts
-//     the token rates of the others on its nodes in constant steps, lucky
-//     first; where no volume of a node fails, steps are given back.
-//   - A request is accepted, waits in its node's queue by its worth (inside
-//     the volume's reserve, past it with tokens, or out of tokens) while its
-//     aim can be met, and is sent while the node's cap on the units out and
-//     its expected latency allow it.
-//   - gate guards every send (rules 2 to 7), finish every answer (rule 1).
+//   - Each volume is in one quadrant per interval: failed (served less than
+//     its plan's rate and missing its aims), meet, exceed or lucky. For each
+//     failed volume, the host lowers the token rates of other volumes on the
+//     same nodes by constant steps, lucky volumes first. Rates are restored
+//     step by step once no volume on these nodes fails.
+//   - An accepted request waits in a queue of its shard for as long as it can
+//     meet its aim. It is sent once the node's cap on units in flight and its
+//     expected queue delay allow it. Requests inside their volume's reserve go
+//     first, then those that have tokens, then those that have none.
+//
+// The rules that a host must keep are enforced in two places. refuseOrFail
+// gives every final answer:
+//
+//	rule 1: each request gets exactly one final answer before its deadline
+//	rule 2: a request that may have run is repeated or refused only if
+//	        running it twice is harmless
+//
+// checkSend guards every attempt, with rule 2 and these:
+//
+//	rule 3: a node that is draining or removed gets no new attempts
+//	rule 4: a recently started (cold) node gets only what it can bear
+//	rule 5: requests with the same key run one at a time and in order
+//	rule 6: further attempts stay within the resend budget
+//	rule 7: units sent for a volume stay within its plan's limit
 
 import (
 	"cmp"
@@ -19,49 +35,104 @@
 	"slices"
 )
 
-// The tuned values. "Paper" is the CHAMELEON paper, "design" the design page,
-// "ours" was chosen here by runs on all deployments.
 const (
-	second                Micros = 1_000_000
-	tickInterval                 = second / 10  // ours: how often the host looks whether it stood still
-	minStall                     = second / 20  // ours: a beat so late tells of a stall
-	capUpdateInterval            = second / 2   // ours: how often caps are learned
-	quadrantInterval             = 2 * second   // design: the quadrants' interval
-	dispatchInterval             = second / 100 // ours: how often waiting requests are looked at anew
-	rateStepFraction             = 0.05         // paper: a step, as part of the volume's even part
-	stepsPerCutReview            = 3            // paper's m: steps between two looks at what they brought
-	capAimFraction               = 0.2          // ours: part of the tightest aim that units out may take
-	lostLatencyMultiple          = 4.0          // ours: mean latencies after which an answer may be lost
-	minCapRequests               = 0.25         // ours: least cap, in mean requests
-	initialCapRequests           = 2.0          // ours: cap of a node not known yet, in mean requests
-	maxCapChange                 = 1.25         // ours: by how much a cap may change at a time
-	maxCapUnits                  = 32.0         // design: units out at a node at most
-	queueDelayWeight             = 0.3          // ours: weight of a new sample in running means
-	busyFraction                 = 0.5          // ours: an interval is busy when the cap bound for this part
-	feasibilityMargin            = 1.1          // ours: part of the expected time that must fit before the aim
-	maxShareDelayFraction        = 0.3          // ours: queue, in tightest aims, above which no share is sent
-	initialDelayFraction         = 0.2          // ours: queue, in tightest aims, at a node not known yet
-	maxSpareDelayFraction        = 0.1          // ours: and no spare
-	minDrainRate                 = 0.03         // ours: by how much a queue not heard of drains in its time, at least
-	lossWeight                   = 0.02         // ours: weight of an answer in the share of lost ones
-	lossThreshold                = 0.02         // ours: share of lost answers from which silence is not trusted
-	usualRateWeight              = 0.1          // ours: weight of an interval in what a shard usually serves
-	coldUsageFraction            = 0.5          // ours: part of a cold node's bounds used: it may be slower
-	costDecreaseWeight           = 0.1          // ours: weight of an answer quicker than a class's work is held to be
-	costIncreaseWeight           = 0.02         // ours: and of one that took longer, which may have waited
-	ampleLimitFraction           = 0.9          // ours: above this part of its store a limit is not scarce
-	initialListBackoff           = second / 2   // ours: first wait before asking for the list again; it doubles
-	volumeIdleTimeout            = 60 * second  // ours: volumes idle for so long are forgotten
-	maxQueueScan                 = 4            // ours: requests of a lane looked at before the next lane
-	tokenBurstTime               = second       // ours: tokens a paced volume may save up
-	timerTokenTick        uint64 = 0            // timers: the interval,
-	timerTokenDispatch    uint64 = 1            // waiting requests,
-	timerTokenNodeList    uint64 = 2            // the node list,
-	timerTokenRequestBase uint64 = 16           // and from here on a request's deadline
+	second Micros = 1_000_000
+
+	// tickInterval is the period of the timer that detects stalls of this host.
+	tickInterval = second / 10
+	// minStall is the delay of a tick from which the host counts as stalled.
+	minStall = second / 20
+	// capUpdateInterval is the shortest time between two updates of the nodes' caps.
+	capUpdateInterval = second / 2
+	// quadrantInterval is the length of the interval that a volume's quadrant describes.
+	quadrantInterval = 2 * second
+	// dispatchInterval is the time after which waiting requests are examined again.
+	dispatchInterval = second / 100
+
+	// rateStepFraction is the size of a cut, as a fraction of this host's even
+	// part of the plan's rate.
+	rateStepFraction = 0.05
+	// stepsPerCutReview is the number of cuts between two reviews of their
+	// effect (m in the CHAMELEON paper).
+	stepsPerCutReview = 3
+
+	// capAimFraction is the fraction of the tightest aim that a node may take to
+	// serve its units in flight.
+	capAimFraction = 0.2
+	// lostLatencyMultiple is the number of expected latencies after which an answer may be lost.
+	lostLatencyMultiple = 4.0
+	// minCapRequests is the smallest cap of a node, in mean requests.
+	minCapRequests = 0.25
+	// initialCapRequests is the cap of a newly listed node, in mean requests.
+	initialCapRequests = 2.0
+	// maxCapChange is the largest factor by which one update raises or lowers a cap.
+	maxCapChange = 1.25
+	// maxCapUnits is the largest cap of a node, in units in flight.
+	maxCapUnits = 32.0
+
+	// queueDelayWeight is the weight of a new sample in a node's mean queue delay.
+	queueDelayWeight = 0.3
+	// busyFraction is the fraction of cap checks that must fail for a node to count as busy.
+	busyFraction = 0.5
+	// feasibilityMargin is the factor on the expected time that must fit before a request's aim.
+	feasibilityMargin = 1.1
+
+	// maxShareDelayFraction is the queue delay, as a fraction of the tightest
+	// aim, up to which requests of levelShare are sent.
+	maxShareDelayFraction = 0.3
+	// initialDelayFraction is the queue delay assumed for a new node, as a
+	// fraction of the tightest aim.
+	initialDelayFraction = 0.2
+	// maxSpareDelayFraction is the same bound for levelSpare.
+	maxSpareDelayFraction = 0.1
+
+	// minDrainRate is the lowest rate at which a queue delay without new samples
+	// decays, in microseconds per microsecond.
+	minDrainRate = 0.03
+	// lossWeight is the weight of one attempt in the share of lost answers.
+	lossWeight = 0.02
+	// lossThreshold is the share of lost answers from which a missing answer no
+	// longer indicates a slow node.
+	lossThreshold = 0.02
+	// usualRateWeight is the weight of one interval in a shard's usual rate.
+	usualRateWeight = 0.1
+	// coldUsageFraction is the fraction used of the bound that the usual rate gives
+	// for a cold node, because a node may be slower after its restart.
+	coldUsageFraction = 0.5
+	// costDecreaseWeight is the weight of an answer that was faster than the class's unit cost.
+	costDecreaseWeight = 0.1
+	// costIncreaseWeight is the weight of a slower answer, which may include
+	// time in the node's queue.
+	costIncreaseWeight = 0.02
+	// ampleLimitFraction is the fill of a limit's bucket from which its units are not scarce.
+	ampleLimitFraction = 0.9
+
+	// initialListBackoff is the first wait before the node list is requested
+	// again; it doubles with each failure.
+	initialListBackoff = second / 2
+	// volumeIdleTimeout is the time without requests after which a volume's state is evicted.
+	volumeIdleTimeout = 60 * second
+	// maxQueueScan is the number of blocked requests examined in one wait queue.
+	maxQueueScan = 4
+	// tokenBurstTime is the time for which a volume with a token rate accumulates tokens.
+	tokenBurstTime = second
+
+	// The tokens of the timers. A request's deadline timer has the token
+	// timerTokenRequestBase plus the request's ID.
+	timerTokenTick        uint64 = 0
+	timerTokenDispatch    uint64 = 1
+	timerTokenNodeList    uint64 = 2
+	timerTokenRequestBase uint64 = 16
+
+	// placementJitter is the largest random increase of a shard's load in chooseShard.
+	placementJitter = 0.1
+	// minColdFraction replaces a smaller or missing Rules.ColdFrom, which is a divisor.
+	minColdFraction = 0.01
 )
 
-// Step takes the events of one time, in their order, and returns what is to
-// be done, in order. The returned slice is valid until the next call.
+// Step handles events that happened at one time, in their order, and returns
+// the actions to carry out, in order. The returned slice is valid until the
+// next call.
 func (s *Scheduler) Step(now Micros, events ...Event) []Action {
 	s.now, s.actions = now, s.actions[:0]
 	if !s.started {
@@ -71,8 +142,9 @@
 			s.emit(Action{Kind: Subscribe})
 		}
 	}
-	// A beat long overdue tells that the host stood still: all that came
-	// meanwhile comes now, and its times are not the nodes'.
+	// A tick that is long overdue means that this host was stalled. Events
+	// that arrived meanwhile are delivered only now, so their times say
+	// nothing about the nodes.
 	if s.stall = s.now - s.nextTickAt; s.stall > minStall {
 		s.stall += tickInterval
 	} else {
@@ -85,6 +157,7 @@
 	return s.actions
 }
 
+// handleEvent updates the state for one event.
 func (s *Scheduler) handleEvent(e Event) {
 	switch e := e.(type) {
 	case *NodeList:
@@ -114,13 +187,13 @@
 	}
 }
 
-// startTick sets the timer of the next look at intervals and stalls.
+// startTick sets the timer of the next tick.
 func (s *Scheduler) startTick() {
 	s.nextTickAt = s.now + tickInterval
 	s.setTimer(tickInterval, timerTokenTick)
 }
 
-// handleTimer handles a timer.
+// handleTimer handles the expiry of the timer with the given token.
 func (s *Scheduler) handleTimer(token uint64) {
 	switch {
 	case token == timerTokenTick:
@@ -146,130 +219,147 @@
 	}
 }
 
-// handleNodeList follows the node handleNodeList.
-func (s *Scheduler) handleNodeList(l *NodeList) {
-	if l.Kind == ListFailed {
-		s.logf("node list failed, asking again in %d ms", s.listBackoff/1000)
+// handleNodeList applies a snapshot or a delta of the node list. After a
+// failed call it requests the list again with exponential backoff and jitter;
+// the longest wait stays within half of Rules.AskEvery.
+func (s *Scheduler) handleNodeList(list *NodeList) {
+	if list.Kind == ListFailed {
+		s.logf("node list request failed, retrying in %d ms", s.listBackoff/1000)
 		s.setTimer(s.listBackoff+Micros(s.random.uniform()*float64(s.listBackoff)), timerTokenNodeList)
 		s.listBackoff = min(2*s.listBackoff, max(initialListBackoff, s.settings.Rules.AskEvery/4))
 		return
 	}
-	if l.Kind != ListStored {
+	if list.Kind != ListStored {
 		s.listBackoff = initialListBackoff
 	}
-	if l.Kind != ListDelta {
+	if list.Kind != ListDelta {
 		for _, sh := range s.shards {
 			n := sh.node
-			if n != nil && !slices.ContainsFunc(l.Nodes, func(entry Node) bool { return entry.ID == n.ID }) {
+			if n != nil && !slices.ContainsFunc(list.Nodes, func(listed Node) bool { return listed.ID == n.ID }) {
 				n.State = Removed
 			}
 		}
 	}
-	for _, entry := range l.Nodes {
-		s.updateNode(entry)
+	for _, listed := range list.Nodes {
+		s.updateNode(listed)
 	}
 }
 
-// updateNode takes one entry of the list.
-func (s *Scheduler) updateNode(entry Node) {
-	n := s.nodes[entry.ID]
+// updateNode applies one entry of the node list and makes the node its shard's
+// node if it replaces the current one.
+func (s *Scheduler) updateNode(listed Node) {
+	n := s.nodes[listed.ID]
 	if n == nil {
-		if entry.State == Removed {
+		if listed.State == Removed {
 			return
 		}
 		n = &node{Node: Node{Started: -1}, unitCap: initialCapRequests * s.settings.MeanUnits}
-		s.nodes[entry.ID] = n
+		s.nodes[listed.ID] = n
 	}
-	if entry.Started > n.Started { // not known (any more): many hosts may start at once
+	// Many hosts may discover a new or restarted node at the same time, so it
+	// is assumed to have a queue until its first answers arrive.
+	if listed.Started > n.Started {
 		n.queueDelay, n.queueDelayAt = initialDelayFraction*float64(s.tightestAim), s.now
 	}
-	n.Node = entry
-	sh := s.shardAt(entry.Shard)
+	n.Node = listed
+	sh := s.shardAt(listed.Shard)
 	if sh == nil {
 		return
 	}
-	if sh.node == nil || entry.State == Ready &&
-		(sh.node.State != Ready || entry.Started > sh.node.Started) {
+	if sh.node == nil || listed.State == Ready &&
+		(sh.node.State != Ready || listed.Started > sh.node.Started) {
 		sh.node = n
 	}
 	sh.needsDispatch = true
 }
 
-// acceptRequest takes a client's request.
-func (s *Scheduler) acceptRequest(q *Request) {
-	if s.requests[q.ID] != nil {
+// acceptRequest starts tracking a client's request and queues it, unless it
+// has to be refused at once or an earlier request with its key is unfinished.
+func (s *Scheduler) acceptRequest(req *Request) {
+	if s.requests[req.ID] != nil {
 		return
 	}
 	s.accepted.add(s.now, 1)
-	r := &request{Request: q, acceptedAt: s.now, deadline: s.now + q.Left, delayTolerance: 0.5 + s.random.uniform()}
+	r := &request{
+		Request: req, acceptedAt: s.now, deadline: s.now + req.Left, delayTolerance: 0.5 + s.random.uniform(),
+	}
 	if s.shutdownAt > 0 {
 		r.deadline = min(r.deadline, s.shutdownAt)
 	}
-	s.requests[q.ID] = r
-	if !s.settings.hasClassAndPlan(q) || r.deadline <= s.now {
+	s.requests[req.ID] = r
+	if !s.settings.hasClassAndPlan(req) || r.deadline <= s.now {
 		s.refuseOrFail(r)
 		return
 	}
-	r.class = &s.settings.Classes[q.Class]
+	r.class = &s.settings.Classes[req.Class]
 	r.aimAt = s.now + s.aimSpan(r)
-	if q.Again { // the aim counts from the client's first try
-		r.aimAt -= max(0, r.class.Deadline-q.Left)
-	} else { // and from when it came, which Left tells after a stall
-		s.clientTimeout[q.Class] = max(s.clientTimeout[q.Class], q.Left)
-		r.aimAt -= min(s.stall, s.clientTimeout[q.Class]-q.Left)
+	if req.Again { // the aim counts from the client's first try
+		r.aimAt -= max(0, r.class.Deadline-req.Left)
+	} else { // the aim counts from the arrival, which Left dates if the event was delayed by a stall
+		s.clientTimeout[req.Class] = max(s.clientTimeout[req.Class], req.Left)
+		r.aimAt -= min(s.stall, s.clientTimeout[req.Class]-req.Left)
 	}
-	r.vol = s.findOrAddVolume(q.Volume)
+	r.vol = s.findOrAddVolume(req.Volume)
 	s.setDeadlineTimer(r)
-	if r.class.Ordered && q.HasKey {
-		t := s.keyQueues[q.Key]
-		if t == nil {
-			t = &keyQueue{}
-			s.keyQueues[q.Key] = t
-		}
-		r.keyQueue = t
-		t.requests = append(t.requests, r)
-		if t.requests[0] != r {
+	if r.class.Ordered && req.HasKey {
+		kq := s.keyQueues[req.Key]
+		if kq == nil {
+			kq = &keyQueue{}
+			s.keyQueues[req.Key] = kq
+		}
+		r.keyQueue = kq
+		kq.requests = append(kq.requests, r)
+		if kq.requests[0] != r {
 			return
 		}
 	}
 	s.enqueue(r)
 }
 
-// setDeadlineTimer sets the timer of the last moment for r's final answer.
+// setDeadlineTimer sets the timer for the last step at which r's final answer
+// is in time.
 func (s *Scheduler) setDeadlineTimer(r *request) {
 	s.setTimer(max(0, r.deadline-s.now-s.settings.Tick), timerTokenRequestBase+uint64(r.ID))
 }
 
-// findOrAddVolume returns the state of a findOrAddVolume, made anew where it is not known. Its
-// limit opens with one largest request at this host's start, not with a full
-// part: a host that was killed may have spent its part just before.
-func (s *Scheduler) findOrAddVolume(q Volume) *volume {
-	v := s.volumes[q.ID]
+// findOrAddVolume returns the state of a volume and adds it if it is missing.
+// The limit's bucket of a new volume holds one largest request at the start of
+// this host, not its full size, because a killed predecessor of this host may
+// have spent its part just before.
+func (s *Scheduler) findOrAddVolume(info Volume) *volume {
+	v := s.volumes[info.ID]
 	if v == nil {
-		v = &volume{id: q.ID, plan: &s.settings.Plans[q.Plan], hosts: float64(max(1, q.Hosts)), quadrant: meet}
+		v = &volume{
+			id: info.ID, plan: &s.settings.Plans[info.Plan], hosts: float64(max(1, info.Hosts)), quadrant: meet,
+		}
 		v.refilledAt, v.limitUnits, v.reserveUnits = s.startedAt, s.settings.MostUnits, s.settings.MostUnits/v.hosts
-		s.volumes[q.ID] = v
+		s.volumes[info.ID] = v
 		s.volumeOrder = append(s.volumeOrder, v)
 	}
-	v.hosts = max(v.hosts, float64(q.Hosts))
+	v.hosts = max(v.hosts, float64(info.Hosts))
 	v.lastRequestAt = s.now
 	return v
 }
 
-// refillTokens brings the stores of a volume up to now.
+// refillTokens refills the volume's token buckets (limit, reserve and paced
+// tokens) for the time since the last refill. Where nodes report what they
+// served through other hosts, the reserve refills at the volume's whole rate;
+// otherwise at this host's even part.
 func (s *Scheduler) refillTokens(v *volume) {
-	span := float64(s.now-v.refilledAt) / float64(second)
+	elapsedSeconds := float64(s.now-v.refilledAt) / float64(second)
 	v.refilledAt = s.now
-	v.limitUnits = min(v.limitUnits+v.plan.LimitRate/v.hosts*span, v.plan.LimitBurst/v.hosts)
-	part := v.plan.Reserve
+	v.limitUnits = min(v.limitUnits+v.plan.LimitRate/v.hosts*elapsedSeconds, v.plan.LimitBurst/v.hosts)
+	reserveRate := v.plan.Reserve
 	if !s.settings.TellsOthers {
-		part /= v.hosts
+		reserveRate /= v.hosts
 	}
-	v.reserveUnits = min(v.reserveUnits+part*span, (v.plan.Reserve+s.settings.MostUnits)/v.hosts)
-	v.tokens = min(v.tokens+v.tokenRate*span, v.tokenRate*float64(tokenBurstTime/second)+s.settings.MostUnits)
+	v.reserveUnits = min(v.reserveUnits+reserveRate*elapsedSeconds, (v.plan.Reserve+s.settings.MostUnits)/v.hosts)
+	v.tokens = min(v.tokens+v.tokenRate*elapsedSeconds,
+		v.tokenRate*float64(tokenBurstTime/second)+s.settings.MostUnits)
 }
 
-// enqueue lets r wait at its shard, or at the best one for a new object.
+// enqueue adds r to a wait queue of its shard, sorted by aim. A new object
+// goes to the shard that chooseShard returns.
 func (s *Scheduler) enqueue(r *request) {
 	sh := s.shardAt(r.Shard)
 	if r.Shard < 0 {
@@ -279,41 +369,44 @@
 		s.refuseOrFail(r)
 		return
 	}
-	l := s.waitQueueFor(r, sh)
-	r.waitQueue, r.queued = l, true
-	i := len(l.requests)
-	for i > 0 && l.requests[i-1].aimAt > r.aimAt {
+	wq := s.waitQueueFor(r, sh)
+	r.waitQueue, r.queued = wq, true
+	i := len(wq.requests)
+	for i > 0 && wq.requests[i-1].aimAt > r.aimAt {
 		i--
 	}
-	l.requests = slices.Insert(l.requests, i, r)
+	wq.requests = slices.Insert(wq.requests, i, r)
 	sh.waitingUnits += r.Units
 	sh.needsDispatch = true
 }
 
-// chooseShard chooses the shard of a new object: the one whose node should answer
-// first, by what waits and is out there and how long its answers take; a cold
-// one only where this host's turn has come.
+// chooseShard returns the shard for a new object: the one expected to answer
+// first, by the units that wait and are in flight and by how long its answers
+// take. A shard with a cold node is avoided unless the node's budget has room
+// for r now. It returns nil if no shard has a ready node.
 func (s *Scheduler) chooseShard(r *request) *shard {
 	var best *shard
-	var least float64
+	var minLoad float64
 	for _, sh := range s.shards {
 		n := sh.node
 		if n == nil || n.State != Ready {
 			continue
 		}
-		load := (sh.waitingUnits + n.unitsInFlight + r.Units) / max(n.unitCap, 1) * max(s.expectedDelay(n)+s.serviceTime(r), 1)
-		if allowed, cold := s.coldBudget(n); cold && (sh.waitingUnits > 0 || !s.fitsColdBudget(n, r, allowed)) {
+		load := (sh.waitingUnits + n.unitsInFlight + r.Units) / max(n.unitCap, 1) *
+			max(s.expectedDelay(n)+s.serviceTime(r), 1)
+		if budget, cold := s.coldBudget(n); cold && (sh.waitingUnits > 0 || !s.fitsColdBudget(n, r, budget)) {
 			load += float64(second)
 		}
-		load *= 1 + 0.1*s.random.uniform()
-		if best == nil || load < least {
-			best, least = sh, load
+		load *= 1 + placementJitter*s.random.uniform()
+		if best == nil || load < minLoad {
+			best, minLoad = sh, load
 		}
 	}
 	return best
 }
 
-// dispatch sends what may go at every shard where something has changed.
+// dispatch sends all requests that may be sent now at shards whose state has
+// changed, and sets a timer to examine the remaining ones again.
 func (s *Scheduler) dispatch() {
 	waiting := false
 	for _, sh := range s.shards {
@@ -330,7 +423,8 @@
 	}
 }
 
-// sendNext sends the best waiting request of a shard; false: none may go.
+// sendNext sends the waiting request of a shard that has the highest priority.
+// It reports whether there was one that may be sent.
 func (s *Scheduler) sendNext(sh *shard) bool {
 	n := sh.node
 	if sh.waitingUnits <= 0 || n == nil || n.State != Ready {
@@ -342,14 +436,14 @@
 		return false
 	}
 	var best *request
-	var bestRank priority
-	for _, l := range sh.waitQueues {
-		r := s.nextCandidate(l, n)
+	var bestPriority priority
+	for _, wq := range sh.waitQueues {
+		r := s.nextCandidate(wq, n)
 		if r == nil {
 			continue
 		}
-		if k := s.priorityOf(r, n); s.admitsLevel(n, r, k.level) && (best == nil || k.precedes(bestRank)) {
-			best, bestRank = r, k
+		if p := s.priorityOf(r, n); s.admitsLevel(n, r, p.level) && (best == nil || p.precedes(bestPriority)) {
+			best, bestPriority = r, p
 		}
 	}
 	if best == nil {
@@ -359,102 +453,110 @@
 	return true
 }
 
-// admitsLevel tells whether n is quick enough for a request of a level. Many hosts
-// fill one node, each with too little for a cap of its own to tell: what is
-// worth less waits first when answers get slow. The bounds are scattered by
-// request, so that hosts do not stop and start in step.
+// admitsLevel reports whether n is fast enough for requests of a level. When
+// many hosts share a node, each sends too little for its own cap to take
+// effect, so the lower levels stop first when answers become slow. The bounds
+// vary by request so that the hosts don't stop and resume at the same time.
 func (s *Scheduler) admitsLevel(n *node, r *request, level int) bool {
-	queue := s.expectedDelay(n) / float64(s.tightestAim) / r.delayTolerance
+	delayFraction := s.expectedDelay(n) / float64(s.tightestAim) / r.delayTolerance
 	switch level {
 	case levelShare:
-		return queue <= maxShareDelayFraction
+		return delayFraction <= maxShareDelayFraction
 	case levelSpare:
-		return queue <= maxSpareDelayFraction
+		return delayFraction <= maxSpareDelayFraction
 	}
 	return true
 }
 
-// serviceTime returns the time that r's work should take on a node that is not slow.
+// serviceTime returns how long a node without a queue takes to serve r, in
+// microseconds.
 func (s *Scheduler) serviceTime(r *request) float64 { return s.unitCost[r.Class] * r.Units }
 
-// expectedDelay returns how long a request should wait at n now. What was seen is
-// taken to drain with time: a host that holds back gets no news.
+// expectedDelay returns how long a request sent now is expected to wait in n's
+// queue, in microseconds. The last estimate decays with time, because a host
+// that sends nothing gets no new samples.
 func (s *Scheduler) expectedDelay(n *node) float64 {
-	drained := max(0, n.queueDelay-s.drainRate()*float64(s.now-n.queueDelayAt))
-	if s.lossShare < lossThreshold { // where answers get lost, a missing one tells nothing
-		drained = max(drained, s.oldestWait(n))
+	delay := max(0, n.queueDelay-s.drainRate()*float64(s.now-n.queueDelayAt))
+	if s.lossShare < lossThreshold { // where answers get lost, a missing one doesn't mean a slow node
+		delay = max(delay, s.oldestWait(n))
 	}
-	return drained
+	return delay
 }
 
-// nextCandidate returns the first request of a lane that may be sent now. Those
-// that gate bars or that not even an idle node could serve in time are
-// answered: what is late takes as much of a node and earns a fraction.
-func (s *Scheduler) nextCandidate(l *waitQueue, n *node) *request {
-	for i, looked := 0, 0; i < len(l.requests) && looked < maxQueueScan; i++ {
-		r := l.requests[i]
-		left, verdict := float64(r.aimAt-s.now), s.checkSend(r, n)
+// nextCandidate returns the first request of a wait queue that may be sent
+// now, or nil. Requests that may never be sent, or that even an idle node
+// could not serve by their aim, get their final answer: a late request costs a
+// node as much as one in time and earns a fraction of it.
+func (s *Scheduler) nextCandidate(wq *waitQueue, n *node) *request {
+	for i, blocked := 0, 0; i < len(wq.requests) && blocked < maxQueueScan; i++ {
+		r := wq.requests[i]
+		left, decision := float64(r.aimAt-s.now), s.checkSend(r, n)
 		switch {
-		case verdict == sendNever || left <= feasibilityMargin*s.serviceTime(r):
+		case decision == sendNever || left <= feasibilityMargin*s.serviceTime(r):
 			s.refuseOrFail(r)
 			i = -1
 		case left < feasibilityMargin*(s.expectedDelay(n)+s.serviceTime(r)):
-		case verdict == sendNow:
+			// The request would be late now, but not if the node's queue drains.
+		case decision == sendNow:
 			return r
 		default:
-			looked++
+			blocked++
 		}
 	}
 	return nil
 }
 
-// The levels of worth, best first.
+// The levels of a request, highest worth first.
 const (
 	levelReserve = iota // inside the volume's reserve
-	levelShare          // past it, with tokens
-	levelSpare          // out of tokens
+	levelShare          // past the reserve, with tokens left or no token rate
+	levelSpare          // past the reserve, without tokens
 )
 
-// priority is the order in which waiting requests go: by the worth of their units,
-// then by aim.
+// priority is the key by which waiting requests are ordered: by the worth of
+// their units, then by aim.
 type priority struct {
 	level int
 	value float64
 	aimAt Micros
 }
 
-func (k priority) precedes(o priority) bool {
-	return cmp.Or(cmp.Compare(o.value, k.value), cmp.Compare(k.aimAt, o.aimAt)) < 0
+// precedes reports whether p is sent before other.
+func (p priority) precedes(other priority) bool {
+	return cmp.Or(cmp.Compare(other.value, p.value), cmp.Compare(p.aimAt, other.aimAt)) < 0
 }
 
+// priorityOf returns the priority of r by its class, its plan and what its
+// volume has left of reserve and tokens.
 func (s *Scheduler) priorityOf(r *request, n *node) priority {
 	v := r.vol
 	s.refillTokens(v)
-	k := priority{levelSpare, r.class.Worth * v.plan.WorthFactor, r.aimAt}
+	p := priority{levelSpare, r.class.Worth * v.plan.WorthFactor, r.aimAt}
 	switch {
 	case v.reserveUnits > 0:
-		k.level = levelReserve
+		p.level = levelReserve
 	case v.tokenRate == 0 || v.tokens >= r.Units:
-		k.level = levelShare
-		k.value *= s.settings.ShareWorth
+		p.level = levelShare
+		p.value *= s.settings.ShareWorth
 	default:
-		k.value *= s.settings.SpareWorth
+		p.value *= s.settings.SpareWorth
 	}
-	return k
+	return p
 }
 
-// checkSend guards every send; no attempt starts without its pass.
+// checkSend decides whether r may be sent to n now. No attempt starts unless
+// it returns sendNow.
 func (s *Scheduler) checkSend(r *request, n *node) sendDecision {
 	switch {
 	case r.closed || s.now >= r.deadline: // rule 1
 		return sendNever
-	case n.State != Ready: // rule 3: at once, ahead of the grace
+	case n.State != Ready: // rule 3; Rules.DrainGrace is not made use of
 		return sendLater
 	case r.Shard >= 0 && r.Shard != n.Shard || len(r.attempts) >= s.settings.MaxAttempts:
 		return sendNever
-	case r.inFlight > 0: // one copy at a time: only one node has the data
+	case r.inFlight > 0: // one attempt at a time: only one node has the data
 		return sendLater
-	case r.firstMayHaveRun != nil && !canRepeatOn(r, n, s.now): // rule 2
+	case r.mayHaveRun != nil && !canRepeatOn(r, n, s.now): // rule 2
 		return sendNever
 	case r.keyQueue != nil && (r.keyQueue.requests[0] != r || s.now < r.keyQueue.notBefore): // rule 5
 		return sendLater
@@ -463,44 +565,48 @@
 	case !s.isWithinVolumeLimit(r, n): // rule 7
 		return sendLater
 	}
-	// Rule 4: this host's even part of what a cold node bears, or its turn.
-	if allowed, cold := s.coldBudget(n); cold && !s.fitsColdBudget(n, r, allowed) {
+	// Rule 4: r must fit this host's part of what the cold node bears.
+	if budget, cold := s.coldBudget(n); cold && !s.fitsColdBudget(n, r, budget) {
 		return sendLater
 	}
 	return sendNow
 }
 
-// fitsColdBudget tells whether r fits into this host's part of what a cold node fitsColdBudget.
-// A part under one request is a turn in time: after each send the host waits
-// for as long as its part needs to grow back. First turns are scattered, so
-// that the turns of all hosts add up to what the node fitsColdBudget at any time.
-func (s *Scheduler) fitsColdBudget(n *node, r *request, allowed float64) bool {
+// fitsColdBudget reports whether r may be sent to the cold node n now, where
+// budget is the result of coldBudget. A budget smaller than r is kept by
+// pacing: after each send the host waits until its budget has grown back. The
+// first sends of all hosts are spread at random, so that their sum stays
+// within what the node bears at any time.
+func (s *Scheduler) fitsColdBudget(n *node, r *request, budget float64) bool {
 	span := s.settings.Rules.ColdSpan
-	if r.Units <= allowed {
-		return n.recentUnits.sumSince(s.now-span)+r.Units <= allowed
+	if r.Units <= budget {
+		return n.recentUnits.sumSince(s.now-span)+r.Units <= budget
 	}
 	if n.coldPacingStart != n.Started {
 		n.coldPacingStart = n.Started
-		n.nextColdSendAt = max(n.Started, s.startedAt) + Micros(s.random.uniform()*s.settings.MeanUnits/allowed*float64(span))
+		n.nextColdSendAt = max(n.Started, s.startedAt) +
+			Micros(s.random.uniform()*s.settings.MeanUnits/budget*float64(span))
 	}
 	return s.now >= n.nextColdSendAt
 }
 
-// canRepeatOn tells whether r, which may have run, may be sent to n (rule 2).
+// canRepeatOn reports whether r, which may have run already, may be sent to n
+// (rule 2).
 func canRepeatOn(r *request, n *node, now Micros) bool {
 	switch r.class.Repeat {
 	case Safe:
 		return true
 	case Keyed:
-		first := r.firstMayHaveRun.node
-		same := r.class.Scope == ScopeAll || r.class.Scope == ScopeZone && first.Zone == n.Zone ||
+		first := r.mayHaveRun.node
+		inScope := r.class.Scope == ScopeAll || r.class.Scope == ScopeZone && first.Zone == n.Zone ||
 			r.class.Scope == ScopeShard && first.Shard == n.Shard
-		return same && now < r.firstMayHaveRun.sentAt+r.class.Window
+		return inScope && now < r.mayHaveRun.sentAt+r.class.Window
 	}
 	return false
 }
 
-// isWithinResendBudget tells whether the budget has room for one more attempt (rule 6).
+// isWithinResendBudget reports whether the resend budget allows one more
+// attempt (rule 6).
 func (s *Scheduler) isWithinResendBudget() bool {
 	rules := &s.settings.Rules
 	if rules.ResendSpan <= 0 {
@@ -510,9 +616,9 @@
 	return s.resends.sumSince(from)+1 <= rules.ResendFree+rules.ResendRatio*s.accepted.sumSince(from+1)
 }
 
-// isWithinVolumeLimit tells whether this host's even part of the volume's limit
-// holds r (rule 7). The slack is left alone. Units of a scarce limit are kept
-// for the waiting class of the greatest worth.
+// isWithinVolumeLimit reports whether this host's even part of the volume's
+// limit covers r (rule 7). Plan.LimitSlack is not used. While the limit's
+// units are scarce, they are kept for the waiting class of the highest worth.
 func (s *Scheduler) isWithinVolumeLimit(r *request, n *node) bool {
 	v := r.vol
 	if r.limitCharged || v.plan.LimitRate <= 0 {
@@ -526,8 +632,8 @@
 		return true
 	}
 	for _, f := range v.flows {
-		for _, l := range f.waitQueues {
-			if len(l.requests) > 0 && s.settings.Classes[l.class].Worth > r.class.Worth {
+		for _, wq := range f.waitQueues {
+			if len(wq.requests) > 0 && s.settings.Classes[wq.class].Worth > r.class.Worth {
 				return false
 			}
 		}
@@ -535,26 +641,29 @@
 	return true
 }
 
-// coldBudget returns the units that this host may send to a cold node within
-// the rule's span; false for a warm one. It is an even part of what any node
-// bears, or a part of what this host was usually served there: what all hosts
-// were served together is within the node's capacity.
+// coldBudget returns the units that this host may send to n within
+// Rules.ColdSpan, and whether n is cold; the budget of a warm node is 0. The
+// budget grows with the node's age. It is the larger of an even part of what
+// any node bears and a part of what this host was usually served at the shard:
+// the usual rates of all hosts add up to no more than the node's capacity.
 func (s *Scheduler) coldBudget(n *node) (float64, bool) {
 	rules := &s.settings.Rules
 	if rules.ColdUnits <= 0 || rules.WarmWithin <= 0 {
 		return 0, false
 	}
-	from := max(rules.ColdFrom, 0.01)
-	usual := s.shardAt(n.Shard).usualRate * float64(rules.ColdSpan) / float64(second)
-	part := max(rules.ColdUnits/float64(s.settings.Hosts), coldUsageFraction*rules.ColdMultiple*from*usual)
+	initialCapacity := max(rules.ColdFrom, minColdFraction)
+	usualUnits := s.shardAt(n.Shard).usualRate * float64(rules.ColdSpan) / float64(second)
+	initialBudget := max(rules.ColdUnits/float64(s.settings.Hosts),
+		coldUsageFraction*rules.ColdMultiple*initialCapacity*usualUnits)
 	if n.Started > 0 && s.now-n.Started < rules.WarmWithin {
 		age := max(0, float64(s.now-n.Started-rules.ColdSpan)/float64(rules.WarmWithin))
-		return part * (from + (1-from)*age) / from, true
+		return initialBudget * (initialCapacity + (1-initialCapacity)*age) / initialCapacity, true
 	}
 	return 0, false
 }
 
-// send starts an attempt that gate has passed.
+// send starts an attempt that checkSend has allowed, and charges its units to
+// the volume's buckets and to the node.
 func (s *Scheduler) send(r *request, n *node) {
 	v := r.vol
 	s.dequeue(r)
@@ -572,16 +681,16 @@
 	r.inFlight++
 	n.attempts = append(n.attempts, a)
 	n.unitsInFlight += a.units
-	if allowed, cold := s.coldBudget(n); cold {
-		n.nextColdSendAt = s.now + Micros(r.Units/allowed*float64(s.settings.Rules.ColdSpan))
+	if budget, cold := s.coldBudget(n); cold {
+		n.nextColdSendAt = s.now + Micros(r.Units/budget*float64(s.settings.Rules.ColdSpan))
 	}
 	n.recentUnits.add(s.now, r.Units)
-	n.recentUnits.sumSince(s.now - max(s.settings.Rules.ColdSpan, second))
+	n.recentUnits.sumSince(s.now - max(s.settings.Rules.ColdSpan, second)) // drops old entries
 	s.emit(Action{Kind: Send, Request: r.ID, Node: n.ID})
 }
 
-// handleOutcome learns from an attempt's end and decides what becomes of its
-// request.
+// handleOutcome records the outcome of an attempt, then closes its request,
+// gives its final answer or queues it for another attempt.
 func (s *Scheduler) handleOutcome(o *Outcome) {
 	r := s.requests[o.Request]
 	if r == nil || o.Number < 0 || o.Number >= len(r.attempts) || r.attempts[o.Number].done {
@@ -594,15 +703,15 @@
 		a.node.unitsInFlight = max(0, a.node.unitsInFlight-a.units)
 	}
 	s.recordOutcome(r, a, o)
-	if !o.Status.NeverRan() && r.firstMayHaveRun == nil {
-		r.firstMayHaveRun = a
+	if !o.Status.NeverRan() && r.mayHaveRun == nil {
+		r.mayHaveRun = a
 	}
-	if o.Status == NotSent && len(r.attempts) == 1 { // a moot send draws nothing
+	if o.Status == NotSent && len(r.attempts) == 1 { // the limit is not charged for an attempt that was not sent
 		r.limitCharged = false
 		r.vol.limitUnits += r.Units
 	}
-	if t := r.keyQueue; t != nil && o.Status.MayStillRun() {
-		t.notBefore = max(t.notBefore, s.now+s.settings.Rules.OrderGap)
+	if kq := r.keyQueue; kq != nil && o.Status.MayStillRun() {
+		kq.notBefore = max(kq.notBefore, s.now+s.settings.Rules.OrderGap)
 	}
 	if sh := s.shardAt(a.node.Shard); sh != nil {
 		sh.needsDispatch = true
@@ -611,14 +720,14 @@
 	case o.Closed || r.closed:
 		s.closeRequest(r)
 	case r.streaming || s.now >= r.deadline-s.settings.Tick || len(r.attempts) >= s.settings.MaxAttempts ||
-		r.firstMayHaveRun != nil && r.class.Repeat == Unsafe:
+		r.mayHaveRun != nil && r.class.Repeat == Unsafe:
 		s.refuseOrFail(r)
 	default:
 		s.enqueue(r)
 	}
 }
 
-// recordOutcome keeps what an outcome tells of its node and its volume.
+// recordOutcome updates the statistics of the attempt's node, volume and class.
 func (s *Scheduler) recordOutcome(r *request, a *attempt, o *Outcome) {
 	n, v := a.node, r.vol
 	switch o.Status {
@@ -633,17 +742,20 @@
 		if sh := s.shardAt(n.Shard); sh != nil {
 			sh.servedUnits += r.Units
 		}
-		per := float64(o.Latency) / max(r.Units, 1)
-		cost, gain := cmp.Or(s.unitCost[r.Class], per), costIncreaseWeight // the work alone: the low end of what is seen
-		if per < cost {
-			gain = costDecreaseWeight
+		// The unit cost follows the low end of what is observed, so that it
+		// covers the service time without the time in the node's queue.
+		observed := float64(o.Latency) / max(r.Units, 1)
+		cost, weight := cmp.Or(s.unitCost[r.Class], observed), costIncreaseWeight
+		if observed < cost {
+			weight = costDecreaseWeight
 		}
-		s.unitCost[r.Class] = cost + gain*(per-cost)
+		s.unitCost[r.Class] = cost + weight*(observed-cost)
 		s.updateQueueDelay(n, float64(o.Latency)-s.serviceTime(r))
 	case Overloaded, Unreachable:
 		s.updateQueueDelay(n, max(n.queueDelay, float64(s.tightestAim)))
 	case Reset, TimedOut, Cancelled:
-		if a.sentAt > n.newestAnsweredSentAt { // not overtaken: the node is slow, the answer isn't lost
+		// If no later attempt was answered, the node is slow and the answer isn't lost.
+		if a.sentAt > n.newestAnsweredSentAt {
 			s.updateQueueDelay(n, max(n.queueDelay, float64(o.Latency)))
 		} else {
 			s.lossShare += lossWeight
@@ -657,15 +769,17 @@
 	}
 }
 
-// releaseLostAttempts stops counting attempts towards n's cap that have long had no
-// answer, where answers get lost: each would hold its room until the client
-// gives up. It calls them off, which frees safe ones for another attempt.
+// releaseLostAttempts stops counting long unanswered attempts towards n's cap
+// when answers get lost; they would otherwise occupy the cap until their
+// clients give up. Where possible, it cancels those of safe requests that a
+// later attempt has overtaken, so that these requests can be sent again.
 func (s *Scheduler) releaseLostAttempts(n *node) {
 	if n == nil || s.lossShare < lossThreshold {
 		return
 	}
 	for _, a := range n.attempts {
-		if a.done || a.presumedLost || float64(s.now-a.sentAt) <= lostLatencyMultiple*(n.queueDelay+s.serviceTime(a.request)) {
+		if a.done || a.presumedLost ||
+			float64(s.now-a.sentAt) <= lostLatencyMultiple*(n.queueDelay+s.serviceTime(a.request)) {
 			continue
 		}
 		a.presumedLost = true
@@ -677,35 +791,38 @@
 	}
 }
 
-// drainRate returns by how much a queue drains in its time while this host, one of
-// all that fill it, holds back.
+// drainRate returns how fast a node's queue delay is assumed to decay while
+// this host, one of all that fill the queue, sends nothing, in microseconds
+// per microsecond.
 func (s *Scheduler) drainRate() float64 { return max(minDrainRate, 1/float64(s.settings.Hosts)) }
 
-// updateQueueDelay takes in how long a request waited at n.
-func (s *Scheduler) updateQueueDelay(n *node, queue float64) {
+// updateQueueDelay adds a sample, in microseconds, to n's mean queue delay.
+// Samples taken after a stall of this host are ignored.
+func (s *Scheduler) updateQueueDelay(n *node, sample float64) {
 	if s.stall > 0 {
 		return
 	}
-	drained := max(0, n.queueDelay-s.drainRate()*float64(s.now-n.queueDelayAt))
-	n.queueDelay, n.queueDelayAt = drained+queueDelayWeight*(max(0, queue)-drained), s.now
+	decayed := max(0, n.queueDelay-s.drainRate()*float64(s.now-n.queueDelayAt))
+	n.queueDelay, n.queueDelayAt = decayed+queueDelayWeight*(max(0, sample)-decayed), s.now
 }
 
-// refuseOrFail gives the one final answer: a refusal only where no attempt may
-// have run or a repeat is harmless (rules 1 and 2).
+// refuseOrFail gives r its one final answer: a refusal only if no attempt may
+// have run or if a repeat is harmless, otherwise a failure (rules 1 and 2).
 func (s *Scheduler) refuseOrFail(r *request) {
 	if r.closed {
 		return
 	}
 	kind, wait := Fail, Micros(0)
-	if r.class == nil || r.firstMayHaveRun == nil && r.inFlight == 0 || r.class.Repeat == Safe ||
+	if r.class == nil || r.mayHaveRun == nil && r.inFlight == 0 || r.class.Repeat == Safe ||
 		r.class.Repeat == Keyed && r.class.Scope == ScopeAll {
-		kind, wait = Refuse, s.settings.MaxWait // past its aim, its next try is worth little
+		kind, wait = Refuse, s.settings.MaxWait // the longest wait: a retry comes after the aim and earns little
 	}
 	s.emit(Action{Kind: kind, Request: r.ID, Delay: wait})
 	s.closeRequest(r)
 }
 
-// closeRequest closes r and forgets it once its last attempt has its outcome.
+// closeRequest marks r as closed. Once its last attempt has an outcome, it
+// drops r and queues the next request with r's key.
 func (s *Scheduler) closeRequest(r *request) {
 	if !r.closed {
 		r.closed = true
@@ -719,27 +836,27 @@
 		return
 	}
 	delete(s.requests, r.ID)
-	if t := r.keyQueue; t != nil {
-		head := t.requests[0] == r
-		if i := slices.Index(t.requests, r); i >= 0 {
-			t.requests = slices.Delete(t.requests, i, i+1)
+	if kq := r.keyQueue; kq != nil {
+		isHead := kq.requests[0] == r
+		if i := slices.Index(kq.requests, r); i >= 0 {
+			kq.requests = slices.Delete(kq.requests, i, i+1)
 		}
-		if head && len(t.requests) > 0 && !t.requests[0].closed {
-			s.enqueue(t.requests[0])
+		if isHead && len(kq.requests) > 0 && !kq.requests[0].closed {
+			s.enqueue(kq.requests[0])
 		}
-		if len(t.requests) == 0 && t.notBefore <= s.now {
+		if len(kq.requests) == 0 && kq.notBefore <= s.now {
 			delete(s.keyQueues, r.Key)
 		}
 	}
 }
 
-// endInterval ends an endInterval: quadrants are set, rates cut or given back, and
-// what is old forgotten.
+// endInterval ends an interval: it classifies the volumes, cuts and restores
+// token rates, updates the shards' usual rates and evicts idle state.
 func (s *Scheduler) endInterval() {
-	span := float64(max(s.now-s.intervalEndedAt, quadrantInterval)) / float64(second)
+	seconds := float64(max(s.now-s.intervalEndedAt, quadrantInterval)) / float64(second)
 	s.intervalEndedAt = s.now
 	for _, v := range s.volumeOrder {
-		s.classifyVolume(v, span)
+		s.classifyVolume(v, seconds)
 	}
 	for _, v := range s.volumeOrder {
 		s.cutOthersFor(v)
@@ -747,7 +864,7 @@
 	for _, sh := range s.shards {
 		if sh.servedUnits > 0 && s.now-sh.node.Started > s.settings.Rules.WarmWithin {
 			sh.usualIntervals++
-			sh.usualRate += max(usualRateWeight, 1/sh.usualIntervals) * (sh.servedUnits/span - sh.usualRate)
+			sh.usualRate += max(usualRateWeight, 1/sh.usualIntervals) * (sh.servedUnits/seconds - sh.usualRate)
 		}
 		sh.servedUnits = 0
 	}
@@ -757,8 +874,9 @@
 	s.evictIdle()
 }
 
-// updateCaps sets each node's cap: its service rate times a part of the tightest
-// aim. The rate is what was out over how long it took, in busy intervals only.
+// updateCaps sets each node's cap to its service rate times a fraction of the
+// tightest aim. The service rate is the units in flight divided by the mean
+// latency, and is known only where the cap was reached often enough.
 func (s *Scheduler) updateCaps() {
 	s.capsUpdatedAt = s.now
 	for _, sh := range s.shards {
@@ -775,21 +893,23 @@
 	}
 }
 
-// classifyVolume sets a volume's rate, latency and quadrant.
-func (s *Scheduler) classifyVolume(v *volume, span float64) {
-	v.servedRate = v.servedUnits / span
-	rate, due := v.servedRate, v.plan.Rate/v.hosts
+// classifyVolume sets the volume's served rate, mean aim ratio and quadrant
+// for the interval that ends, which took the given seconds. The rate of the
+// whole fleet is used where nodes report it.
+func (s *Scheduler) classifyVolume(v *volume, seconds float64) {
+	v.servedRate = v.servedUnits / seconds
+	rate, planRate := v.servedRate, v.plan.Rate/v.hosts
 	if v.fleetRate > 0 {
-		rate, due = v.fleetRate, v.plan.Rate
+		rate, planRate = v.fleetRate, v.plan.Rate
 	}
 	v.meanAimRatio = v.aimRatioSum / max(v.answerCount, 1)
 	v.wasLucky = v.quadrant == lucky
 	switch {
-	case v.meanAimRatio > 1 && rate <= due:
+	case v.meanAimRatio > 1 && rate <= planRate:
 		v.quadrant = failed
 	case v.meanAimRatio > 1:
 		v.quadrant = exceed
-	case rate > due:
+	case rate > planRate:
 		v.quadrant = lucky
 	default:
 		v.quadrant = meet
@@ -797,84 +917,91 @@
 	v.servedUnits, v.aimRatioSum, v.answerCount, v.wasCut = 0, 0, 0, false
 }
 
-// cutOthersFor cuts others for a failed volume, one step an interval.
+// cutOthersFor lowers the token rates of other volumes by one step if v has
+// failed.
 func (s *Scheduler) cutOthersFor(v *volume) {
-	t := &v.cuts
+	cuts := &v.cuts
 	if v.quadrant != failed {
-		t.steps, t.volumes = 0, nil
+		cuts.steps, cuts.volumes = 0, nil
 		return
 	}
-	if t.volumes == nil || t.steps%stepsPerCutReview == 0 && s.isCutListStale(v) {
+	if cuts.volumes == nil || cuts.steps%stepsPerCutReview == 0 && s.isCutListStale(v) {
 		s.buildCutList(v)
 	}
-	for _, c := range t.volumes {
-		s.cutRate(c)
+	for _, other := range cuts.volumes {
+		s.cutRate(other)
 	}
-	t.steps++
+	cuts.steps++
 }
 
-// isCutListStale tells whether the list of cuts must be built anew.
+// isCutListStale reports whether v's cut list must be rebuilt: v's latency has
+// grown, a listed volume has become lucky, or its rate has doubled or halved.
 func (s *Scheduler) isCutListStale(v *volume) bool {
-	t := &v.cuts
-	if v.meanAimRatio > t.listedAimRatio {
+	cuts := &v.cuts
+	if v.meanAimRatio > cuts.listedAimRatio {
 		return true
 	}
-	for i, c := range t.volumes {
-		if c.quadrant == lucky && !c.wasLucky || c.servedRate > 2*t.listedRates[i] || c.servedRate < t.listedRates[i]/2 {
+	for i, other := range cuts.volumes {
+		if other.quadrant == lucky && !other.wasLucky ||
+			other.servedRate > 2*cuts.listedRates[i] || other.servedRate < cuts.listedRates[i]/2 {
 			return true
 		}
 	}
 	return false
 }
 
-// buildCutList lists the volumes on v's nodes that have not failed: those of the
-// first quadrant found, lower weight first.
+// buildCutList lists the volumes to cut for v: of those on v's nodes that have
+// not failed, the ones in the first quadrant that occurs, lowest weight first.
 func (s *Scheduler) buildCutList(v *volume) {
-	t := &v.cuts
-	t.volumes, t.listedRates, t.listedAimRatio = nil, nil, v.meanAimRatio
+	cuts := &v.cuts
+	cuts.volumes, cuts.listedRates, cuts.listedAimRatio = nil, nil, v.meanAimRatio
 	for _, f := range v.flows {
-		for _, g := range f.shard.flows {
-			if g.vol != v && g.vol.quadrant != failed && g.vol.servedRate > 0 && !slices.Contains(t.volumes, g.vol) {
-				t.volumes = append(t.volumes, g.vol)
+		for _, other := range f.shard.flows {
+			if other.vol != v && other.vol.quadrant != failed && other.vol.servedRate > 0 &&
+				!slices.Contains(cuts.volumes, other.vol) {
+				cuts.volumes = append(cuts.volumes, other.vol)
 			}
 		}
 	}
-	slices.SortStableFunc(t.volumes, func(a, b *volume) int {
+	slices.SortStableFunc(cuts.volumes, func(a, b *volume) int {
 		return cmp.Or(cmp.Compare(a.quadrant, b.quadrant), cmp.Compare(a.plan.Weight, b.plan.Weight))
 	})
-	for i, c := range t.volumes {
-		if c.quadrant != t.volumes[0].quadrant {
-			t.volumes = t.volumes[:i]
+	for i, other := range cuts.volumes {
+		if other.quadrant != cuts.volumes[0].quadrant {
+			cuts.volumes = cuts.volumes[:i]
 			break
 		}
-		t.listedRates = append(t.listedRates, c.servedRate)
+		cuts.listedRates = append(cuts.listedRates, other.servedRate)
 	}
 }
 
+// rateStep returns the size of one cut of v's token rate, in units a second.
 func (v *volume) rateStep() float64 { return rateStepFraction * v.plan.Rate / v.hosts }
 
-// cutRate takes one step from c, at most one an interval whoever asks.
-func (s *Scheduler) cutRate(c *volume) {
-	if c.wasCut {
+// cutRate lowers v's token rate by one step, at most once per interval however
+// many failed volumes ask for it.
+func (s *Scheduler) cutRate(v *volume) {
+	if v.wasCut {
 		return
 	}
-	s.refillTokens(c)
-	if c.tokenRate == 0 {
-		c.tokenRate, c.uncutRate = c.servedRate, c.servedRate
+	s.refillTokens(v)
+	if v.tokenRate == 0 {
+		v.tokenRate, v.uncutRate = v.servedRate, v.servedRate
 	}
-	c.wasCut = true
-	c.tokenRate = max(c.tokenRate-c.rateStep(), c.plan.Reserve/c.hosts, c.rateStep())
+	v.wasCut = true
+	v.tokenRate = max(v.tokenRate-v.rateStep(), v.plan.Reserve/v.hosts, v.rateStep())
 }
 
-// restoreRate returns one step, by weight, to a volume on whose nodes none has
-// failed.
+// restoreRate raises v's token rate by one step times its weight if no volume
+// on v's nodes has failed. Once the rate from before the cuts is reached, v is
+// unpaced again.
 func (s *Scheduler) restoreRate(v *volume) {
 	if v.tokenRate == 0 || v.wasCut {
 		return
 	}
 	for _, f := range v.flows {
-		for _, g := range f.shard.flows {
-			if g.vol.quadrant == failed {
+		for _, other := range f.shard.flows {
+			if other.vol.quadrant == failed {
 				return
 			}
 		}
@@ -886,26 +1013,27 @@
 	}
 }
 
-// evictIdle drops volumes long idle, nodes long gone and keys at rest.
+// evictIdle drops idle volumes, removed nodes without attempts in flight, key
+// queues that hold nothing back any more and old entries of the resend budget.
 func (s *Scheduler) evictIdle() {
-	idle := func(v *volume) bool { return s.now-v.lastRequestAt > volumeIdleTimeout }
+	isIdle := func(v *volume) bool { return s.now-v.lastRequestAt > volumeIdleTimeout }
 	s.volumeOrder = slices.DeleteFunc(s.volumeOrder, func(v *volume) bool {
-		if idle(v) {
+		if isIdle(v) {
 			delete(s.volumes, v.id)
 		}
-		return idle(v)
+		return isIdle(v)
 	})
 	for _, sh := range s.shards {
-		sh.waitQueues = slices.DeleteFunc(sh.waitQueues, func(l *waitQueue) bool { return idle(l.flow.vol) })
-		sh.flows = slices.DeleteFunc(sh.flows, func(f *flow) bool { return idle(f.vol) })
+		sh.waitQueues = slices.DeleteFunc(sh.waitQueues, func(wq *waitQueue) bool { return isIdle(wq.flow.vol) })
+		sh.flows = slices.DeleteFunc(sh.flows, func(f *flow) bool { return isIdle(f.vol) })
 	}
 	for id, n := range s.nodes {
 		if n.State == Removed && n.unitsInFlight == 0 {
 			delete(s.nodes, id)
 		}
 	}
-	for key, t := range s.keyQueues {
-		if len(t.requests) == 0 && t.notBefore <= s.now {
+	for key, kq := range s.keyQueues {
+		if len(kq.requests) == 0 && kq.notBefore <= s.now {
 			delete(s.keyQueues, key)
 		}
 	}
--- a/state.go
+++ b/state.go
@@ -5,27 +5,28 @@
 	"slices"
 )
 
-// This file holds the shapes of what scheduler.go keeps, and helpers that
-// decide nothing: a sliding sum, a seeded source of numbers, the wait queues.
+// This file holds the scheduler's state and helpers that make no decisions: a
+// sliding sum, a seeded random source and the wait queues.
 
-// windowEntry is an amount at a time, for sliding windows.
+// windowEntry is an amount at a point in time.
 type windowEntry struct {
 	at     Micros
 	amount float64
 }
 
-// slidingSum sums stamps over a sliding span.
+// slidingSum is the sum of the amounts in a sliding time window.
 type slidingSum struct {
-	entries []windowEntry
+	entries []windowEntry // by time
 	sum     float64
 }
 
-func (w *slidingSum) add(at Micros, units float64) {
-	w.entries = append(w.entries, windowEntry{at, units})
-	w.sum += units
+// add adds an amount at a time, which must not be before earlier ones.
+func (w *slidingSum) add(at Micros, amount float64) {
+	w.entries = append(w.entries, windowEntry{at, amount})
+	w.sum += amount
 }
 
-// sumSince drops what is older than from and returns the sum of the rest.
+// sumSince drops the entries before from and returns the sum of the others.
 func (w *slidingSum) sumSince(from Micros) float64 {
 	i := 0
 	for i < len(w.entries) && w.entries[i].at < from {
@@ -39,174 +40,185 @@
 	return w.sum
 }
 
-// attempt is one sending of a request.
+// attempt is one sending of a request to a node.
 type attempt struct {
 	request      *request
 	node         *node
 	sentAt       Micros
-	done         bool
-	presumedLost bool    // overtaken; no longer counted
-	units        float64 // that it counts towards the cap
+	done         bool    // has an outcome
+	presumedLost bool    // its answer seems lost; no longer counted towards the node's cap
+	units        float64 // counted towards the node's cap
 }
 
-// request is a request from its acceptance to its last outcome.
+// request is a client's request from its acceptance to the outcome of its last
+// attempt.
 type request struct {
 	*Request
-	class           *Class
-	vol             *volume
-	waitQueue       *waitQueue
-	acceptedAt      Micros
-	aimAt           Micros
-	delayTolerance  float64 // by which the bounds of its level are scattered
-	deadline        Micros
-	attempts        []*attempt
-	inFlight        int
-	queued          bool
-	closed          bool
-	limitCharged    bool // its units are taken from the limit
-	streaming       bool
-	firstMayHaveRun *attempt // the first that may have run
-	keyQueue        *keyQueue
+	class          *Class
+	vol            *volume
+	waitQueue      *waitQueue // the queue it was last added to
+	acceptedAt     Micros
+	aimAt          Micros
+	delayTolerance float64 // factor on the bounds of admitsLevel, from 0.5 to 1.5
+	deadline       Micros
+	attempts       []*attempt
+	inFlight       int       // attempts without an outcome
+	queued         bool      // is in waitQueue
+	closed         bool      // has its final answer or was abandoned
+	limitCharged   bool      // its units are charged to the volume's limit
+	streaming      bool      // its answer has begun
+	mayHaveRun     *attempt  // the first attempt that may have run
+	keyQueue       *keyQueue // nil unless it is ordered by key
 }
 
-// keyQueue is the order of the requests of one key.
+// keyQueue holds the requests with one key in their order. Only the first one
+// may be sent.
 type keyQueue struct {
 	requests  []*request
-	notBefore Micros // nothing before this time
+	notBefore Micros // no attempt starts before this time
 }
 
-// waitQueue is the wait queue of one class of one volume at one shard.
+// waitQueue holds the waiting requests of one class and one volume at a shard.
 type waitQueue struct {
 	flow     *flow
 	class    int
-	requests []*request // by their aim
+	requests []*request // sorted by aim
 }
 
-// flow is a volume's standing at a shard.
+// flow groups the wait queues of one volume at one shard.
 type flow struct {
 	vol        *volume
 	shard      *shard
 	waitQueues []*waitQueue
 }
 
-// shard is a piece of the data with its node and its wait queue.
+// shard is a part of the data, with the node that serves it and the requests
+// that wait for that node.
 type shard struct {
 	index          int
 	node           *node
 	waitQueues     []*waitQueue
 	flows          []*flow
-	waitingUnits   float64 // units waiting
-	servedUnits    float64 // units served in this interval
-	usualRate      float64 // and usually, units a second
-	usualIntervals float64 // intervals that usual is the mean of
-	needsDispatch  bool
+	waitingUnits   float64
+	servedUnits    float64 // in the current interval
+	usualRate      float64 // mean of past intervals, in units a second
+	usualIntervals float64 // number of intervals in usualRate
+	needsDispatch  bool    // dispatch must examine the wait queues
 }
 
-// node is what the host knows of a node.
+// node is a listed node and what the host has observed of it.
 type node struct {
 	Node
-	attempts             []*attempt
-	unitsInFlight        float64 // units out
-	unitCap              float64
-	newestAnsweredSentAt Micros  // when the latest attempt that was answered had been sent
-	latencySum           float64 // latencies in this interval
-	answerCount          float64
-	capHits              int // looks at which the cap held a request back
+	attempts             []*attempt // by time; those that are done are dropped from the front
+	unitsInFlight        float64
+	unitCap              float64 // largest unitsInFlight
+	newestAnsweredSentAt Micros  // when the latest of the answered attempts was sent
+	latencySum           float64 // of answers since the last cap update, in microseconds
+	answerCount          float64 // since the last cap update
+	capHits              int     // cap checks since the last cap update that held a request back
 	capChecks            int
-	queueDelay           float64 // running mean of how long requests wait there, microseconds
-	queueDelayAt         Micros  // when queue was last brought up to date
-	nextColdSendAt       Micros  // while it is cold: nothing before this time
-	coldPacingStart      Micros  // the start that turn counts from
-	recentUnits          slidingSum
+	queueDelay           float64    // running mean of the time that requests wait there, in microseconds
+	queueDelayAt         Micros     // when queueDelay was updated
+	nextColdSendAt       Micros     // while the node is cold and the budget is less than a request: no send before this time
+	coldPacingStart      Micros     // the node's start for which nextColdSendAt was set
+	recentUnits          slidingSum // units sent
 }
 
-// volume is CHAMELEON's state of a volume.
+// volume is a volume's state as the CHAMELEON mechanism needs it.
 type volume struct {
 	id            VolumeID
 	plan          *Plan
-	hosts         float64
+	hosts         float64 // hosts through which its requests come
 	flows         []*flow
-	lastRequestAt Micros // last request
-	refilledAt    Micros // when the stores below were filled
-	limitUnits    float64
-	reserveUnits  float64
-	tokenRate     float64 // token rate; 0: unpaced
-	uncutRate     float64 // token rate before the cuts
-	tokens        float64
-	servedUnits   float64 // served in this interval
-	fleetRate     float64 // fleet's rate, units a second; 0: not told
-	aimRatioSum   float64 // sum of latency over aim in this interval
-	answerCount   float64
-	servedRate    float64 // units a second here, last interval
-	meanAimRatio  float64 // mean latency over aim, last interval
+	lastRequestAt Micros
+	refilledAt    Micros  // when the three buckets were refilled
+	limitUnits    float64 // bucket of the plan's limit
+	reserveUnits  float64 // bucket of the plan's reserve
+	tokenRate     float64 // units a second; 0: unpaced
+	uncutRate     float64 // tokenRate before the cuts
+	tokens        float64 // bucket that tokenRate fills, in units
+	servedUnits   float64 // through this host, in the current interval
+	fleetRate     float64 // served through all hosts, in units a second; 0: unknown
+	aimRatioSum   float64 // sum of latency / aim in the current interval
+	answerCount   float64 // in the current interval
+	servedRate    float64 // through this host in the last interval, in units a second
+	meanAimRatio  float64 // mean of latency / aim in the last interval
 	quadrant      quadrant
-	wasLucky      bool
-	wasCut        bool
+	wasLucky      bool // was lucky in the interval before the last
+	wasCut        bool // tokenRate was cut in the current interval
 	cuts          cutList
 }
 
-// cutList follows the cuts made for a failed volume.
+// cutList holds the volumes whose rates are cut for a failed volume.
 type cutList struct {
 	volumes        []*volume
-	listedRates    []float64
-	steps          int
-	listedAimRatio float64
+	listedRates    []float64 // servedRate of each volume when it was listed
+	steps          int       // cuts made so far
+	listedAimRatio float64   // meanAimRatio of the failed volume when the list was built
 }
 
-// splitMix64 is a seeded source of numbers.
+// splitMix64 is a seeded pseudo-random source (the SplitMix64 generator).
 type splitMix64 uint64
 
-// uniform returns a number in [0, 1) from the instance's seed (splitmix64).
-func (g *splitMix64) uniform() float64 {
-	*g += 0x9e3779b97f4a7c15
-	z := uint64(*g)
+// uniform returns the next number, in [0, 1).
+func (state *splitMix64) uniform() float64 {
+	*state += 0x9e3779b97f4a7c15
+	z := uint64(*state)
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return float64((z^z>>31)>>11) / (1 << 53)
 }
 
-// Scheduler decides for one host. It is not safe for concurrent use.
+// Scheduler makes the scheduling decisions of one host. It is not safe for
+// concurrent use.
 type Scheduler struct {
 	settings         Settings
-	now              Micros
-	startedAt        Micros
-	intervalEndedAt  Micros // when the last interval ended
+	now              Micros // time of the current step
+	startedAt        Micros // time of the first step
+	intervalEndedAt  Micros // when the last quadrant interval ended
 	started          bool
-	capsUpdatedAt    Micros // when caps were last learned
-	nextTickAt       Micros // when the next beat is due
-	shutdownAt       Micros // by then all have their final answers; 0: this host does not end
-	stall            Micros // for how long the host stood still before this step, at most
+	capsUpdatedAt    Micros
+	nextTickAt       Micros
+	shutdownAt       Micros // when all requests must have their final answers; 0: no shutdown
+	stall            Micros // upper bound of the time for which the host was stalled before this step; 0: none
 	actions          []Action
 	nodes            map[NodeID]*node
 	shards           []*shard
 	requests         map[RequestID]*request
 	volumes          map[VolumeID]*volume
-	volumeOrder      []*volume
+	volumeOrder      []*volume // in the order they were added
 	keyQueues        map[uint64]*keyQueue
-	unitCost         []float64 // by class: microseconds of service for a unit
-	tightestAim      Micros
-	clientTimeout    []Micros // by class: how long a client waits at its first try
-	accepted         slidingSum
-	resends          slidingSum
+	unitCost         []float64  // by class: service time of a unit, in microseconds
+	tightestAim      Micros     // the shortest aim of a class
+	clientTimeout    []Micros   // by class: how long a client waits in its first try
+	accepted         slidingSum // requests accepted
+	resends          slidingSum // further attempts sent
 	dispatchTimerSet bool
 	lossShare        float64 // share of attempts whose answers seem to be lost
-	listBackoff      Micros  // before the list is asked for again
+	listBackoff      Micros  // wait before the node list is requested again
 	random           splitMix64
 }
 
+// maxShardIndex bounds the memory that a wrong shard index can take.
+const maxShardIndex = 1 << 16
+
+// emit adds an action to the result of the current step.
 func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
 
+// setTimer requests a TimerFired event with a token after a delay.
 func (s *Scheduler) setTimer(delay Micros, token uint64) {
 	s.emit(Action{Kind: SetTimer, Delay: delay, Token: token})
 }
 
+// logf emits a message for the operators' log.
 func (s *Scheduler) logf(format string, args ...any) {
 	s.emit(Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
 }
 
-// shardAt returns the shardAt of an index, or nil for none.
+// shardAt returns the shard with an index and adds it if it is missing. It
+// returns nil if the index is negative or over maxShardIndex.
 func (s *Scheduler) shardAt(index int) *shard {
-	if index < 0 || index > 1<<16 {
+	if index < 0 || index > maxShardIndex {
 		return nil
 	}
 	for len(s.shards) <= index {
@@ -215,8 +227,9 @@
 	return s.shards[index]
 }
 
-// oldestWait returns for how long the oldestWait attempt at n has had no answer, those
-// aside that were overtaken: their answers may be lost.
+// oldestWait returns how long the oldest unanswered attempt at n has waited in
+// addition to its service time, in microseconds. It ignores attempts that were
+// overtaken by an answered one, because their answers may be lost.
 func (s *Scheduler) oldestWait(n *node) float64 {
 	for len(n.attempts) > 0 && n.attempts[0].done {
 		n.attempts = n.attempts[1:]
@@ -229,7 +242,8 @@
 	return 0
 }
 
-// waitQueueFor returns the wait queue of r's class and volume at a shard.
+// waitQueueFor returns the wait queue of r's class and volume at a shard and
+// adds it if it is missing.
 func (s *Scheduler) waitQueueFor(r *request, sh *shard) *waitQueue {
 	i := slices.IndexFunc(r.vol.flows, func(f *flow) bool { return f.shard == sh })
 	if i < 0 {
@@ -239,18 +253,18 @@
 		sh.flows = append(sh.flows, f)
 	}
 	f := r.vol.flows[i]
-	for _, l := range f.waitQueues {
-		if l.class == r.Class {
-			return l
+	for _, wq := range f.waitQueues {
+		if wq.class == r.Class {
+			return wq
 		}
 	}
-	l := &waitQueue{flow: f, class: r.Class}
-	f.waitQueues = append(f.waitQueues, l)
-	sh.waitQueues = append(sh.waitQueues, l)
-	return l
+	wq := &waitQueue{flow: f, class: r.Class}
+	f.waitQueues = append(f.waitQueues, wq)
+	sh.waitQueues = append(sh.waitQueues, wq)
+	return wq
 }
 
-// dequeue takes r out of its wait queue.
+// dequeue removes r from its wait queue, if it is queued.
 func (s *Scheduler) dequeue(r *request) {
 	if !r.queued {
 		return
@@ -262,50 +276,52 @@
 	}
 }
 
-// quadrant is a volume's state in an interval, in the order of cutting.
+// quadrant is a volume's state in an interval. The values are in the order in
+// which volumes are cut.
 type quadrant int
 
 const (
-	lucky  quadrant = iota // over its rate, inside its aim
-	exceed                 // over both
-	meet                   // under both
-	failed                 // under its rate, over its aim
+	lucky  quadrant = iota // served over its plan's rate, within its aim
+	exceed                 // over its rate, missing its aim
+	meet                   // at or under its rate, within its aim
+	failed                 // at or under its rate, missing its aim
 )
 
-// sendDecision is what gate says of a send.
+// sendDecision is the result of checkSend.
 type sendDecision int
 
 const (
-	sendNow   sendDecision = iota
-	sendLater              // not now
-	sendNever              // never again
+	sendNow   sendDecision = iota // the request may be sent
+	sendLater                     // not now; the request waits
+	sendNever                     // never; the request gets its final answer
 )
 
-// aimSpan returns the span within which r earns its full worth.
+// aimSpan returns the time within which an answer to r earns its full worth: its
+// class's aim, stretched by its work, at most the class's deadline.
 func (s *Scheduler) aimSpan(r *request) Micros {
 	stretch := r.class.AimStretch * s.serviceTime(r)
 	return min(r.class.Aim+Micros(stretch), r.class.Deadline)
 }
 
-// NodeView is what the host knows of a node, for those who watch it.
+// NodeView describes a node for monitoring.
 type NodeView struct {
 	ID               NodeID
-	QueueDelay       Micros  // how long a request should wait there now
-	UnitsInFlight    float64 // units out
-	MaxUnitsInFlight float64 // units that may be out
+	QueueDelay       Micros // how long a request sent now is expected to wait
+	UnitsInFlight    float64
+	MaxUnitsInFlight float64 // the node's cap
 }
 
-// VolumeView is a volume's standing, for those who watch it.
+// VolumeView describes a volume for monitoring.
 type VolumeView struct {
 	ID           VolumeID
 	Quadrant     string  // of the last interval: failed, meet, exceed or lucky
-	TokenRate    float64 // token rate in units a second; 0: unpaced
-	ServedRate   float64 // units a second served through this host in the last interval
-	ReserveUnits float64 // units of the reserve that are left
+	TokenRate    float64 // units a second; 0: unpaced
+	ServedRate   float64 // through this host in the last interval, in units a second
+	ReserveUnits float64 // left in the reserve's bucket; negative after overuse
 }
 
-// View copies what the scheduler knows of its nodes and volumes. It changes
-// nothing and decides nothing.
+// View returns a copy of what the scheduler knows of its nodes and volumes. It
+// changes no decision.
 func (s *Scheduler) View() (nodes []NodeView, volumes []VolumeView) {
 	for _, sh := range s.shards {
 		if n := sh.node; n != nil {
--- a/types.go
+++ b/types.go
@@ -1,122 +1,127 @@
-// Package arrowwalk decides, for one host among several that share storage
-// nodes, which I/O request goes to its node, when, and what is answered in
-// its place. This file is the interface: settings, events and actions. The
-// decisions are in scheduler.go.
+// Package arrowwalk schedules the I/O requests of one host among several that
+// share storage nodes. It decides when each request is sent to its node, and
+// when a request is refused or failed instead. A Scheduler does no I/O and
+// reads no clock: its caller passes it events and carries out the actions that
+// it returns.
+//
+// This file is the interface: settings, events and actions. The decisions are
+// in scheduler.go.
 package arrowwalk
 
-// Micros is a time or a span in microseconds. Times come from the caller's
-// clock, which may start anywhere and only advances.
+// Micros is a time or a duration in microseconds. Times come from the caller's
+// monotonic clock, whose zero is arbitrary.
 type Micros int64
 
-// RepeatPolicy says whether a request of a class may run more than once.
+// RepeatPolicy tells whether the requests of a class may run more than once.
 type RepeatPolicy int
 
 const (
 	// Safe requests may run any number of times.
 	Safe RepeatPolicy = iota
-	// Keyed requests carry a key by which a group of nodes drops repeats.
+	// Keyed requests carry an idempotency key by which a group of nodes drops
+	// repeats.
 	Keyed
 	// Unsafe requests must never run twice.
 	Unsafe
 )
 
-// Scope is the group of nodes that drops the repeats of a keyed request.
+// Scope is the group of nodes that recognizes repeats of a keyed request.
 type Scope int
 
 const (
-	// ScopeAll means every node drops them.
+	// ScopeAll is every node.
 	ScopeAll Scope = iota
-	// ScopeZone means the nodes of one zone do.
+	// ScopeZone is the nodes of one zone.
 	ScopeZone
-	// ScopeShard means the nodes of one shard do.
+	// ScopeShard is the nodes of one shard.
 	ScopeShard
 )
 
 // Class describes a kind of request.
 type Class struct {
 	Name       string
-	Aim        Micros  // an answer within it earns full worth
-	AimStretch float64 // the aim grows by this many times the request's work
-	Deadline   Micros  // what a client waits in all its tries
-	Worth      float64 // worth of a mean request
-	LateWorth  float64 // part earned after the aim
+	Aim        Micros  // latency within which an answer earns its full worth
+	AimStretch float64 // multiple of the request's service time by which its aim grows
+	Deadline   Micros  // how long a client waits in total, over all its tries
+	Worth      float64 // worth of a request of mean size
+	LateWorth  float64 // fraction of the worth earned after the aim
 	Repeat     RepeatPolicy
 	Scope      Scope  // for Keyed
-	Window     Micros // for Keyed: how long repeats are dropped
-	Ordered    bool   // requests with one key run one at a time
-	Streamed   bool
-	Writes     bool
+	Window     Micros // for Keyed: how long repeats are recognized
+	Ordered    bool   // requests with the same key run one at a time
+	Streamed   bool   // answers are streamed
+	Writes     bool   // requests change data
 }
 
-// Plan describes what a volume is promised, over all hosts and nodes.
+// Plan describes what is promised to a volume, over all hosts and nodes.
 type Plan struct {
 	Name        string
-	Rate        float64 // units a second it is sized for
-	Reserve     float64 // units a second of full worth
-	Weight      float64 // its part of what the reserves leave
-	WorthFactor float64
+	Rate        float64 // expected load in units a second
+	Reserve     float64 // units a second that earn their full worth
+	Weight      float64 // share of the capacity beyond the reserves, relative to other volumes; 0: 1
+	WorthFactor float64 // factor on the worth of the class
 	LimitRate   float64 // units a second; 0: no limit
-	LimitBurst  float64 // units the limit's store holds
-	LimitSlack  float64 // units it may go below zero
+	LimitBurst  float64 // size of the limit's token bucket in units
+	LimitSlack  float64 // units by which the bucket may be overdrawn
 }
 
-// Rules holds the figures of the rules that a host must keep.
+// Rules holds the parameters of the rules that a host must keep.
 type Rules struct {
-	DrainGrace   Micros
-	AskEvery     Micros  // longest time without a subscription or a request for the list
-	ColdFrom     float64 // part of its capacity at which a node starts
-	WarmWithin   Micros
-	ColdMultiple float64 // times its capacity that fells a cold node
-	ColdSpan     Micros  // when sent for this long
-	ColdUnits    float64 // units in ColdSpan, of all hosts, that a cold node bears
-	OrderGap     Micros
-	ResendFree   float64
-	ResendRatio  float64
-	ResendSpan   Micros // 0: no resend budget
+	DrainGrace   Micros  // how long a draining node may still be sent requests
+	AskEvery     Micros  // longest time without a subscription to the node list or a request for it
+	ColdFrom     float64 // fraction of its capacity that a node has at its start
+	WarmWithin   Micros  // time from its start until a node has its full capacity
+	ColdMultiple float64 // load that makes a cold node fail, as a multiple of its capacity
+	ColdSpan     Micros  // time for which this load must last
+	ColdUnits    float64 // units in ColdSpan, from all hosts, that a cold node bears
+	OrderGap     Micros  // pause for a key after an attempt that may still be running
+	ResendFree   float64 // further attempts in ResendSpan that are always allowed
+	ResendRatio  float64 // further attempts allowed per accepted request in ResendSpan
+	ResendSpan   Micros  // 0: no resend budget
 }
 
-// Settings is what a host is told at its start.
+// Settings configures a Scheduler.
 type Settings struct {
-	Seed        uint64
-	Host, Hosts int
+	Seed        uint64 // of the random source
+	Host, Hosts int    // index of this host and number of hosts
 	Zone        int
 	Shards      int
 	Tick        Micros // shortest time between two steps
 	Classes     []Class
 	Plans       []Plan
 	Rules       Rules
-	Subscribe   bool // the node list comes only when asked for
-	MaxAttempts int
-	MaxWait     Micros // longest advice to wait that clients heed; 0: give none
-	MeanUnits   float64
-	MostUnits   float64
-	ShareWorth  float64 // part of its worth that a unit past the reserve earns
-	SpareWorth  float64 // and one past the share too
-	MeterPeriod Micros  // period of Outcome.FleetUse; 0: there is none
-	TellsOthers bool    // outcomes carry OthersUnits
-	Probing     bool
-	Cancel      bool     // attempts may be called off
-	Parallel    bool     // a request may have two attempts out at once
+	Subscribe   bool     // the node list must be subscribed to
+	MaxAttempts int      // attempts per request
+	MaxWait     Micros   // longest advice to wait that clients follow; 0: give none
+	MeanUnits   float64  // units of a mean request; 0: 1
+	MostUnits   float64  // units of the largest request
+	ShareWorth  float64  // fraction of its worth that a unit past the reserve earns
+	SpareWorth  float64  // fraction of its worth that a unit past the reserve and the share earns
+	MeterPeriod Micros   // period of Outcome.FleetUse; 0: it is not reported
+	TellsOthers bool     // outcomes carry OthersUnits
+	Probing     bool     // nodes can be probed
+	Cancel      bool     // attempts can be cancelled
+	Parallel    bool     // a request may have two attempts in flight
 	Reports     []string // names of the values in a load report
 	ReportsIn   bool     // outcomes carry load reports
 }
 
-// NodeID, RequestID and VolumeID name things of the caller's.
+// NodeID, RequestID and VolumeID are identifiers that the caller assigns.
 type (
 	NodeID    string
 	RequestID uint64
 	VolumeID  uint64
 )
 
-// NodeState is what the list says of a node.
+// NodeState is the state of a node in the node list.
 type NodeState int
 
 const (
-	// Ready nodes take requests.
+	// Ready nodes accept requests.
 	Ready NodeState = iota
-	// Draining nodes finish their work and take nothing new.
+	// Draining nodes finish their requests and accept no new ones.
 	Draining
-	// Removed nodes have left the list.
+	// Removed nodes are no longer in the list.
 	Removed
 )
 
@@ -126,119 +131,124 @@
 	Shard   int
 	Zone    int
 	State   NodeState
-	Started Micros // time of its last start; 0: long ago
+	Started Micros // time of its last start; 0: before any known time
 }
 
-// Volume is what a request says of the volume it belongs to.
+// Volume describes the volume that a request belongs to.
 type Volume struct {
 	ID    VolumeID
-	Plan  int
+	Plan  int // index in Settings.Plans
 	Hosts int // number of hosts through which its requests come
 }
 
-// Event is something that happened to the host: a *NodeList, *Request,
-// *StreamStart, *Abandoned, *Shutdown, *Outcome, *ProbeResult or *Timer.
+// Event is an input of Scheduler.Step: a *NodeList, *Request, *StreamStarted,
+// *Abandoned, *Shutdown, *Outcome, *ProbeResult or *TimerFired.
 type Event interface{ event() }
 
-// ListKind tells a complete list from changes.
+// ListKind is the kind of a NodeList event.
 type ListKind int
 
 const (
-	// ListSnapshot is the whole list.
+	// ListSnapshot is the complete, current list.
 	ListSnapshot ListKind = iota
-	// ListDelta holds the changed entries only.
+	// ListDelta holds only the entries that have changed.
 	ListDelta
-	// ListStored is the whole list as the host last had it; it may be old.
+	// ListStored is a complete list that the host had stored; it may be stale.
 	ListStored
-	// ListFailed tells that a call failed or the subscription broke.
+	// ListFailed means that a call for the list failed or that the
+	// subscription ended.
 	ListFailed
 )
 
-// NodeList is news of the nodes.
+// NodeList reports the node list, changes to it or a failure to get it.
 type NodeList struct {
 	Kind    ListKind
 	Version int64
 	Nodes   []Node
 }
 
-// Request is a client's request, which the host now owes one answer.
+// Request reports a client's request, to which the host owes one final answer.
 type Request struct {
 	ID     RequestID
-	Class  int
+	Class  int // index in Settings.Classes
 	Volume Volume
 	HasKey bool
-	Key    uint64
+	Key    uint64 // orders requests of an Ordered class; valid if HasKey
 	Left   Micros // time until the client stops waiting
 	Units  float64
-	Shard  int // -1: a new object, for any node
-	Again  bool
+	Shard  int  // -1: a new object, which any shard may store
+	Again  bool // the client repeats a request that was not served
 }
 
-// StreamStarted tells that the answer of a streamed request has begun.
+// StreamStarted reports that the answer to a streamed request has begun.
 type StreamStarted struct {
 	Request RequestID
 	Attempt int
 	Node    NodeID
 }
 
-// Abandoned tells that the client has gone; nothing more is owed.
+// Abandoned reports that the client has given up and needs no answer.
 type Abandoned struct{ Request RequestID }
 
-// Shutdown tells that this host ends: what it has taken gets its final answer
-// by At.
+// Shutdown reports that this host is shutting down: all requests must have
+// their final answers by At.
 type Shutdown struct{ At Micros }
 
 // Status is how an attempt ended.
 type Status int
 
 const (
-	// Unknown is an outcome that the caller can't name; it may have run.
+	// Unknown is any other outcome; the attempt may have run.
 	Unknown Status = iota
-	// OK means served.
+	// OK means that the node has served the request.
 	OK
-	// Failed means that the node answered with an error; it may have run.
+	// Failed means that the node answered with an error; the attempt may have
+	// run.
 	Failed
-	// Overloaded means sent back before it was seen; it never ran.
+	// Overloaded means that the node rejected the attempt without processing
+	// it; it never ran.
 	Overloaded
-	// TimedOut means no answer in time; it may have run or still run.
+	// TimedOut means that no answer came in time; the attempt may have run or
+	// may still be running.
 	TimedOut
-	// Unreachable means that no connection was made; it never ran.
+	// Unreachable means that no connection was made; the attempt never ran.
 	Unreachable
-	// Reset means that the connection broke; it may have run.
+	// Reset means that the connection broke; the attempt may have run.
 	Reset
-	// Cancelled means called off; it may have run.
+	// Cancelled means that the host cancelled the attempt, which may have run.
 	Cancelled
-	// NotSent means not sent at all.
+	// NotSent means that the host did not send the attempt.
 	NotSent
 )
 
-// NeverRan tells whether the status proves that the attempt did not run.
+// NeverRan reports whether the status proves that the attempt did not run.
 func (s Status) NeverRan() bool { return s == Overloaded || s == Unreachable || s == NotSent }
 
-// MayStillRun tells whether the attempt may still be running after the outcome.
+// MayStillRun reports whether the attempt may still be running after the
+// outcome.
 func (s Status) MayStillRun() bool {
 	return s == TimedOut || s == Reset || s == Cancelled || s == Unknown
 }
 
-// Attempt names one sending of a request; they count from 0.
+// Attempt identifies one sending of a request. Attempts are numbered from 0.
 type Attempt struct {
 	Request RequestID
 	Number  int
 	Node    NodeID
 }
 
-// Outcome tells how an attempt ended.
+// Outcome reports how an attempt ended.
 type Outcome struct {
 	Attempt
 	Status      Status
 	Latency     Micros
-	Closed      bool    // the request has had its answer
-	FleetUse    float64 // 1 + percent of the plan's rate served everywhere; 0: not told
-	OthersUnits float64 // units this node served for the volume through other hosts
-	Load        []float64
+	Closed      bool      // the client has its answer
+	FleetUse    float64   // 1 + percentage of the plan's rate served through all hosts; 0: unknown
+	OthersUnits float64   // units that this node served for the volume through other hosts
+	Load        []float64 // load report, with values named by Settings.Reports
 }
 
-// ProbeResult answers a probe.
+// ProbeResult reports the result of a Probe action.
 type ProbeResult struct {
 	Node    NodeID
 	Status  Status
@@ -246,7 +256,7 @@
 	Load    []float64
 }
 
-// TimerFired tells that a timer has run out.
+// TimerFired reports that the timer with a token has expired.
 type TimerFired struct{ Token uint64 }
 
 func (*NodeList) event()      {}
@@ -258,30 +268,32 @@
 func (*ProbeResult) event()   {}
 func (*TimerFired) event()    {}
 
-// ActionKind is what an action does.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 const (
-	// Send starts an attempt of Request at Node, with Delay as its time-out
-	// (0: until the client gives up).
+	// Send starts an attempt of Request at Node with Delay as its timeout (0:
+	// until the client gives up).
 	Send ActionKind = iota
-	// Refuse answers Request: trying again after Delay is harmless.
+	// Refuse answers Request: the client may safely retry after Delay.
 	Refuse
-	// Fail answers Request and promises nothing.
+	// Fail answers Request with an error: it may have run, and a retry may run
+	// it again.
 	Fail
-	// SetTimer asks for a Timer event with Token after Delay.
+	// SetTimer requests a TimerFired event with Token after Delay.
 	SetTimer
-	// Subscribe asks for the changes of the node list from now on.
+	// Subscribe requests the node list and its changes from now on.
 	Subscribe
-	// Probe asks Node for its load.
+	// Probe requests a load report from Node.
 	Probe
-	// Cancel stops waiting for attempt number Attempt of Request.
+	// Cancel cancels attempt number Attempt of Request.
 	Cancel
-	// Log leaves Text for the operators.
+	// Log writes Text to the operators' log.
 	Log
 )
 
-// Action is something that the host is to do.
+// Action is an output of Scheduler.Step that the host must carry out. Its Kind
+// tells which of the other fields are used.
 type Action struct {
 	Kind    ActionKind
 	Request RequestID
