--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,6 @@
-// Command drill runs arrowwalk's decisions on the simulator's wire: batches
-// of events on standard input, one reply for each on standard output.
+// Command drill runs arrowwalk schedulers for a simulator. It reads batches of
+// events from standard input and writes a reply to each to standard output, in
+// the line protocol of package wire.
 package main
 
 import (
@@ -19,22 +20,23 @@
 	}
 }
 
-// turn is what one instance has to handle in a batch.
-type turn struct {
+// pendingEvents holds the events of one instance in a batch.
+type pendingEvents struct {
 	instance  string
 	scheduler *arrowwalk.Scheduler
 	events    []arrowwalk.Event
 }
 
-// fault is a failure of the decision code, told on the wire as the day's end.
-type fault struct {
+// instanceError is a failure of one instance's scheduler. It is reported to the
+// simulator with a FATAL line and ends the program.
+type instanceError struct {
 	instance string
 	err      error
 }
 
-func (f *fault) Error() string { return f.instance + ": " + f.err.Error() }
+func (e *instanceError) Error() string { return e.instance + ": " + e.err.Error() }
 
-// run answers batches until the input ends.
+// run processes batches until the input ends or an error occurs.
 func run(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(in)
 	instances := map[string]*arrowwalk.Scheduler{}
@@ -47,35 +49,36 @@
 		if err != nil {
 			return err
 		}
-		reply, err = answer(reply[:0], batch, instances)
-		failed, isFault := err.(*fault)
-		if isFault {
-			reply = wire.AppendFatal(reply[:0], failed.instance, failed.err.Error())
+		reply, err = processBatch(reply[:0], batch, instances)
+		instanceErr, isInstanceError := err.(*instanceError)
+		if isInstanceError {
+			reply = wire.AppendFatal(reply[:0], instanceErr.instance, instanceErr.err.Error())
 		} else if err != nil {
 			return err
 		}
 		if _, err := out.Write(wire.AppendReady(reply)); err != nil {
 			return fmt.Errorf("write reply: %w", err)
 		}
-		if isFault {
-			return failed
+		if isInstanceError {
+			return instanceErr
 		}
 	}
 }
 
-// answer lets each instance handle its events, in the order of their first.
-func answer(reply []byte, batch *wire.Batch, instances map[string]*arrowwalk.Scheduler) ([]byte, error) {
-	turns, err := gather(batch, instances)
+// processBatch appends the actions of all instances with events in the batch to
+// reply, in the order of each instance's first event.
+func processBatch(reply []byte, batch *wire.Batch, instances map[string]*arrowwalk.Scheduler) ([]byte, error) {
+	pending, err := groupByInstance(batch, instances)
 	if err != nil {
 		return reply, err
 	}
-	for _, t := range turns {
-		actions, err := step(t, batch.Now)
+	for _, p := range pending {
+		actions, err := step(p, batch.Now)
 		if err != nil {
 			return reply, err
 		}
 		for _, a := range actions {
-			if reply, err = wire.AppendAction(reply, t.instance, a); err != nil {
+			if reply, err = wire.AppendAction(reply, p.instance, a); err != nil {
 				return reply, err
 			}
 		}
@@ -83,54 +86,57 @@
 	return reply, nil
 }
 
-// gather opens and drops instances and sorts the batch's events by instance.
-func gather(batch *wire.Batch, instances map[string]*arrowwalk.Scheduler) ([]*turn, error) {
-	var turns []*turn
-	open := map[string]*turn{}
-	for _, it := range batch.Messages {
+// groupByInstance starts and stops instances as the batch says, and groups its
+// events by instance, in the order of each instance's first event.
+func groupByInstance(batch *wire.Batch, instances map[string]*arrowwalk.Scheduler) ([]*pendingEvents, error) {
+	var pending []*pendingEvents
+	byInstance := map[string]*pendingEvents{}
+	for _, msg := range batch.Messages {
 		switch {
-		case it.Settings != nil:
-			s, err := arrowwalk.New(*it.Settings)
+		case msg.Settings != nil:
+			s, err := arrowwalk.New(*msg.Settings)
 			if err != nil {
-				return nil, &fault{it.Instance, err}
+				return nil, &instanceError{msg.Instance, err}
 			}
-			instances[it.Instance] = s
-			drop(open, it.Instance)
-		case instances[it.Instance] == nil:
-			return nil, fmt.Errorf("line %d: unknown instance %q", it.Line, it.Instance)
-		case it.Stop:
-			delete(instances, it.Instance)
-			drop(open, it.Instance)
-		case !it.Skip:
-			t := open[it.Instance]
-			if t == nil {
-				t = &turn{instance: it.Instance, scheduler: instances[it.Instance]}
-				open[it.Instance] = t
-				turns = append(turns, t)
+			instances[msg.Instance] = s
+			discard(byInstance, msg.Instance)
+		case instances[msg.Instance] == nil:
+			return nil, fmt.Errorf("line %d: unknown instance %q", msg.Line, msg.Instance)
+		case msg.Stop:
+			delete(instances, msg.Instance)
+			discard(byInstance, msg.Instance)
+		case !msg.Skip:
+			p := byInstance[msg.Instance]
+			if p == nil {
+				p = &pendingEvents{instance: msg.Instance, scheduler: instances[msg.Instance]}
+				byInstance[msg.Instance] = p
+				pending = append(pending, p)
 			}
-			t.events = append(t.events, it.Event)
+			p.events = append(p.events, msg.Event)
 		}
 	}
-	return turns, nil
+	return pending, nil
 }
 
-// drop voids what a killed or reopened instance still had to handle.
-func drop(open map[string]*turn, instance string) {
-	if t := open[instance]; t != nil {
-		t.events = nil
-		delete(open, instance)
+// discard drops the pending events of an instance that was stopped or started
+// anew.
+func discard(byInstance map[string]*pendingEvents, instance string) {
+	if p := byInstance[instance]; p != nil {
+		p.events = nil
+		delete(byInstance, instance)
 	}
 }
 
-// step runs the decisions; a panic in them becomes a fault.
-func step(t *turn, now arrowwalk.Micros) (actions []arrowwalk.Action, err error) {
-	if len(t.events) == 0 {
+// step passes an instance's events to its scheduler. A panic of the scheduler is
+// returned as an instanceError.
+func step(p *pendingEvents, now arrowwalk.Micros) (actions []arrowwalk.Action, err error) {
+	if len(p.events) == 0 {
 		return nil, nil
 	}
 	defer func() {
-		if p := recover(); p != nil {
-			err = &fault{t.instance, fmt.Errorf("panic: %v\n%s", p, debug.Stack())}
+		if reason := recover(); reason != nil {
+			err = &instanceError{p.instance, fmt.Errorf("panic: %v\n%s", reason, debug.Stack())}
 		}
 	}()
-	return t.scheduler.Step(now, t.events...), nil
+	return p.scheduler.Step(now, p.events...), nil
 }
--- a/example_test.go
+++ b/example_test.go
@@ -6,7 +6,8 @@
 	"arrowwalk"
 )
 
-// A host hears of one node, takes a request, sends it and learns its outcome.
+// A scheduler learns of a node, accepts a request, sends it and receives its
+// outcome.
 func Example() {
 	s, err := arrowwalk.New(arrowwalk.Settings{
 		Hosts: 1, MaxAttempts: 3, Tick: 1000, MeanUnits: 2, MostUnits: 6,
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the settings that users hand an instance at its start,
-// for the simulator's adapter and for the host on their platform alike.
+// Package settings parses the JSON settings that an instance receives at its
+// start. Both the simulator's adapter and the host on the users' platform use
+// it.
 package settings
 
 import (
@@ -9,19 +10,20 @@
 	"arrowwalk"
 )
 
-// Settings are the module's settings, and what the host around it goes by.
+// Settings holds the scheduler's settings and those of the host that runs it.
 type Settings struct {
 	arrowwalk.Settings
-	Zones       []string
-	DialTimeout arrowwalk.Micros // a connection not made by then failed; 0: not told
-	IdleClose   arrowwalk.Micros // machines close connections idle for so long; 0: not told
-	MaxOpen     int              // requests that may be open; 0: not told
-	Unknown     []string         // paths of keys that this program does not know
+	Zones       []string         // names of the zones
+	DialTimeout arrowwalk.Micros // time after which a connection attempt has failed; 0: unknown
+	IdleClose   arrowwalk.Micros // time after which servers close idle connections; 0: unknown
+	MaxOpen     int              // largest number of open requests; 0: unknown
+	Unknown     []string         // sorted paths of the keys that this program does not know
 }
 
-// facts mirrors the settings text; keys that it lacks are passed over. Those
-// that end in Known are read by nobody here: the bench and its report use them.
-type facts struct {
+// document mirrors the JSON text. Keys without a field here are skipped and
+// reported as unknown. The keys of ignored fields are known but not used: they
+// are for the benchmark and its report.
+type document struct {
 	PeersTotal int `json:"peersTotal"`
 	Ordinal    int `json:"ordinal"`
 	Zone       int `json:"zone"`
@@ -29,14 +31,14 @@
 	Discovery  string
 	Zones      []string
 
-	Blend         known
-	Charges       known
-	Clients       known
-	KindOfService known
-	Kinds         known
-	Layer         known
-	Layers        known
-	WeightKind    known
+	Blend         ignored
+	Charges       ignored
+	Clients       ignored
+	KindOfService ignored
+	Kinds         ignored
+	Layer         ignored
+	Layers        ignored
+	WeightKind    ignored
 
 	Categories []struct {
 		Name       string
@@ -73,17 +75,17 @@
 		ConnectTimeoutUs int64
 		IdleCloseUs      int64
 		MaxOpen          int
-		CPUUsPerRequest  known `json:"cpuUsPerRequest"`
-		CPUUsPerS        known `json:"cpuUsPerS"`
-		Multiplex        known
-		PeerMessages     known
+		CPUUsPerRequest  ignored `json:"cpuUsPerRequest"`
+		CPUUsPerS        ignored `json:"cpuUsPerS"`
+		Multiplex        ignored
+		PeerMessages     ignored
 	}
 	Reporting struct {
 		Fields []string
 		How    string
 	}
 	Rules struct {
-		AnswerSlackUs  known
+		AnswerSlackUs  ignored
 		AskEveryUs     int64
 		ColdFrom       float64
 		WarmWithinUs   int64
@@ -107,14 +109,15 @@
 	}
 }
 
-// known is a value that the program knows of and has no use for.
-type known struct{}
+// ignored is a value that is accepted and not used.
+type ignored struct{}
 
-// UnmarshalJSON passes over any value.
-func (*known) UnmarshalJSON([]byte) error { return nil }
+// UnmarshalJSON accepts any value and does nothing.
+func (*ignored) UnmarshalJSON([]byte) error { return nil }
 
+// The values of the text's repeat and dedupScope keys.
 var (
-	repeats = map[string]arrowwalk.RepeatPolicy{
+	repeatPolicies = map[string]arrowwalk.RepeatPolicy{
 		"read_like": arrowwalk.Safe, "idempotency_key": arrowwalk.Keyed, "non_idempotent": arrowwalk.Unsafe,
 	}
 	scopes = map[string]arrowwalk.Scope{
@@ -122,44 +125,45 @@
 	}
 )
 
-// Parse reads the settings of one instance; an error names the field.
+// Parse parses the settings of one instance. The seed, which is not part of the
+// text, becomes Settings.Seed. An error names the invalid field.
 func Parse(text []byte, seed uint64) (*Settings, error) {
-	var f facts
-	if err := json.Unmarshal(text, &f); err != nil {
+	var doc document
+	if err := json.Unmarshal(text, &doc); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	set, err := f.module(seed)
+	scheduler, err := doc.schedulerSettings(seed)
 	if err != nil {
 		return nil, err
 	}
-	return &Settings{Settings: set, Zones: f.Zones, DialTimeout: arrowwalk.Micros(f.Limits.ConnectTimeoutUs),
-		IdleClose: arrowwalk.Micros(f.Limits.IdleCloseUs), MaxOpen: f.Limits.MaxOpen, Unknown: unknown(text)}, nil
+	return &Settings{Settings: scheduler, Zones: doc.Zones, DialTimeout: arrowwalk.Micros(doc.Limits.ConnectTimeoutUs),
+		IdleClose: arrowwalk.Micros(doc.Limits.IdleCloseUs), MaxOpen: doc.Limits.MaxOpen, Unknown: unknownKeys(text)}, nil
 }
 
-// module returns what the module is told.
-func (f *facts) module(seed uint64) (arrowwalk.Settings, error) {
+// schedulerSettings converts the document to the scheduler's settings.
+func (doc *document) schedulerSettings(seed uint64) (arrowwalk.Settings, error) {
 	s := arrowwalk.Settings{
-		Seed: seed, Host: f.Ordinal, Hosts: f.PeersTotal, Zone: f.Zone, Shards: f.FamilyInfo.Shards,
-		Tick: arrowwalk.Micros(f.PeriodUs), Subscribe: f.Discovery == "subscribe",
-		MaxAttempts: f.Limits.MaxAttempts, MeanUnits: f.FamilyInfo.UnitMean, MostUnits: f.FamilyInfo.MostUnits,
-		ShareWorth: f.FamilyInfo.WithinShare, SpareWorth: f.FamilyInfo.BeyondShare,
-		MeterPeriod: arrowwalk.Micros(f.FamilyInfo.MeterUs), TellsOthers: f.FamilyInfo.SaysOthers,
-		Probing: f.Limits.Probing, Cancel: f.Limits.Cancel, Parallel: f.Limits.ParallelTries,
-		Reports: f.Reporting.Fields, ReportsIn: f.Reporting.How == "inline",
+		Seed: seed, Host: doc.Ordinal, Hosts: doc.PeersTotal, Zone: doc.Zone, Shards: doc.FamilyInfo.Shards,
+		Tick: arrowwalk.Micros(doc.PeriodUs), Subscribe: doc.Discovery == "subscribe",
+		MaxAttempts: doc.Limits.MaxAttempts, MeanUnits: doc.FamilyInfo.UnitMean, MostUnits: doc.FamilyInfo.MostUnits,
+		ShareWorth: doc.FamilyInfo.WithinShare, SpareWorth: doc.FamilyInfo.BeyondShare,
+		MeterPeriod: arrowwalk.Micros(doc.FamilyInfo.MeterUs), TellsOthers: doc.FamilyInfo.SaysOthers,
+		Probing: doc.Limits.Probing, Cancel: doc.Limits.Cancel, Parallel: doc.Limits.ParallelTries,
+		Reports: doc.Reporting.Fields, ReportsIn: doc.Reporting.How == "inline",
 		Rules: arrowwalk.Rules{
-			DrainGrace: arrowwalk.Micros(f.Rules.DrainGraceUs), AskEvery: arrowwalk.Micros(f.Rules.AskEveryUs),
-			ColdFrom: f.Rules.ColdFrom, WarmWithin: arrowwalk.Micros(f.Rules.WarmWithinUs),
-			ColdMultiple: f.Rules.OverloadFactor, ColdSpan: arrowwalk.Micros(f.Rules.FallUs),
-			ColdUnits: f.FamilyInfo.ColdBears, OrderGap: arrowwalk.Micros(f.Rules.TurnGapUs),
-			ResendFree: f.Rules.FreeResends, ResendRatio: f.Rules.RepeatRatio,
-			ResendSpan: arrowwalk.Micros(f.Rules.ResendSpanUs),
+			DrainGrace: arrowwalk.Micros(doc.Rules.DrainGraceUs), AskEvery: arrowwalk.Micros(doc.Rules.AskEveryUs),
+			ColdFrom: doc.Rules.ColdFrom, WarmWithin: arrowwalk.Micros(doc.Rules.WarmWithinUs),
+			ColdMultiple: doc.Rules.OverloadFactor, ColdSpan: arrowwalk.Micros(doc.Rules.FallUs),
+			ColdUnits: doc.FamilyInfo.ColdBears, OrderGap: arrowwalk.Micros(doc.Rules.TurnGapUs),
+			ResendFree: doc.Rules.FreeResends, ResendRatio: doc.Rules.RepeatRatio,
+			ResendSpan: arrowwalk.Micros(doc.Rules.ResendSpanUs),
 		},
 	}
-	if f.Limits.RetryAfter {
-		s.MaxWait = arrowwalk.Micros(f.Limits.MaxRetryAfterUs)
+	if doc.Limits.RetryAfter {
+		s.MaxWait = arrowwalk.Micros(doc.Limits.MaxRetryAfterUs)
 	}
-	for i, c := range f.Categories {
-		repeat, ok := repeats[c.Repeat]
+	for i, c := range doc.Categories {
+		repeat, ok := repeatPolicies[c.Repeat]
 		if !ok {
 			return s, fmt.Errorf("settings: category %q: unknown repeat %q", c.Name, c.Repeat)
 		}
@@ -171,10 +175,10 @@
 			Name: c.Name, Aim: arrowwalk.Micros(c.AimUs), AimStretch: c.AimStretch,
 			Deadline: arrowwalk.Micros(c.DeadlineUs), Worth: c.Worth, LateWorth: c.LateWorth, Repeat: repeat,
 			Scope: scope, Window: arrowwalk.Micros(c.WindowUs), Ordered: c.Sequential, Streamed: c.Streamed,
-			Writes: i < len(f.FamilyInfo.ChangesData) && f.FamilyInfo.ChangesData[i],
+			Writes: i < len(doc.FamilyInfo.ChangesData) && doc.FamilyInfo.ChangesData[i],
 		})
 	}
-	for _, p := range f.ServiceLevels {
+	for _, p := range doc.ServiceLevels {
 		s.Plans = append(s.Plans, arrowwalk.Plan{
 			Name: p.Name, Rate: p.UsualRate, Reserve: p.Reservation, Weight: p.Parts, WorthFactor: p.WorthFactor,
 			LimitRate: p.CeilingRate, LimitBurst: p.Burst, LimitSlack: p.LimitSlack,
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire reads and prints the adapter's lines. It decides nothing: it
-// turns event lines into the types of package arrowwalk, and actions into
-// lines.
+// Package wire implements the simulator's line protocol. It parses lines into
+// events of package arrowwalk and formats actions as lines. Each line is a tag
+// and its values, separated by tabs; "-" stands for a missing value.
 package wire
 
 import (
@@ -16,10 +16,11 @@
 	"arrowwalk/internal/settings"
 )
 
-// Message is one event line: an instance's start (Settings set), its end (Stop)
-// or an event. A Skip item holds nothing that the decisions use.
+// Message is a message to one scheduler instance. It starts the instance
+// (Settings is set), stops it (Stop) or carries an Event. A message with Skip
+// has no effect on the decisions.
 type Message struct {
-	Line     int
+	Line     int // line number in the input, from 1
 	Instance string
 	Settings *arrowwalk.Settings
 	Stop     bool
@@ -27,31 +28,32 @@
 	Event    arrowwalk.Event
 }
 
-// Batch is what happened at one time.
+// Batch holds the messages of one point in time, in their order.
 type Batch struct {
 	Now      arrowwalk.Micros
 	Messages []Message
 }
 
-// Reader reads batches.
+// Reader reads batches from a stream. It is not safe for concurrent use.
 type Reader struct {
 	in   *bufio.Reader
-	line int
+	line int // number of lines read
 }
 
-// NewReader returns a Reader of r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(r, 1<<20)}
 }
 
-var errCutOff = errors.New("input ends inside a batch")
+var errBatchTruncated = errors.New("input ends inside a batch")
 
-// next returns one line without its end. io.EOF comes only at a line's start.
-func (r *Reader) next() (string, error) {
+// readLine returns the next line without its line ending. It returns io.EOF only
+// if the input ends after a complete line.
+func (r *Reader) readLine() (string, error) {
 	line, err := r.in.ReadString('\n')
 	if err == io.EOF && line != "" {
 		r.line++
-		return "", r.fail(errors.New("input ends inside a line"))
+		return "", r.wrapError(errors.New("input ends inside a line"))
 	}
 	if err != nil {
 		return "", err
@@ -60,29 +62,31 @@
 	return strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r"), nil
 }
 
-func (r *Reader) fail(err error) error { return fmt.Errorf("line %d: %w", r.line, err) }
+// wrapError adds the current line number to an error.
+func (r *Reader) wrapError(err error) error { return fmt.Errorf("line %d: %w", r.line, err) }
 
-// ReadBatch returns the next batch, or io.EOF at the end of the input.
+// ReadBatch returns the next batch, or io.EOF if the input ends between batches.
+// Any other error names the line. Empty lines before a batch are skipped.
 func (r *Reader) ReadBatch() (*Batch, error) {
-	line, err := r.next()
+	line, err := r.readLine()
 	for err == nil && line == "" {
-		line, err = r.next()
+		line, err = r.readLine()
 	}
 	if err != nil {
 		return nil, err
 	}
-	f := newFields(line)
+	f := newFieldReader(line)
 	if f.tag != "TICK" {
-		return nil, r.fail(fmt.Errorf("a batch starts with TICK, not %q", f.tag))
+		return nil, r.wrapError(fmt.Errorf("a batch starts with TICK, not %q", f.tag))
 	}
 	b := &Batch{Now: f.micros()}
-	if err := f.close(); err != nil {
-		return nil, r.fail(err)
+	if err := f.finish(); err != nil {
+		return nil, r.wrapError(err)
 	}
 	for {
-		line, err := r.next()
+		line, err := r.readLine()
 		if err == io.EOF {
-			return nil, r.fail(errCutOff)
+			return nil, r.wrapError(errBatchTruncated)
 		}
 		if err != nil {
 			return nil, err
@@ -90,129 +94,136 @@
 		if line == "EOF_BATCH" {
 			return b, nil
 		}
-		item, err := r.item(line)
+		msg, err := r.readMessage(line)
 		if err != nil {
 			return nil, err
 		}
-		b.Messages = append(b.Messages, item)
+		b.Messages = append(b.Messages, msg)
 	}
 }
 
-// item reads one event line, and the entry lines that belong to it.
-func (r *Reader) item(line string) (Message, error) {
-	f := newFields(line)
-	it := Message{Line: r.line, Instance: f.instance()}
-	list, entries := (*arrowwalk.NodeList)(nil), 0
+// readMessage parses a message line and reads the BRICK lines that belong to
+// it.
+func (r *Reader) readMessage(line string) (Message, error) {
+	f := newFieldReader(line)
+	msg := Message{Line: r.line, Instance: f.instance()}
+	list, nodeCount := (*arrowwalk.NodeList)(nil), 0
 	switch f.tag {
 	case "OPEN_INSTANCE":
-		seed := f.natural()
-		text := f.rest()
+		seed := f.unsigned()
+		text := f.rawRemainder()
 		if f.err == nil {
 			s, err := settings.Parse([]byte(text), seed)
 			if err != nil {
 				f.err = err
 			} else {
-				it.Settings = &s.Settings
+				msg.Settings = &s.Settings
 			}
 		}
 	case "UPDATE":
-		list = &arrowwalk.NodeList{Kind: listKind(f), Version: f.integer()}
-		entries = f.count()
-		it.Event = list
+		list = &arrowwalk.NodeList{Kind: parseListKind(f), Version: f.integer()}
+		nodeCount = f.count()
+		msg.Event = list
 	case "QUERY":
-		it.Event = request(f)
+		msg.Event = parseRequest(f)
 	case "RETIRE":
-		it.Stop = true
+		msg.Stop = true
 	case "DUE":
-		it.Event = &arrowwalk.TimerFired{Token: f.natural()}
+		msg.Event = &arrowwalk.TimerFired{Token: f.unsigned()}
 	case "UNDER_WAY":
-		ev := &arrowwalk.StreamStarted{Request: f.request(), Attempt: f.count()}
+		event := &arrowwalk.StreamStarted{Request: f.requestID(), Attempt: f.count()}
 		f.micros()
-		ev.Node = f.node()
-		it.Event = ev
+		event.Node = f.nodeID()
+		msg.Event = event
 	case "ABANDONED":
-		it.Event = &arrowwalk.Abandoned{Request: f.request()}
+		msg.Event = &arrowwalk.Abandoned{Request: f.requestID()}
 	case "DONE":
-		it.Event = outcome(f)
+		msg.Event = parseOutcome(f)
 	case "PROBED":
-		it.Event = &arrowwalk.ProbeResult{Latency: f.micros(), Node: f.node(), Status: f.status(), Load: f.row()}
+		msg.Event = &arrowwalk.ProbeResult{Latency: f.micros(), Node: f.nodeID(), Status: f.status(), Load: f.loadReport()}
 	case "NEIGHBOUR_SAYS":
 		f.integer()
-		f.word()
-		it.Skip = true
+		f.field()
+		msg.Skip = true
 	default:
 		f.err = fmt.Errorf("unknown message %q", f.tag)
 	}
-	if err := f.close(); err != nil {
-		return it, r.fail(err)
+	if err := f.finish(); err != nil {
+		return msg, r.wrapError(err)
 	}
-	for i := 0; i < entries; i++ {
-		n, err := r.entry()
+	for i := 0; i < nodeCount; i++ {
+		n, err := r.readNode()
 		if err != nil {
-			return it, err
+			return msg, err
 		}
 		list.Nodes = append(list.Nodes, n)
 	}
-	return it, nil
+	return msg, nil
 }
 
-// entry reads one line of a node list.
-func (r *Reader) entry() (arrowwalk.Node, error) {
-	line, err := r.next()
+// readNode reads a BRICK line, an entry of a node list.
+func (r *Reader) readNode() (arrowwalk.Node, error) {
+	line, err := r.readLine()
 	if err == io.EOF {
-		return arrowwalk.Node{}, r.fail(errCutOff)
+		return arrowwalk.Node{}, r.wrapError(errBatchTruncated)
 	}
 	if err != nil {
 		return arrowwalk.Node{}, err
 	}
-	f := newFields(line)
+	f := newFieldReader(line)
 	if f.tag != "BRICK" {
-		return arrowwalk.Node{}, r.fail(fmt.Errorf("a BRICK line is missing, got %q", f.tag))
+		return arrowwalk.Node{}, r.wrapError(fmt.Errorf("a BRICK line is missing, got %q", f.tag))
 	}
 	n := arrowwalk.Node{Shard: int(f.integer()), Started: f.micros()}
-	f.number()
-	n.State = nodeState(f)
-	n.ID = f.node()
+	f.float()
+	n.State = parseNodeState(f)
+	n.ID = f.nodeID()
 	n.Zone = int(f.integer())
 	f.integer()
-	if err := f.close(); err != nil {
-		return n, r.fail(err)
+	if err := f.finish(); err != nil {
+		return n, r.wrapError(err)
 	}
 	return n, nil
 }
 
-func request(f *fields) *arrowwalk.Request {
-	q := &arrowwalk.Request{ID: f.request(), Class: f.count()}
-	q.Volume.Plan = f.count()
-	if w := f.word(); w != "-" {
-		q.HasKey, q.Key = true, f.parseNatural(w)
-	}
-	q.Left = f.micros()
-	q.Volume.ID = arrowwalk.VolumeID(f.natural())
-	q.Units = f.number()
-	q.Shard = -1
-	if w := f.word(); w != "-" {
-		q.Shard = int(f.parseNumber(w))
-	}
-	q.Volume.Hosts = int(f.number())
-	q.Again = f.natural()&2 != 0
-	return q
+// againFlag is the bit in a QUERY line's flags that marks a client's retry.
+const againFlag = 2
+
+// parseRequest parses the values of a QUERY line after the instance.
+func parseRequest(f *fieldReader) *arrowwalk.Request {
+	req := &arrowwalk.Request{ID: f.requestID(), Class: f.count()}
+	req.Volume.Plan = f.count()
+	if text := f.field(); text != "-" {
+		req.HasKey, req.Key = true, f.parseUnsigned(text)
+	}
+	req.Left = f.micros()
+	req.Volume.ID = arrowwalk.VolumeID(f.unsigned())
+	req.Units = f.float()
+	req.Shard = -1
+	if text := f.field(); text != "-" {
+		req.Shard = int(f.parseFloat(text))
+	}
+	req.Volume.Hosts = int(f.float())
+	req.Again = f.unsigned()&againFlag != 0
+	return req
 }
 
-func outcome(f *fields) *arrowwalk.Outcome {
+// parseOutcome parses the values of a DONE line after the instance.
+func parseOutcome(f *fieldReader) *arrowwalk.Outcome {
 	o := &arrowwalk.Outcome{}
-	o.Request, o.Number, o.Node = f.request(), f.count(), f.node()
+	o.Request, o.Number, o.Node = f.requestID(), f.count(), f.nodeID()
 	o.Status = f.status()
 	o.Latency = f.micros()
 	o.Closed = f.boolean()
-	o.FleetUse = f.number()
-	o.OthersUnits = f.number()
-	o.Load = f.row()
+	o.FleetUse = f.float()
+	o.OthersUnits = f.float()
+	o.Load = f.loadReport()
 	return o
 }
 
-func listKind(f *fields) arrowwalk.ListKind {
-	switch w := f.word(); w {
+// parseListKind parses the kind of an UPDATE line.
+func parseListKind(f *fieldReader) arrowwalk.ListKind {
+	switch text := f.field(); text {
 	case "diff":
 		return arrowwalk.ListDelta
 	case "snapshot":
@@ -222,13 +233,14 @@
 	case "error":
 		return arrowwalk.ListFailed
 	default:
-		f.bad("kind of list", w)
+		f.invalid("kind of list", text)
 		return arrowwalk.ListFailed
 	}
 }
 
-func nodeState(f *fields) arrowwalk.NodeState {
-	switch w := f.word(); w {
+// parseNodeState parses the health of a BRICK line.
+func parseNodeState(f *fieldReader) arrowwalk.NodeState {
+	switch text := f.field(); text {
 	case "on":
 		return arrowwalk.Ready
 	case "fading":
@@ -236,158 +248,177 @@
 	case "off":
 		return arrowwalk.Removed
 	default:
-		f.bad("health", w)
+		f.invalid("health", text)
 		return arrowwalk.Removed
 	}
 }
 
-// fields takes the values of a line in their order and keeps the first error.
-type fields struct {
-	tag  string
-	left string
-	more bool
-	err  error
+// fieldReader parses the values of a line in their order. Its methods consume
+// one value each; after an error they return zero values or what could be
+// parsed, and finish returns the first error.
+type fieldReader struct {
+	tag       string
+	remaining string
+	more      bool // remaining holds at least one more value, which may be empty
+	err       error
 }
 
-func newFields(line string) *fields {
-	tag, left, more := strings.Cut(line, "\t")
-	return &fields{tag: tag, left: left, more: more}
+// newFieldReader splits the tag off a line.
+func newFieldReader(line string) *fieldReader {
+	tag, remaining, more := strings.Cut(line, "\t")
+	return &fieldReader{tag: tag, remaining: remaining, more: more}
 }
 
-func (f *fields) bad(what, value string) {
+// invalid records that a value could not be parsed.
+func (f *fieldReader) invalid(what, value string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: bad %s %q", f.tag, what, value)
 	}
 }
 
-func (f *fields) word() string {
+// field returns the next value as it is.
+func (f *fieldReader) field() string {
 	if !f.more {
 		if f.err == nil {
 			f.err = fmt.Errorf("%s: too few values", f.tag)
 		}
 		return ""
 	}
-	w, left, more := strings.Cut(f.left, "\t")
-	f.left, f.more = left, more
-	return w
+	text, remaining, more := strings.Cut(f.remaining, "\t")
+	f.remaining, f.more = remaining, more
+	return text
 }
 
-func (f *fields) rest() string {
-	w := f.left
-	f.left, f.more = "", false
-	return w
+// rawRemainder consumes the rest of the line.
+func (f *fieldReader) rawRemainder() string {
+	text := f.remaining
+	f.remaining, f.more = "", false
+	return text
 }
 
-func (f *fields) close() error {
+// finish returns the first error, or an error if values are left.
+func (f *fieldReader) finish() error {
 	if f.err == nil && f.more {
 		f.err = fmt.Errorf("%s: too many values", f.tag)
 	}
 	return f.err
 }
 
-func (f *fields) instance() string {
-	w := f.word()
-	if n, ok := strings.CutPrefix(w, "host-"); !ok || n == "" {
-		f.bad("instance", w)
+// instance parses the name of an instance, host- and a suffix.
+func (f *fieldReader) instance() string {
+	text := f.field()
+	if suffix, ok := strings.CutPrefix(text, "host-"); !ok || suffix == "" {
+		f.invalid("instance", text)
 	}
-	return w
+	return text
 }
 
-func (f *fields) node() arrowwalk.NodeID {
-	w := f.word()
-	if w == "" || w == "-" {
-		f.bad("brick", w)
+// nodeID parses the ID of a node, which may not be missing.
+func (f *fieldReader) nodeID() arrowwalk.NodeID {
+	text := f.field()
+	if text == "" || text == "-" {
+		f.invalid("brick", text)
 	}
-	return arrowwalk.NodeID(w)
+	return arrowwalk.NodeID(text)
 }
 
-func (f *fields) integer() int64 {
-	w := f.word()
-	if w == "-" {
+// integer parses a signed integer; a missing one is 0.
+func (f *fieldReader) integer() int64 {
+	text := f.field()
+	if text == "-" {
 		return 0
 	}
-	n, err := strconv.ParseInt(w, 10, 64)
+	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		f.bad("integer", w)
+		f.invalid("integer", text)
 	}
 	return n
 }
 
-func (f *fields) natural() uint64 {
-	w := f.word()
-	if w == "-" {
+// unsigned parses an unsigned integer; a missing one is 0.
+func (f *fieldReader) unsigned() uint64 {
+	text := f.field()
+	if text == "-" {
 		return 0
 	}
-	return f.parseNatural(w)
+	return f.parseUnsigned(text)
 }
 
-func (f *fields) parseNatural(w string) uint64 {
-	n, err := strconv.ParseUint(w, 10, 64)
+// parseUnsigned parses an unsigned integer that was consumed already.
+func (f *fieldReader) parseUnsigned(text string) uint64 {
+	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		f.bad("whole number", w)
+		f.invalid("whole number", text)
 	}
 	return n
 }
 
-func (f *fields) number() float64 {
-	w := f.word()
-	if w == "-" {
+// float parses a finite number; a missing one is 0.
+func (f *fieldReader) float() float64 {
+	text := f.field()
+	if text == "-" {
 		return 0
 	}
-	return f.parseNumber(w)
+	return f.parseFloat(text)
 }
 
-func (f *fields) parseNumber(w string) float64 {
-	n, err := strconv.ParseFloat(w, 64)
+// parseFloat parses a finite number that was consumed already.
+func (f *fieldReader) parseFloat(text string) float64 {
+	n, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
-		f.bad("number", w)
+		f.invalid("number", text)
 		return 0
 	}
 	return n
 }
 
-func (f *fields) micros() arrowwalk.Micros { return arrowwalk.Micros(f.integer()) }
+// micros parses a time or a duration in microseconds.
+func (f *fieldReader) micros() arrowwalk.Micros { return arrowwalk.Micros(f.integer()) }
 
-func (f *fields) request() arrowwalk.RequestID { return arrowwalk.RequestID(f.natural()) }
+// requestID parses the ID of a request.
+func (f *fieldReader) requestID() arrowwalk.RequestID { return arrowwalk.RequestID(f.unsigned()) }
 
-func (f *fields) count() int {
+// count parses an integer from 0 to math.MaxInt32.
+func (f *fieldReader) count() int {
 	n := f.integer()
 	if n < 0 || n > math.MaxInt32 {
-		f.bad("count", strconv.FormatInt(n, 10))
+		f.invalid("count", strconv.FormatInt(n, 10))
 		return 0
 	}
 	return int(n)
 }
 
-func (f *fields) boolean() bool {
-	switch w := f.word(); w {
+// boolean parses 1, 0 or a missing value, which is false.
+func (f *fieldReader) boolean() bool {
+	switch text := f.field(); text {
 	case "1":
 		return true
 	case "0", "-":
 	default:
-		f.bad("bool", w)
+		f.invalid("bool", text)
 	}
 	return false
 }
 
-// row reads a load report; nil where there is none.
-func (f *fields) row() []float64 {
-	w := f.word()
-	if w == "-" || w == "" {
+// loadReport parses a comma-separated load report; a missing one is nil.
+func (f *fieldReader) loadReport() []float64 {
+	text := f.field()
+	if text == "-" || text == "" {
 		return nil
 	}
-	var row []float64
-	for _, v := range strings.Split(w, ",") {
+	var report []float64
+	for _, v := range strings.Split(text, ",") {
 		if v == "-" {
 			v = "0"
 		}
-		row = append(row, f.parseNumber(v))
+		report = append(report, f.parseFloat(v))
 	}
-	return row
+	return report
 }
 
-// status reads an outcome code. One that is not known may have run.
-func (f *fields) status() arrowwalk.Status {
+// status parses an outcome code. A code that is not listed is Unknown, so that
+// the attempt counts as one that may have run.
+func (f *fieldReader) status() arrowwalk.Status {
 	switch f.integer() {
 	case 200:
 		return arrowwalk.OK
@@ -409,7 +440,8 @@
 	return arrowwalk.Unknown
 }
 
-// AppendAction appends the line of an action of an instance to out.
+// AppendAction appends the line for an action of an instance to out. It returns
+// an error if the action's kind is unknown.
 func AppendAction(out []byte, instance string, a arrowwalk.Action) ([]byte, error) {
 	line := func(tag string, values ...any) {
 		out = append(append(append(out, tag...), '\t'), instance...)
@@ -441,13 +473,15 @@
 	return out, nil
 }
 
-// AppendFatal appends the line that ends the day, because the decision code
-// has failed for that reason.
+// AppendFatal appends the line that ends the simulation because an instance has
+// failed for the given reason.
 func AppendFatal(out []byte, instance, reason string) []byte {
 	return fmt.Appendf(out, "FATAL\t%s\t%s\n", instance, oneLine(reason))
 }
 
-// AppendReady appends the line that ends a reply.
+// AppendReady appends the line that ends the reply to a batch.
 func AppendReady(out []byte) []byte { return append(out, "READY\n"...) }
 
+// oneLine replaces each run of white space, including line breaks and tabs, with
+// one space.
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,7 +9,7 @@
 	"arrowwalk"
 )
 
-const facts1 = `{"peersTotal":3,"ordinal":1,"zone":2,"periodUs":2000,"discovery":"subscribe","later":[1],` +
+const settingsJSON = `{"peersTotal":3,"ordinal":1,"zone":2,"periodUs":2000,"discovery":"subscribe","later":[1],` +
 	`"categories":[{"name":"r","aimUs":400000,"deadlineUs":2500000,"repeat":"idempotency_key","dedupScope":"cell",` +
 	`"windowUs":4000000,"worth":2,"lateWorth":0.2,"sequential":true}],` +
 	`"familyInfo":{"changesData":[true],"coldBears":29,"mostUnits":6,"unitMean":2,"withinShare":0.3,"beyondShare":0.05},` +
@@ -17,7 +17,8 @@
 	`"rules":{"askEveryUs":10000000,"turnGapUs":100000,"freeResends":3,"repeatRatio":0.15,"resendSpanUs":5000000},` +
 	`"serviceLevels":[{"name":"b","usualRate":3.6,"reservation":1,"parts":1,"worthFactor":0.8,"ceilingRate":7,"burst":12}]}`
 
-func read(t *testing.T, text string) (*Batch, error) {
+// readBatch reads the first batch of a text.
+func readBatch(t *testing.T, text string) (*Batch, error) {
 	t.Helper()
 	return NewReader(strings.NewReader(text)).ReadBatch()
 }
@@ -48,7 +49,7 @@
 		{"DUE\thost-3\t77", &arrowwalk.TimerFired{Token: 77}},
 	}
 	for _, c := range cases {
-		b, err := read(t, "TICK\t8412250\n"+c.lines+"\nEOF_BATCH\n")
+		b, err := readBatch(t, "TICK\t8412250\n"+c.lines+"\nEOF_BATCH\n")
 		if err != nil {
 			t.Errorf("%q: %v", c.lines, err)
 			continue
@@ -61,11 +62,11 @@
 }
 
 func TestReadSettings(t *testing.T) {
-	b, err := read(t, "TICK\t1\nOPEN_INSTANCE\thost-0\t99\t"+facts1+"\nRETIRE\thost-0\nEOF_BATCH\n")
+	b, err := readBatch(t, "TICK\t1\nOPEN_INSTANCE\thost-0\t99\t"+settingsJSON+"\nRETIRE\thost-0\nEOF_BATCH\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := b.Messages[0].Settings
+	got := b.Messages[0].Settings
 	want := arrowwalk.Settings{
 		Seed: 99, Host: 1, Hosts: 3, Zone: 2, Tick: 2000, Subscribe: true, MaxAttempts: 4, MaxWait: 500000,
 		MeanUnits: 2, MostUnits: 6, ShareWorth: 0.3, SpareWorth: 0.05, Cancel: true,
@@ -75,11 +76,11 @@
 		Rules: arrowwalk.Rules{AskEvery: 10000000, ColdUnits: 29, OrderGap: 100000, ResendFree: 3, ResendRatio: 0.15,
 			ResendSpan: 5000000},
 	}
-	if !reflect.DeepEqual(*s, want) {
-		t.Errorf("got  %+v\nwant %+v", *s, want)
+	if !reflect.DeepEqual(*got, want) {
+		t.Errorf("got  %+v\nwant %+v", *got, want)
 	}
 	if !b.Messages[1].Stop {
-		t.Error("RETIRE is not a stop")
+		t.Error("RETIRE was not parsed as a stop")
 	}
 }
 
@@ -99,12 +100,12 @@
 		{"TICK\t1\nDUE\thost-1\t1", "line 2: input ends inside a line"},
 	}
 	for _, c := range cases {
-		if _, err := read(t, c.text); err == nil || err.Error() != c.want {
+		if _, err := readBatch(t, c.text); err == nil || err.Error() != c.want {
 			t.Errorf("%q: got error %v, want %s", c.text, err, c.want)
 		}
 	}
-	if _, err := read(t, ""); err != io.EOF {
-		t.Errorf("end of input between batches: %v", err)
+	if _, err := readBatch(t, ""); err != io.EOF {
+		t.Errorf("end of input between batches: got %v, want io.EOF", err)
 	}
 }
 
@@ -129,6 +130,6 @@
 		}
 	}
 	if _, err := AppendAction(nil, "host-3", arrowwalk.Action{Kind: 99}); err == nil {
-		t.Error("an unknown action was printed")
+		t.Error("an unknown action was formatted without an error")
 	}
 }
