--- a/scheduler.go
+++ b/scheduler.go
@@ -38,9 +38,11 @@
 const (
 	second Micros = 1_000_000
 
-	// tickInterval is the period of the timer that detects stalls of this host.
-	tickInterval = second / 10
-	// minStall is the delay of a tick from which the host counts as stalled.
+	// housekeepingInterval is the period of the timer that ends intervals, updates
+	// caps and detects stalls of this host.
+	housekeepingInterval = second / 10
+	// minStall is the delay of the housekeeping timer from which the host counts
+	// as stalled.
 	minStall = second / 20
 	// capUpdateInterval is the shortest time between two updates of the nodes' caps.
 	capUpdateInterval = second / 2
@@ -81,9 +83,11 @@
 	// aim, up to which requests of levelShare are sent.
 	maxShareDelayFraction = 0.3
 	// initialDelayFraction is the queue delay assumed for a new node, as a
-	// fraction of the tightest aim.
+	// fraction of the tightest aim. It holds back requests of levelSpare until
+	// the first answers arrive.
 	initialDelayFraction = 0.2
-	// maxSpareDelayFraction is the same bound for levelSpare.
+	// maxSpareDelayFraction is the bound like maxShareDelayFraction for requests
+	// of levelSpare.
 	maxSpareDelayFraction = 0.1
 
 	// minDrainRate is the lowest rate at which a queue delay without new samples
@@ -107,6 +111,11 @@
 	// ampleLimitFraction is the fill of a limit's bucket from which its units are not scarce.
 	ampleLimitFraction = 0.9
 
+	// placementJitter is the largest random increase of a shard's load in chooseShard.
+	placementJitter = 0.1
+	// minColdFraction replaces a smaller or missing Rules.ColdFrom, which is a divisor.
+	minColdFraction = 0.01
+
 	// initialListBackoff is the first wait before the node list is requested
 	// again; it doubles with each failure.
 	initialListBackoff = second / 2
@@ -119,15 +128,10 @@
 
 	// The tokens of the timers. A request's deadline timer has the token
 	// timerTokenRequestBase plus the request's ID.
-	timerTokenTick        uint64 = 0
-	timerTokenDispatch    uint64 = 1
-	timerTokenNodeList    uint64 = 2
-	timerTokenRequestBase uint64 = 16
-
-	// placementJitter is the largest random increase of a shard's load in chooseShard.
-	placementJitter = 0.1
-	// minColdFraction replaces a smaller or missing Rules.ColdFrom, which is a divisor.
-	minColdFraction = 0.01
+	timerTokenHousekeeping uint64 = 0
+	timerTokenDispatch     uint64 = 1
+	timerTokenNodeList     uint64 = 2
+	timerTokenRequestBase  uint64 = 16
 )
 
 // Step handles events that happened at one time, in their order, and returns
@@ -137,16 +141,16 @@
 	s.now, s.actions = now, s.actions[:0]
 	if !s.started {
 		s.started, s.startedAt, s.intervalEndedAt = true, now, now
-		s.startTick()
+		s.setHousekeepingTimer()
 		if s.settings.Subscribe {
 			s.emit(Action{Kind: Subscribe})
 		}
 	}
-	// A tick that is long overdue means that this host was stalled. Events
-	// that arrived meanwhile are delivered only now, so their times say
-	// nothing about the nodes.
-	if s.stall = s.now - s.nextTickAt; s.stall > minStall {
-		s.stall += tickInterval
+	// If the housekeeping timer is long overdue, this host was stalled. Events
+	// that arrived meanwhile are delivered only now, so their times say nothing
+	// about the nodes.
+	if s.stall = s.now - s.nextHousekeepingAt; s.stall > minStall {
+		s.stall += housekeepingInterval
 	} else {
 		s.stall = 0
 	}
@@ -187,23 +191,23 @@
 	}
 }
 
-// startTick sets the timer of the next tick.
-func (s *Scheduler) startTick() {
-	s.nextTickAt = s.now + tickInterval
-	s.setTimer(tickInterval, timerTokenTick)
+// setHousekeepingTimer sets the timer for the next housekeeping.
+func (s *Scheduler) setHousekeepingTimer() {
+	s.nextHousekeepingAt = s.now + housekeepingInterval
+	s.setTimer(housekeepingInterval, timerTokenHousekeeping)
 }
 
 // handleTimer handles the expiry of the timer with the given token.
 func (s *Scheduler) handleTimer(token uint64) {
 	switch {
-	case token == timerTokenTick:
+	case token == timerTokenHousekeeping:
 		if s.now >= s.capsUpdatedAt+capUpdateInterval {
 			s.updateCaps()
 		}
 		if s.now >= s.intervalEndedAt+quadrantInterval {
 			s.endInterval()
 		}
-		s.startTick()
+		s.setHousekeepingTimer()
 	case token == timerTokenDispatch:
 		s.dispatchTimerSet = false
 		for _, sh := range s.shards {
@@ -221,7 +225,7 @@
 
 // handleNodeList applies a snapshot or a delta of the node list. After a
 // failed call it requests the list again with exponential backoff and jitter;
-// the longest wait stays within half of Rules.AskEvery.
+// the longest wait is half of Rules.AskEvery, but at least a second.
 func (s *Scheduler) handleNodeList(list *NodeList) {
 	if list.Kind == ListFailed {
 		s.logf("node list request failed, retrying in %d ms", s.listBackoff/1000)
@@ -235,7 +239,8 @@
 	if list.Kind != ListDelta {
 		for _, sh := range s.shards {
 			n := sh.node
-			if n != nil && !slices.ContainsFunc(list.Nodes, func(listed Node) bool { return listed.ID == n.ID }) {
+			if n != nil &&
+				!slices.ContainsFunc(list.Nodes, func(listed Node) bool { return listed.ID == n.ID }) {
 				n.State = Removed
 			}
 		}
@@ -295,7 +300,7 @@
 	r.aimAt = s.now + s.aimSpan(r)
 	if req.Again { // the aim counts from the client's first try
 		r.aimAt -= max(0, r.class.Deadline-req.Left)
-	} else { // the aim counts from the arrival, which Left dates if the event was delayed by a stall
+	} else { // the aim counts from the arrival; if a stall delayed the event, Left tells by how much
 		s.clientTimeout[req.Class] = max(s.clientTimeout[req.Class], req.Left)
 		r.aimAt -= min(s.stall, s.clientTimeout[req.Class]-req.Left)
 	}
@@ -330,9 +335,11 @@
 	v := s.volumes[info.ID]
 	if v == nil {
 		v = &volume{
-			id: info.ID, plan: &s.settings.Plans[info.Plan], hosts: float64(max(1, info.Hosts)), quadrant: meet,
+			id: info.ID, plan: &s.settings.Plans[info.Plan],
+			hosts: float64(max(1, info.Hosts)), quadrant: meet,
 		}
-		v.refilledAt, v.limitUnits, v.reserveUnits = s.startedAt, s.settings.MostUnits, s.settings.MostUnits/v.hosts
+		v.refilledAt, v.limitUnits, v.reserveUnits =
+			s.startedAt, s.settings.MostUnits, s.settings.MostUnits/v.hosts
 		s.volumes[info.ID] = v
 		s.volumeOrder = append(s.volumeOrder, v)
 	}
@@ -353,7 +360,8 @@
 	if !s.settings.TellsOthers {
 		reserveRate /= v.hosts
 	}
-	v.reserveUnits = min(v.reserveUnits+reserveRate*elapsedSeconds, (v.plan.Reserve+s.settings.MostUnits)/v.hosts)
+	v.reserveUnits = min(v.reserveUnits+reserveRate*elapsedSeconds,
+		(v.plan.Reserve+s.settings.MostUnits)/v.hosts)
 	v.tokens = min(v.tokens+v.tokenRate*elapsedSeconds,
 		v.tokenRate*float64(tokenBurstTime/second)+s.settings.MostUnits)
 }
@@ -442,7 +450,8 @@
 		if r == nil {
 			continue
 		}
-		if p := s.priorityOf(r, n); s.admitsLevel(n, r, p.level) && (best == nil || p.precedes(bestPriority)) {
+		if p := s.priorityOf(r, n); s.admitsLevel(n, r, p.level) &&
+			(best == nil || p.precedes(bestPriority)) {
 			best, bestPriority = r, p
 		}
 	}
@@ -706,7 +715,8 @@
 	if !o.Status.NeverRan() && r.mayHaveRun == nil {
 		r.mayHaveRun = a
 	}
-	if o.Status == NotSent && len(r.attempts) == 1 { // the limit is not charged for an attempt that was not sent
+	// An attempt that was not sent is not charged to the limit.
+	if o.Status == NotSent && len(r.attempts) == 1 {
 		r.limitCharged = false
 		r.vol.limitUnits += r.Units
 	}
@@ -815,7 +825,8 @@
 	kind, wait := Fail, Micros(0)
 	if r.class == nil || r.mayHaveRun == nil && r.inFlight == 0 || r.class.Repeat == Safe ||
 		r.class.Repeat == Keyed && r.class.Scope == ScopeAll {
-		kind, wait = Refuse, s.settings.MaxWait // the longest wait: a retry comes after the aim and earns little
+		// The longest wait, since a retry comes after the aim and earns little.
+		kind, wait = Refuse, s.settings.MaxWait
 	}
 	s.emit(Action{Kind: kind, Request: r.ID, Delay: wait})
 	s.closeRequest(r)
@@ -864,7 +875,8 @@
 	for _, sh := range s.shards {
 		if sh.servedUnits > 0 && s.now-sh.node.Started > s.settings.Rules.WarmWithin {
 			sh.usualIntervals++
-			sh.usualRate += max(usualRateWeight, 1/sh.usualIntervals) * (sh.servedUnits/seconds - sh.usualRate)
+			sh.usualRate += max(usualRateWeight, 1/sh.usualIntervals) *
+				(sh.servedUnits/seconds - sh.usualRate)
 		}
 		sh.servedUnits = 0
 	}
@@ -1024,7 +1036,8 @@
 		return isIdle(v)
 	})
 	for _, sh := range s.shards {
-		sh.waitQueues = slices.DeleteFunc(sh.waitQueues, func(wq *waitQueue) bool { return isIdle(wq.flow.vol) })
+		sh.waitQueues = slices.DeleteFunc(sh.waitQueues,
+			func(wq *waitQueue) bool { return isIdle(wq.flow.vol) })
 		sh.flows = slices.DeleteFunc(sh.flows, func(f *flow) bool { return isIdle(f.vol) })
 	}
 	for id, n := range s.nodes {
--- a/scheduler_test.go
+++ b/scheduler_test.go
@@ -276,7 +276,7 @@
 		{"just started", restart, 0, 8, 10},
 		{"half warm", restart, 6 * second, 20, 27},
 		{"warm", restart, 11 * second, 60, 1e9},
-		{"started before any known time", func(h *harness) { h.step(&NodeList{Kind: ListSnapshot, Nodes: []Node{{ID: "a"}}}) }, 0, 81, 1e9},
+		{"started long ago", func(h *harness) { h.step(&NodeList{Kind: ListSnapshot, Nodes: []Node{{ID: "a"}}}) }, 0, 81, 1e9},
 		{"stored list only, after this host's restart", func(*harness) {}, 0, 81, 1e9},
 		{"an overloaded answer is no restart", func(h *harness) {
 			h.advance(4 * second)
--- a/state.go
+++ b/state.go
@@ -172,31 +172,31 @@
 // Scheduler makes the scheduling decisions of one host. It is not safe for
 // concurrent use.
 type Scheduler struct {
-	settings         Settings
-	now              Micros // time of the current step
-	startedAt        Micros // time of the first step
-	intervalEndedAt  Micros // when the last quadrant interval ended
-	started          bool
-	capsUpdatedAt    Micros
-	nextTickAt       Micros
-	shutdownAt       Micros // when all requests must have their final answers; 0: no shutdown
-	stall            Micros // upper bound of the time for which the host was stalled before this step; 0: none
-	actions          []Action
-	nodes            map[NodeID]*node
-	shards           []*shard
-	requests         map[RequestID]*request
-	volumes          map[VolumeID]*volume
-	volumeOrder      []*volume // in the order they were added
-	keyQueues        map[uint64]*keyQueue
-	unitCost         []float64  // by class: service time of a unit, in microseconds
-	tightestAim      Micros     // the shortest aim of a class
-	clientTimeout    []Micros   // by class: how long a client waits in its first try
-	accepted         slidingSum // requests accepted
-	resends          slidingSum // further attempts sent
-	dispatchTimerSet bool
-	lossShare        float64 // share of attempts whose answers seem to be lost
-	listBackoff      Micros  // wait before the node list is requested again
-	random           splitMix64
+	settings           Settings
+	now                Micros // time of the current step
+	startedAt          Micros // time of the first step
+	intervalEndedAt    Micros // when the last quadrant interval ended
+	started            bool
+	capsUpdatedAt      Micros
+	nextHousekeepingAt Micros // when the housekeeping timer is due
+	shutdownAt         Micros // when all requests must have their final answers; 0: no shutdown
+	stall              Micros // upper bound of the time for which the host was stalled before this step; 0: none
+	actions            []Action
+	nodes              map[NodeID]*node
+	shards             []*shard
+	requests           map[RequestID]*request
+	volumes            map[VolumeID]*volume
+	volumeOrder        []*volume // in the order they were added
+	keyQueues          map[uint64]*keyQueue
+	unitCost           []float64  // by class: service time of a unit, in microseconds
+	tightestAim        Micros     // the shortest aim of a class
+	clientTimeout      []Micros   // by class: how long a client waits in its first try
+	accepted           slidingSum // requests accepted
+	resends            slidingSum // further attempts sent
+	dispatchTimerSet   bool
+	lossShare          float64 // share of attempts whose answers seem to be lost
+	listBackoff        Micros  // wait before the node list is requested again
+	random             splitMix64
 }
 
 // maxShardIndex bounds the memory that a wrong shard index can take.
--- a/types.go
+++ b/types.go
@@ -56,7 +56,7 @@
 // Plan describes what is promised to a volume, over all hosts and nodes.
 type Plan struct {
 	Name        string
-	Rate        float64 // expected load in units a second
+	Rate        float64 // units a second that the volume is sized for
 	Reserve     float64 // units a second that earn their full worth
 	Weight      float64 // share of the capacity beyond the reserves, relative to other volumes; 0: 1
 	WorthFactor float64 // factor on the worth of the class
@@ -84,8 +84,8 @@
 type Settings struct {
 	Seed        uint64 // of the random source
 	Host, Hosts int    // index of this host and number of hosts
-	Zone        int
-	Shards      int
+	Zone        int    // zone of this host
+	Shards      int    // number of shards
 	Tick        Micros // shortest time between two steps
 	Classes     []Class
 	Plans       []Plan
@@ -131,7 +131,7 @@
 	Shard   int
 	Zone    int
 	State   NodeState
-	Started Micros // time of its last start; 0: before any known time
+	Started Micros // time of its last start; 0: long ago
 }
 
 // Volume describes the volume that a request belongs to.
@@ -163,7 +163,7 @@
 // NodeList reports the node list, changes to it or a failure to get it.
 type NodeList struct {
 	Kind    ListKind
-	Version int64
+	Version int64 // version of the list at its source
 	Nodes   []Node
 }
 
@@ -177,7 +177,7 @@
 	Left   Micros // time until the client stops waiting
 	Units  float64
 	Shard  int  // -1: a new object, which any shard may store
-	Again  bool // the client repeats a request that was not served
+	Again  bool // a client's retry, not its first try
 }
 
 // StreamStarted reports that the answer to a streamed request has begun.
@@ -198,7 +198,8 @@
 type Status int
 
 const (
-	// Unknown is any other outcome; the attempt may have run.
+	// Unknown is an outcome that the caller can't classify; the attempt may have
+	// run.
 	Unknown Status = iota
 	// OK means that the node has served the request.
 	OK
