--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -118,8 +118,8 @@
 	return pending, nil
 }
 
-// discard drops the pending events of an instance that was stopped or started
-// anew.
+// discard drops the pending events of an instance that was stopped or
+// restarted.
 func discard(byInstance map[string]*pendingEvents, instance string) {
 	if p := byInstance[instance]; p != nil {
 		p.events = nil
--- a/scheduler.go
+++ b/scheduler.go
@@ -24,7 +24,7 @@
 // checkSend guards every attempt, with rule 2 and these:
 //
 //	rule 3: a node that is draining or removed gets no new attempts
-//	rule 4: a recently started (cold) node gets only what it can bear
+//	rule 4: a recently started (cold) node gets no more than it can handle
 //	rule 5: requests with the same key run one at a time and in order
 //	rule 6: further attempts stay within the resend budget
 //	rule 7: units sent for a volume stay within its plan's limit
@@ -574,7 +574,7 @@
 	case !s.isWithinVolumeLimit(r, n): // rule 7
 		return sendLater
 	}
-	// Rule 4: r must fit this host's part of what the cold node bears.
+	// Rule 4: r must fit this host's part of what the cold node can handle.
 	if budget, cold := s.coldBudget(n); cold && !s.fitsColdBudget(n, r, budget) {
 		return sendLater
 	}
@@ -585,7 +585,7 @@
 // budget is the result of coldBudget. A budget smaller than r is kept by
 // pacing: after each send the host waits until its budget has grown back. The
 // first sends of all hosts are spread at random, so that their sum stays
-// within what the node bears at any time.
+// within what the node can handle at any time.
 func (s *Scheduler) fitsColdBudget(n *node, r *request, budget float64) bool {
 	span := s.settings.Rules.ColdSpan
 	if r.Units <= budget {
@@ -653,7 +653,7 @@
 // coldBudget returns the units that this host may send to n within
 // Rules.ColdSpan, and whether n is cold; the budget of a warm node is 0. The
 // budget grows with the node's age. It is the larger of an even part of what
-// any node bears and a part of what this host was usually served at the shard:
+// any node can handle and a part of what this host was usually served at the shard:
 // the usual rates of all hosts add up to no more than the node's capacity.
 func (s *Scheduler) coldBudget(n *node) (float64, bool) {
 	rules := &s.settings.Rules
--- a/scheduler_test.go
+++ b/scheduler_test.go
@@ -315,7 +315,7 @@
 		total += flood(h, 9*second, nil)
 	}
 	if first > 3*5 {
-		t.Errorf("all hosts sent %v units in the first second, the node bears 5", first)
+		t.Errorf("all hosts sent %v units in the first second, the node can handle 5", first)
 	}
 	if total < 12 || total > 5*9*4 {
 		t.Errorf("all hosts sent %v units while the node was cold", total)
@@ -324,7 +324,7 @@
 
 // TestColdPartOfTheUsual checks the cold budget of a host that is usually served
 // far more than its even part: the budgets of all such hosts together must stay
-// within what the restarted node bears.
+// within what the restarted node can handle.
 func TestColdPartOfTheUsual(t *testing.T) {
 	settings := testSettings()
 	settings.Hosts = 300
@@ -935,7 +935,7 @@
 		{"one host, with a volume that reports more hosts", 1, func(*Settings) {}},
 		{"thousands of hosts", 5000, func(*Settings) {}},
 		{"a limit smaller than one request", 3, func(settings *Settings) { settings.Plans[1].LimitBurst = 1 }},
-		{"a cold node that bears almost nothing", 5000, func(settings *Settings) { settings.Rules.ColdUnits = 1e-6 }},
+		{"a cold node that can handle almost nothing", 5000, func(settings *Settings) { settings.Rules.ColdUnits = 1e-6 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			settings := testSettings()
@@ -967,8 +967,8 @@
 
 // TestColdNodeAfterAMassRestart guards against overloading a cold node when all
 // hosts restart at the same time and have no record of what they sent. The sum
-// of their requests must stay within what the node bears, with an allowance for
-// chance.
+// of their requests must stay within what the node can handle, with an allowance
+// for chance.
 func TestColdNodeAfterAMassRestart(t *testing.T) {
 	for _, hosts := range []int{20, 30, 300} {
 		sums := make([]float64, 10) // units sent by all hosts, by second
@@ -996,9 +996,9 @@
 			if age >= 1 {
 				break
 			}
-			bears := rules.ColdUnits / 2 * (from + (1-from)*age) / from // requests of mean size
-			if sent := sum / 2; sent > bears+2*math.Sqrt(bears)+2 {
-				t.Errorf("%d hosts: %v requests in second %d, the node bears %.1f", hosts, sent, sec, bears)
+			capacity := rules.ColdUnits / 2 * (from + (1-from)*age) / from // requests of mean size
+			if sent := sum / 2; sent > capacity+2*math.Sqrt(capacity)+2 {
+				t.Errorf("%d hosts: %v requests in second %d, the node can handle %.1f", hosts, sent, sec, capacity)
 			}
 		}
 	}
--- a/types.go
+++ b/types.go
@@ -73,7 +73,7 @@
 	WarmWithin   Micros  // time from its start until a node has its full capacity
 	ColdMultiple float64 // load that makes a cold node fail, as a multiple of its capacity
 	ColdSpan     Micros  // time for which this load must last
-	ColdUnits    float64 // units in ColdSpan, from all hosts, that a cold node bears
+	ColdUnits    float64 // units in ColdSpan, from all hosts, that a cold node can handle
 	OrderGap     Micros  // pause for a key after an attempt that may still be running
 	ResendFree   float64 // further attempts in ResendSpan that are always allowed
 	ResendRatio  float64 // further attempts allowed per accepted request in ResendSpan
