--- a/cmd/arrowwalk/bench.go
+++ b/cmd/arrowwalk/bench.go
@@ -93,7 +93,7 @@
 	}
 	server := &http.Server{Handler: handler}
 	go server.Serve(ln)
-	if err := gateway.WriteFile(p.ReadyFile, fmt.Appendf(nil, "{\"endpoint\":\"http://%s\"}", ln.Addr())); err != nil {
+	if err := gateway.WriteFileAtomic(p.ReadyFile, fmt.Appendf(nil, "{\"endpoint\":\"http://%s\"}", ln.Addr())); err != nil {
 		return err
 	}
 	<-stop.Done()
@@ -113,7 +113,7 @@
 		defer close(done)
 		for range signals {
 			if text, err := json.Marshal(usage()); err == nil {
-				gateway.WriteFile(path, text)
+				gateway.WriteFileAtomic(path, text)
 			}
 		}
 	}()
--- a/cmd/arrowwalk/command_test.go
+++ b/cmd/arrowwalk/command_test.go
@@ -85,7 +85,7 @@
 		var r ready
 		awaitFile(ctx, t, file, &r)
 		c := &clients.Client{Name: "test", Log: &clients.Log{}, Target: &clients.Target{Addr: strings.TrimPrefix(r.Endpoint, "http://"),
-			Signer: sigv4.Signer{Access: r.Access, Secret: r.Secret, Region: r.Region}}}
+			Signer: sigv4.Signer{AccessKey: r.Access, SecretKey: r.Secret, Region: r.Region}}}
 		for _, q := range []clients.Request{{Method: "PUT", Path: "/papers"}, {Method: "PUT", Path: "/papers/k", Body: []byte("body")},
 			{Method: "GET", Path: "/papers/k", Want: []byte("body")}} {
 			if a := c.Do(&q); a.Call.Status != 200 || a.Call.Wrong {
@@ -150,7 +150,7 @@
 		var r ready
 		awaitFile(ctx, t, file, &r)
 		return c, out, &clients.Client{Name: "test", Log: &clients.Log{}, Target: &clients.Target{Addr: strings.TrimPrefix(r.Endpoint, "http://"),
-			Signer: sigv4.Signer{Access: r.Access, Secret: r.Secret, Region: r.Region}}}
+			Signer: sigv4.Signer{AccessKey: r.Access, SecretKey: r.Secret, Region: r.Region}}}
 	}
 	run := func(args ...string) string {
 		out, err := command(ctx, append(args, "--socket", filepath.Join(data, "control.sock"))...).CombinedOutput()
--- a/cmd/arrowwalk/members.go
+++ b/cmd/arrowwalk/members.go
@@ -167,7 +167,7 @@
 	defer s.Close()
 	g.log.Info("coordination stand-in serves", "address", s.Addr())
 	if c.ReadyFile != "" {
-		if err := gateway.WriteFile(filepath.Clean(c.ReadyFile), fmt.Appendf(nil, "{\"address\":%q}\n", s.Addr())); err != nil {
+		if err := gateway.WriteFileAtomic(filepath.Clean(c.ReadyFile), fmt.Appendf(nil, "{\"address\":%q}\n", s.Addr())); err != nil {
 			return fmt.Errorf("ready file: %w", err)
 		}
 	}
--- a/cmd/arrowwalk/serve.go
+++ b/cmd/arrowwalk/serve.go
@@ -82,7 +82,7 @@
 	if err := os.MkdirAll(s.Data, 0o700); err != nil {
 		return fmt.Errorf("data directory: %w", err)
 	}
-	gw, err := gateway.Start(gateway.Options{Config: cfg, Data: s.Data, Log: g.log, Now: s.clock(), DropGuard: s.DropGuard, Control: s.Control, Tolerant: s.tolerant})
+	gw, err := gateway.Start(gateway.Options{Config: cfg, DataDir: s.Data, Log: g.log, Now: s.clock(), DisabledGuard: s.DropGuard, ControlSocket: s.Control, SkipFailedBricks: s.tolerant})
 	if err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 	<-stop.Done()
 	cancel() // a second signal ends the process at once
 	g.log.Info("stopping", "reason", "signal")
-	within, done := context.WithTimeout(context.Background(), gw.StopWithin())
+	within, done := context.WithTimeout(context.Background(), gw.MaxStopDuration())
 	defer done()
 	gw.Stop(within)
 	g.log.Info("stopped")
@@ -130,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	if err := gateway.WriteFile(s.ReadyFile, text); err != nil {
+	if err := gateway.WriteFileAtomic(s.ReadyFile, text); err != nil {
 		return fmt.Errorf("ready file: %w", err)
 	}
 	return nil
@@ -148,7 +148,7 @@
 	a.serveCmd.tell = func(gw *gateway.Gateway, cfg *config.Config) {
 		fmt.Fprintf(g.out, "arrowwalk appliance\n  object API   %s (region %s)\n  access key   %s (secret in %s)\n  data         %s\n"+
 			"  console      arrowwalk console --socket %s\n", gw.Endpoint(), cfg.Region, gw.Keys[0].Access, filepath.Join(a.Data, "keys.json"), a.Data, a.Control)
-		for brick, why := range gw.Out() {
+		for brick, why := range gw.FailedBricks() {
 			fmt.Fprintf(g.out, "  WITHOUT      %s: %v\n", brick, why)
 		}
 	}
@@ -200,7 +200,7 @@
 		defer r.Close()
 	}
 	if b.Ready != "" {
-		if err := gateway.WriteFile(b.Ready, fmt.Appendf(nil, "{\"address\":%q,\"pid\":%d}\n", server.Addr(), os.Getpid())); err != nil {
+		if err := gateway.WriteFileAtomic(b.Ready, fmt.Appendf(nil, "{\"address\":%q,\"pid\":%d}\n", server.Addr(), os.Getpid())); err != nil {
 			return fmt.Errorf("ready file: %w", err)
 		}
 	}
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	b := &bench{opt: opt, dir: dir, child: map[Mode]*child{}, signer: sigv4.Signer{Access: "BENCH", Secret: "bench-secret", Region: "us-east-1"}}
+	b := &bench{opt: opt, dir: dir, child: map[Mode]*child{}, signer: sigv4.Signer{AccessKey: "BENCH", SecretKey: "bench-secret", Region: "us-east-1"}}
 	b.site = bricks.New(dir, 4*time.Second, bricks.Cold{})
 	b.site.Quiet = true
 	defer b.site.Close()
@@ -120,7 +120,7 @@
 func (b *bench) start(ctx context.Context) error {
 	cfg := config.Default()
 	cfg.Listen = "127.0.0.1:0"
-	cfg.Keys = []config.Key{{Access: b.signer.Access, Secret: b.signer.Secret}}
+	cfg.Keys = []config.Key{{Access: b.signer.AccessKey, Secret: b.signer.SecretKey}}
 	cfg.Collections = []config.Collection{{Bucket: "bench", Plan: "university"}}
 	cfg.Bounds.Connections = 65536
 	for i := range cfg.Bricks {
@@ -140,7 +140,7 @@
 		return err
 	}
 	settings := filepath.Join(b.dir, "settings.json")
-	if err := gateway.WriteFile(settings, text); err != nil {
+	if err := gateway.WriteFileAtomic(settings, text); err != nil {
 		return err
 	}
 	args := []string{"serve", "--config", settings, "--data", filepath.Join(b.dir, "gw")}
@@ -260,7 +260,7 @@
 		fields = append(fields, http1.Field{Name: "Range", Value: fmt.Sprintf("bytes=0-%d", size-1)})
 	}
 	if m == Gateway {
-		added, _ := b.signer.Sign(&sigv4.Request{Method: op, Path: path, Fields: fields}, sigv4.Unsigned, time.Now())
+		added, _ := b.signer.Sign(&sigv4.Request{Method: op, Path: path, Fields: fields}, sigv4.UnsignedPayload, time.Now())
 		fields = append(fields, added...)
 	}
 	if op == "PUT" {
--- a/internal/bench/rings.go
+++ b/internal/bench/rings.go
@@ -97,7 +97,7 @@
 		}
 		cfg.Bricks = append(cfg.Bricks, config.Brick{Name: b.Name, Address: b.Entry("").Address, Zone: b.Zone, Shard: i})
 	}
-	g, err := gateway.Start(gateway.Options{Config: cfg, Data: filepath.Join(dir, "gateway"), NoSync: true})
+	g, err := gateway.Start(gateway.Options{Config: cfg, DataDir: filepath.Join(dir, "gateway"), NoSync: true})
 	if err != nil {
 		return err
 	}
@@ -246,7 +246,7 @@
 
 func (l *ringLine) driveObjects() (ringRow, error) {
 	kind, size, depth, span := l.kind, l.size, l.depth, l.opt.Measure
-	target := &clients.Target{Addr: strings.TrimPrefix(l.g.Endpoint(), "http://"), Signer: sigv4.Signer{Access: "BENCH", Secret: "bench-secret", Region: "us-east-1"}}
+	target := &clients.Target{Addr: strings.TrimPrefix(l.g.Endpoint(), "http://"), Signer: sigv4.Signer{AccessKey: "BENCH", SecretKey: "bench-secret", Region: "us-east-1"}}
 	body := make([]byte, size)
 	const objects = 64
 	seed := &clients.Client{Name: "seed", Target: target, Log: &clients.Log{}}
--- a/internal/endtoend/drain_test.go
+++ b/internal/endtoend/drain_test.go
@@ -40,7 +40,7 @@
 		cfg.Collections = []config.Collection{{Bucket: "papers", Plan: "basic"}}
 		cfg.Classes.Read.DeadlineMS, cfg.Classes.Read.AimMS = 800, 400
 		cfg.Classes.Write.DeadlineMS, cfg.Classes.Write.AimMS = 800, 400
-		g, err := gateway.Start(gateway.Options{Config: cfg, Data: data, Control: socket, Log: slog.New(slog.DiscardHandler)})
+		g, err := gateway.Start(gateway.Options{Config: cfg, DataDir: data, ControlSocket: socket, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/endtoend/hard_test.go
+++ b/internal/endtoend/hard_test.go
@@ -21,7 +21,7 @@
 
 	"arrowwalk/internal/brickd"
 	"arrowwalk/internal/config"
-	"arrowwalk/internal/front/s3/chunked"
+	"arrowwalk/internal/front/s3/awschunked"
 	"arrowwalk/internal/front/s3/sigv4"
 	"arrowwalk/internal/gateway"
 	"arrowwalk/internal/http1"
@@ -58,7 +58,7 @@
 
 func raw(g *gateway.Gateway) *clients.Client {
 	return &clients.Client{Name: "test", Log: &clients.Log{}, Target: &clients.Target{
-		Addr: strings.TrimPrefix(g.Endpoint(), "http://"), Signer: sigv4.Signer{Access: keys[0].Access, Secret: keys[0].Secret, Region: "us-east-1"}}}
+		Addr: strings.TrimPrefix(g.Endpoint(), "http://"), Signer: sigv4.Signer{AccessKey: keys[0].Access, SecretKey: keys[0].Secret, Region: "us-east-1"}}}
 }
 
 func send(t *testing.T, g *gateway.Gateway, text string) (status int, rest string) {
@@ -120,9 +120,9 @@
 		secret string
 		want   []int
 	}{{keys[0].Secret, []int{100, 200}}, {"wrong", []int{403}}} {
-		signer := sigv4.Signer{Access: keys[0].Access, Secret: e.secret, Region: "us-east-1"}
+		signer := sigv4.Signer{AccessKey: keys[0].Access, SecretKey: e.secret, Region: "us-east-1"}
 		fields := http1.Fields{{Name: "Host", Value: "h"}}
-		added, _ := signer.Sign(&sigv4.Request{Method: "PUT", Path: "/papers/e", Fields: fields}, sigv4.Unsigned, time.Now())
+		added, _ := signer.Sign(&sigv4.Request{Method: "PUT", Path: "/papers/e", Fields: fields}, sigv4.UnsignedPayload, time.Now())
 		head := []byte("PUT /papers/e HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 3\r\n")
 		for _, f := range append(fields, added...) {
 			head = http1.AppendField(head, f.Name, f.Value)
@@ -156,16 +156,16 @@
 	}
 	added, id := c.Target.Signer.Sign(&sigv4.Request{Method: "PUT", Path: "/papers/s", Fields: fields}, payload, time.Now())
 	var signer *sigv4.ChunkSigner
-	if payload != chunked.UnsignedTrailer {
-		signer = id.Chunks()
+	if payload != awschunked.UnsignedPayloadTrailer {
+		signer = id.NewChunkSigner()
 	}
 	var text []byte
 	for rest := body; len(rest) > 0; {
 		n := min(len(rest), 64<<10)
-		text = chunked.Append(text, rest[:n], signer, nil)
+		text = awschunked.AppendChunk(text, rest[:n], signer, nil)
 		rest = rest[n:]
 	}
-	text = chunked.Append(text, nil, signer, trailer)
+	text = awschunked.AppendChunk(text, nil, signer, trailer)
 	if spoil != nil {
 		spoil(text)
 	}
@@ -193,12 +193,12 @@
 		spoil         func([]byte)
 		status        int
 	}{
-		{"signed", chunked.Signed, large, nil, nil, 200},
-		{"signed, small", chunked.Signed, small, nil, nil, 200},
-		{"a bit", chunked.Signed, large, nil, func(b []byte) { b[len(b)-200_000] ^= 1 }, 403},
-		{"a bit of the last chunk", chunked.Signed, small, nil, func(b []byte) { b[500] ^= 1 }, 403},
-		{"wrong trailer", chunked.UnsignedTrailer, small, crc, nil, 400},
-		{"wrong signed trailer", chunked.SignedTrailer, large, crc, nil, 400},
+		{"signed", awschunked.SignedPayload, large, nil, nil, 200},
+		{"signed, small", awschunked.SignedPayload, small, nil, nil, 200},
+		{"a bit", awschunked.SignedPayload, large, nil, func(b []byte) { b[len(b)-200_000] ^= 1 }, 403},
+		{"a bit of the last chunk", awschunked.SignedPayload, small, nil, func(b []byte) { b[500] ^= 1 }, 403},
+		{"wrong trailer", awschunked.UnsignedPayloadTrailer, small, crc, nil, 400},
+		{"wrong signed trailer", awschunked.SignedPayloadTrailer, large, crc, nil, 400},
 	} {
 		if status := stream(t, c.payload, c.body, c.trailer, c.spoil); status != c.status {
 			t.Errorf("%s: status %d, want %d", c.name, status, c.status)
@@ -236,7 +236,7 @@
 		}
 	}
 	sum := sha256.Sum256([]byte("other"))
-	signer := sigv4.Signer{Access: g.Keys[0].Access, Secret: g.Keys[0].Secret, Region: "us-east-1"}
+	signer := sigv4.Signer{AccessKey: g.Keys[0].Access, SecretKey: g.Keys[0].Secret, Region: "us-east-1"}
 	fields := http1.Fields{{Name: "Host", Value: "h"}}
 	added, _ := signer.Sign(&sigv4.Request{Method: "PUT", Path: "/papers/p", Fields: fields}, hex.EncodeToString(sum[:]), time.Now())
 	head := []byte("PUT /papers/p HTTP/1.1\r\nConnection: close\r\nContent-Length: 4\r\n")
@@ -385,7 +385,7 @@
 			method, path, length = "PUT", "/papers/slow", 100_000
 		}
 		fields := http1.Fields{{Name: "Host", Value: "h"}}
-		added, _ := c.Target.Signer.Sign(&sigv4.Request{Method: method, Path: path, Fields: fields}, sigv4.Unsigned, time.Now())
+		added, _ := c.Target.Signer.Sign(&sigv4.Request{Method: method, Path: path, Fields: fields}, sigv4.UnsignedPayload, time.Now())
 		head := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nContent-Length: %d\r\n", method, path, length)
 		for _, f := range append(fields, added...) {
 			head = http1.AppendField(head, f.Name, f.Value)
@@ -421,7 +421,7 @@
 	if u := g.Spool().Usage(); u.Memory > slow*256<<10 {
 		t.Errorf("slow clients hold %d bytes", u.Memory)
 	}
-	if n := g.Front().Stats().Conns; n < idle+slow {
+	if n := g.S3Server().Stats().OpenConns; n < idle+slow {
 		t.Errorf("%d connections are open, want %d", n, idle+slow)
 	}
 	if served < 20 {
@@ -471,7 +471,7 @@
 	cfg.Listen, cfg.Keys, cfg.Shards = "127.0.0.1:0", keys, 1
 	cfg.Collections = []config.Collection{{Bucket: "papers", Plan: "basic"}}
 	cfg.Bricks = []config.Brick{{Name: "only", Address: b.Entry("").Address, Zone: "zone-a"}}
-	g, err := gateway.Start(gateway.Options{Config: cfg, Data: t.TempDir(), Log: slog.New(slog.DiscardHandler)})
+	g, err := gateway.Start(gateway.Options{Config: cfg, DataDir: t.TempDir(), Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -490,7 +490,7 @@
 	}
 	stopped := make(chan struct{})
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), g.StopWithin())
+		ctx, cancel := context.WithTimeout(context.Background(), g.MaxStopDuration())
 		defer cancel()
 		g.Stop(ctx)
 		close(stopped)
--- a/internal/endtoend/s3_test.go
+++ b/internal/endtoend/s3_test.go
@@ -45,7 +45,7 @@
 		change(cfg)
 	}
 	log := slog.New(slog.NewTextHandler(logWriter{t}, &slog.HandlerOptions{Level: slog.LevelWarn}))
-	g, err := gateway.Start(gateway.Options{Config: cfg, Data: data, Log: log, NoSync: true})
+	g, err := gateway.Start(gateway.Options{Config: cfg, DataDir: data, Log: log, NoSync: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 }
 
 func stop(t *testing.T, g *gateway.Gateway) {
-	ctx, cancel := context.WithTimeout(context.Background(), g.StopWithin())
+	ctx, cancel := context.WithTimeout(context.Background(), g.MaxStopDuration())
 	defer cancel()
 	g.Stop(ctx)
 	if ctx.Err() != nil {
--- a/internal/front/s3/chunked/chunked.go
+++ b/internal/front/s3/awschunked/chunked.go
@@ -1,7 +1,7 @@
 // Package chunked decodes the aws-chunked content coding of the object API:
 // chunks that carry signatures (STREAMING-AWS4-HMAC-SHA256-PAYLOAD), and an
 // unsigned stream with a trailing checksum (STREAMING-UNSIGNED-PAYLOAD-TRAILER).
-package chunked
+package awschunked
 
 import (
 	"bufio"
@@ -19,9 +19,9 @@
 
 // The payload names of x-amz-content-sha256 that mean a streamed body.
 const (
-	Signed          = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD"
-	SignedTrailer   = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD-TRAILER"
-	UnsignedTrailer = "STREAMING-UNSIGNED-PAYLOAD-TRAILER"
+	SignedPayload          = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD"
+	SignedPayloadTrailer   = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD-TRAILER"
+	UnsignedPayloadTrailer = "STREAMING-UNSIGNED-PAYLOAD-TRAILER"
 )
 
 const (
@@ -32,8 +32,8 @@
 
 // Errors of a body, beside those of the reader below it.
 var (
-	ErrSignature = errors.New("a chunk's signature does not match")
-	ErrFormat    = errors.New("bad aws-chunked body")
+	ErrSignatureMismatch = errors.New("a chunk's signature does not match")
+	ErrFormat            = errors.New("bad aws-chunked body")
 )
 
 func bad(format string, args ...any) error {
@@ -138,10 +138,10 @@
 	if r.signer == nil {
 		return nil
 	}
-	got := r.signer.Chunk(r.sum.Sum(nil))
+	got := r.signer.SignChunk(r.sum.Sum(nil))
 	r.sum.Reset()
 	if subtle.ConstantTimeCompare([]byte(got), []byte(r.want)) != 1 {
-		return ErrSignature
+		return ErrSignatureMismatch
 	}
 	return nil
 }
@@ -176,9 +176,9 @@
 		r.Trailer = append(r.Trailer, http1.Field{Name: name, Value: value})
 	}
 	if r.signer != nil && r.trailer {
-		want := r.signer.Trailer(sum.Sum(nil))
+		want := r.signer.SignTrailer(sum.Sum(nil))
 		if subtle.ConstantTimeCompare([]byte(want), []byte(signature)) != 1 {
-			return ErrSignature
+			return ErrSignatureMismatch
 		}
 	}
 	return io.EOF
@@ -223,13 +223,13 @@
 	return size, nil
 }
 
-// Append encodes p as one chunk, for clients; an empty p is the last. The
+// AppendChunk encodes p as one chunk, for clients; an empty p is the last. The
 // signer is nil for an unsigned stream. After the last, the trailer follows.
-func Append(b, p []byte, signer *sigv4.ChunkSigner, trailer http1.Fields) []byte {
+func AppendChunk(b, p []byte, signer *sigv4.ChunkSigner, trailer http1.Fields) []byte {
 	b = fmt.Appendf(b, "%x", len(p))
 	if signer != nil {
 		sum := sha256.Sum256(p)
-		b = append(append(b, ";chunk-signature="...), signer.Chunk(sum[:])...)
+		b = append(append(b, ";chunk-signature="...), signer.SignChunk(sum[:])...)
 	}
 	b = append(b, "\r\n"...)
 	if len(p) > 0 {
@@ -241,7 +241,7 @@
 		b = http1.AppendField(b, f.Name, f.Value)
 	}
 	if signer != nil && trailer != nil {
-		b = http1.AppendField(b, "x-amz-trailer-signature", signer.Trailer(sum.Sum(nil)))
+		b = http1.AppendField(b, "x-amz-trailer-signature", signer.SignTrailer(sum.Sum(nil)))
 	}
 	return append(b, "\r\n"...)
 }
--- a/internal/front/s3/chunked/chunked_test.go
+++ b/internal/front/s3/awschunked/chunked_test.go
@@ -1,4 +1,4 @@
-package chunked
+package awschunked
 
 import (
 	"bytes"
@@ -12,28 +12,28 @@
 	"arrowwalk/internal/http1"
 )
 
-var signer = sigv4.Signer{Access: "AKID", Secret: "secret", Region: "us-east-1"}
+var signer = sigv4.Signer{AccessKey: "AKID", SecretKey: "secret", Region: "us-east-1"}
 
 func identity() *sigv4.Identity {
 	r := &sigv4.Request{Method: "PUT", Path: "/b/k", Fields: http1.Fields{{Name: "Host", Value: "h"}}}
-	_, id := signer.Sign(r, Signed, time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC))
+	_, id := signer.Sign(r, SignedPayload, time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC))
 	return id
 }
 
 func encode(s *sigv4.ChunkSigner, trailer http1.Fields, chunks ...string) []byte {
 	var b []byte
 	for _, c := range chunks {
-		b = Append(b, []byte(c), s, nil)
+		b = AppendChunk(b, []byte(c), s, nil)
 	}
-	return Append(b, nil, s, trailer)
+	return AppendChunk(b, nil, s, trailer)
 }
 
 func TestDecode(t *testing.T) {
 	sums := http1.Fields{{Name: "x-amz-checksum-crc32", Value: "AAAAAA=="}}
 	long := strings.Repeat("0123456789", 10_000)
-	plain := func(chunks ...string) []byte { return encode(identity().Chunks(), nil, chunks...) }
-	chain := identity().Chunks()
-	Append(nil, []byte("first"), chain, nil)
+	plain := func(chunks ...string) []byte { return encode(identity().NewChunkSigner(), nil, chunks...) }
+	chain := identity().NewChunkSigner()
+	AppendChunk(nil, []byte("first"), chain, nil)
 	without := encode(chain, nil, "second")
 	flip := func(b []byte, at int) []byte { b[at] ^= 1; return b }
 	for _, c := range []struct {
@@ -46,11 +46,11 @@
 	}{
 		{"signed", plain("hello", " world", long), true, false, "hello world" + long, nil},
 		{"signed, empty", plain(), true, false, "", nil},
-		{"signed, trailer", encode(identity().Chunks(), sums, "abc"), true, true, "abc", nil},
+		{"signed, trailer", encode(identity().NewChunkSigner(), sums, "abc"), true, true, "abc", nil},
 		{"unsigned, trailer", encode(nil, sums, "abc", "def"), false, true, "abcdef", nil},
-		{"a byte of the data", flip(plain("hello"), 85), true, false, "", ErrSignature},
-		{"a chunk left out", without, true, false, "", ErrSignature},
-		{"trailer changed", bytes.Replace(encode(identity().Chunks(), sums, "abc"), []byte("AAAAAA"), []byte("BAAAAA"), 1), true, true, "", ErrSignature},
+		{"a byte of the data", flip(plain("hello"), 85), true, false, "", ErrSignatureMismatch},
+		{"a chunk left out", without, true, false, "", ErrSignatureMismatch},
+		{"trailer changed", bytes.Replace(encode(identity().NewChunkSigner(), sums, "abc"), []byte("AAAAAA"), []byte("BAAAAA"), 1), true, true, "", ErrSignatureMismatch},
 		{"no signature", encode(nil, nil, "abc"), true, false, "", ErrFormat},
 		{"trailer not announced", encode(nil, sums, "abc"), false, false, "", ErrFormat},
 		{"cut", plain("hello")[:60], true, false, "", io.ErrUnexpectedEOF},
@@ -63,7 +63,7 @@
 	} {
 		var s *sigv4.ChunkSigner
 		if c.signed {
-			s = identity().Chunks()
+			s = identity().NewChunkSigner()
 		}
 		r := NewReader(bytes.NewReader(c.in), s, c.trailer)
 		got, err := io.ReadAll(r)
@@ -79,12 +79,12 @@
 // What decodes without a signature decodes to the same again after encoding.
 func FuzzReader(f *testing.F) {
 	f.Add(encode(nil, http1.Fields{{Name: "a", Value: "b"}}, "abc"), false)
-	f.Add(encode(identity().Chunks(), nil, "abc"), true)
+	f.Add(encode(identity().NewChunkSigner(), nil, "abc"), true)
 	f.Add([]byte("0\r\n\r\n"), false)
 	f.Fuzz(func(t *testing.T, in []byte, signed bool) {
 		var s *sigv4.ChunkSigner
 		if signed {
-			s = identity().Chunks()
+			s = identity().NewChunkSigner()
 		}
 		body, err := io.ReadAll(NewReader(bytes.NewReader(in), s, true))
 		if err != nil || signed {
@@ -93,9 +93,9 @@
 		if len(body) > len(in) {
 			t.Fatalf("%d bytes out of %d", len(body), len(in))
 		}
-		again := Append(Append(nil, body, nil, nil), nil, nil, nil)
+		again := AppendChunk(AppendChunk(nil, body, nil, nil), nil, nil, nil)
 		if len(body) == 0 {
-			again = Append(nil, nil, nil, nil)
+			again = AppendChunk(nil, nil, nil, nil)
 		}
 		if got, err := io.ReadAll(NewReader(bytes.NewReader(again), nil, true)); err != nil || !bytes.Equal(got, body) {
 			t.Fatalf("again: %q, %v; want %q", got, err, body)
--- a/internal/front/s3/body.go
+++ b/internal/front/s3/body.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"arrowwalk/internal/config"
-	"arrowwalk/internal/front/s3/chunked"
+	"arrowwalk/internal/front/s3/awschunked"
 	"arrowwalk/internal/front/s3/sigv4"
 	"arrowwalk/internal/http1"
 	"arrowwalk/internal/sockstate"
@@ -45,8 +45,8 @@
 type upload struct {
 	x       *exchange
 	in      io.Reader
-	chunks  *chunked.Reader // where the body is aws-chunked
-	size    int64           // as told; -1: not told
+	chunks  *awschunked.Reader // where the body is aws-chunked
+	size    int64              // as told; -1: not told
 	got     int64
 	md5     hash.Hash
 	sha     hash.Hash            // where the payload's hash is signed
@@ -83,12 +83,12 @@
 func (u *upload) payload() error {
 	x := u.x
 	var signer *sigv4.ChunkSigner
-	switch p := x.who.Payload; p {
-	case sigv4.Unsigned:
+	switch p := x.who.PayloadHash; p {
+	case sigv4.UnsignedPayload:
 		return nil
-	case chunked.Signed, chunked.SignedTrailer:
-		signer = x.who.Chunks()
-	case chunked.UnsignedTrailer:
+	case awschunked.SignedPayload, awschunked.SignedPayloadTrailer:
+		signer = x.who.NewChunkSigner()
+	case awschunked.UnsignedPayloadTrailer:
 	default:
 		if len(p) != 64 || strings.Trim(p, "0123456789abcdef") != "" {
 			if strings.HasPrefix(p, "STREAMING-") {
@@ -105,7 +105,7 @@
 		return refuse(411, "MissingContentLength", "You must provide x-amz-decoded-content-length with a streamed body.")
 	}
 	u.size = n
-	u.chunks = chunked.NewReader(u.in, signer, x.who.Payload != chunked.Signed)
+	u.chunks = awschunked.NewReader(u.in, signer, x.who.PayloadHash != awschunked.SignedPayload)
 	u.in = u.chunks
 	return nil
 }
@@ -220,9 +220,9 @@
 		return n, errTooLarge
 	}
 	switch {
-	case errors.Is(err, chunked.ErrSignature):
+	case errors.Is(err, awschunked.ErrSignatureMismatch):
 		err = refuse(403, "SignatureDoesNotMatch", "A chunk's signature does not match.")
-	case errors.Is(err, chunked.ErrFormat):
+	case errors.Is(err, awschunked.ErrFormat):
 		err = refuse(400, "InvalidRequest", "%v", err)
 	}
 	return n, err
@@ -237,7 +237,7 @@
 	if u.chunks != nil && !u.x.c.body.Drain(4096) {
 		return refuse(400, "InvalidRequest", "There are bytes after the last chunk.")
 	}
-	if u.sha != nil && !same(hex.EncodeToString(u.sha.Sum(nil)), u.x.who.Payload) {
+	if u.sha != nil && !same(hex.EncodeToString(u.sha.Sum(nil)), u.x.who.PayloadHash) {
 		return refuse(400, "XAmzContentSHA256Mismatch", "The provided 'x-amz-content-sha256' header does not match what was computed.")
 	}
 	if u.wantMD5 != nil && subtle.ConstantTimeCompare(u.md5.Sum(nil), u.wantMD5) != 1 {
@@ -299,7 +299,7 @@
 // noBody makes sure that a request without a body of its own has none that is
 // wrong; what was signed of it is still checked.
 func (x *exchange) noBody() error {
-	if x.c.body.Done() && x.who.Payload != sigv4.Unsigned && len(x.who.Payload) == 64 && x.who.Payload != sigv4.EmptyHash {
+	if x.c.body.Done() && x.who.PayloadHash != sigv4.UnsignedPayload && len(x.who.PayloadHash) == 64 && x.who.PayloadHash != sigv4.EmptyPayloadHash {
 		return refuse(400, "XAmzContentSHA256Mismatch", "The provided 'x-amz-content-sha256' header does not match what was computed.")
 	}
 	return nil
--- a/internal/front/s3/exchange.go
+++ b/internal/front/s3/exchange.go
@@ -69,7 +69,7 @@
 // ended less than span ago: what is found then may have lain in its socket, and
 // the kernel is asked how old it is. got is what was read just before.
 func (x *exchange) came(got int, span time.Duration) (time.Time, bool) {
-	if x.s.opt.NoAge {
+	if x.s.opt.IgnoreSocketAge {
 		return time.Time{}, false
 	}
 	rest := x.c.body.Remaining()
@@ -111,8 +111,8 @@
 		return err
 	}
 	x.who = who
-	if x.s.opt.Unready != nil {
-		if why := x.s.opt.Unready(); why != "" {
+	if x.s.opt.NotReadyReason != nil {
+		if why := x.s.opt.NotReadyReason(); why != "" {
 			return &apiError{status: 503, code: "SlowDown", message: why, after: time.Second}
 		}
 	}
--- a/internal/front/s3/list.go
+++ b/internal/front/s3/list.go
@@ -44,7 +44,7 @@
 
 func (l *listing) text(s string) string {
 	if l.encoded {
-		return string(sigv4.AppendEscaped(nil, s, true))
+		return string(sigv4.AppendPercentEncoded(nil, s, true))
 	}
 	return s
 }
--- a/internal/front/s3/server.go
+++ b/internal/front/s3/server.go
@@ -27,24 +27,24 @@
 // Options of a Server. The caller keeps Host, Pool and Spool, and closes them
 // after Shutdown.
 type Options struct {
-	Config *config.Config
-	Host   *host.Host
-	Pool   *brick.Pool
-	Spool  *spool.Pool
-	Keys   map[string]string // access key to secret
-	Log    *slog.Logger
-	Now    func() time.Time // wall clock for signatures; nil: time.Now
-	// Seen is told what attempts showed of bricks, and Ended how tasks of
+	Config  *config.Config
+	Host    *host.Host
+	Pool    *brick.Pool
+	Spool   *spool.Pool
+	Secrets map[string]string // access key to secret
+	Log     *slog.Logger
+	Now     func() time.Time // wall clock for signatures; nil: time.Now
+	// OnObservation is told what attempts showed of bricks, and Ended how tasks of
 	// collections ended; nil: nobody is.
-	Seen  func(attempts.Observation)
-	Ended func(bucket string, plan, shard int, end host.TaskStatus)
-	// Unready says why nothing can be served, or ""; nil: it always can.
-	Unready func() string
-	// NoAge takes what is found after a stall for fresh; for proofs that must
+	OnObservation func(attempts.Observation)
+	OnTaskEnd     func(bucket string, plan, shard int, end host.TaskStatus)
+	// NotReadyReason says why nothing can be served, or ""; nil: it always can.
+	NotReadyReason func() string
+	// IgnoreSocketAge takes what is found after a stall for fresh; for proofs that must
 	// fail.
-	NoAge bool
-	// AnyBrick lets any brick answer for another; for proofs that must fail.
-	AnyBrick bool
+	IgnoreSocketAge bool
+	// AcceptAnyBrick lets any brick answer for another; for proofs that must fail.
+	AcceptAnyBrick bool
 }
 
 // Server is the object API on one listener.
@@ -80,18 +80,18 @@
 
 // Stats are counts since the start, and the connections open now.
 type Stats struct {
-	Requests, RefusedConns, BadRequests, Gone, Cut uint64
-	Statuses                                       [6]uint64
-	Conns                                          int64
+	Requests, RefusedConns, BadRequests, ClientsGone, TruncatedResponses uint64
+	ResponsesByClass                                                     [6]uint64
+	OpenConns                                                            int64
 }
 
 // Stats returns the counts so far.
 func (s *Server) Stats() Stats {
 	c := &s.stats
 	out := Stats{Requests: c.requests.Load(), RefusedConns: c.refusedConns.Load(), BadRequests: c.badRequests.Load(),
-		Gone: c.gone.Load(), Cut: c.cut.Load(), Conns: c.conns.Load()}
+		ClientsGone: c.gone.Load(), TruncatedResponses: c.cut.Load(), OpenConns: c.conns.Load()}
 	for i := range c.statuses {
-		out.Statuses[i] = c.statuses[i].Load()
+		out.ResponsesByClass[i] = c.statuses[i].Load()
 	}
 	return out
 }
@@ -111,9 +111,9 @@
 	cfg := opt.Config
 	s := &Server{opt: opt, cfg: cfg, log: opt.Log, ln: ln, slots: slots, conns: map[*conn]struct{}{},
 		quit: make(chan struct{}), sizes: sizing.NewEstimator(64 << 10),
-		verifier: sigv4.NewVerifier(cfg.Region, config.MS(cfg.Timeouts.SkewMS), opt.Keys),
+		verifier: sigv4.NewVerifier(cfg.Region, config.MS(cfg.Timeouts.SkewMS), opt.Secrets),
 		limits:   http1.Limits{MaxLineBytes: min(16<<10, cfg.Bounds.HeaderBytes), MaxHeadBytes: cfg.Bounds.HeaderBytes, MaxFields: 200}}
-	s.sender = attempts.Sender{Pool: opt.Pool, Host: opt.Host, Config: cfg, Observe: opt.Seen, AcceptAnyBrick: opt.AnyBrick}
+	s.sender = attempts.Sender{Pool: opt.Pool, Host: opt.Host, Config: cfg, Observe: opt.OnObservation, AcceptAnyBrick: opt.AcceptAnyBrick}
 	s.longest = s.sender.MaxTimeout()
 	s.buckets.init(cfg)
 	s.janitor = startJanitor(s)
--- a/internal/front/s3/sigv4/sigv4.go
+++ b/internal/front/s3/sigv4/sigv4.go
@@ -21,10 +21,10 @@
 const (
 	algorithm  = "AWS4-HMAC-SHA256"
 	timeFormat = "20060102T150405Z"
-	// Unsigned is the payload hash of a body that is not signed.
-	Unsigned = "UNSIGNED-PAYLOAD"
-	// EmptyHash is the SHA-256 of nothing.
-	EmptyHash = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
+	// UnsignedPayload is the payload hash of a body that is not signed.
+	UnsignedPayload = "UNSIGNED-PAYLOAD"
+	// EmptyPayloadHash is the SHA-256 of nothing.
+	EmptyPayloadHash = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
 
 	longestPresign = 7 * 24 * time.Hour
 	signedMost     = 64 // names in SignedHeaders
@@ -74,10 +74,10 @@
 
 // Identity is who signed, with what is needed to check a streamed body.
 type Identity struct {
-	Access    string
-	Payload   string // x-amz-content-sha256, or Unsigned
-	Signature string // of the request: the seed of chunk signatures
-	Presigned bool
+	AccessKey   string
+	PayloadHash string // x-amz-content-sha256, or Unsigned
+	Signature   string // of the request: the seed of chunk signatures
+	Presigned   bool
 
 	key   []byte
 	stamp string
@@ -165,7 +165,7 @@
 	if payload == "" {
 		return nil, refuse("InvalidRequest", "missing required header x-amz-content-sha256")
 	}
-	id := &Identity{Access: cred.access, Payload: payload, Signature: signature, stamp: stamp, scope: cred.scope}
+	id := &Identity{AccessKey: cred.access, PayloadHash: payload, Signature: signature, stamp: stamp, scope: cred.scope}
 	return id, v.check(r, id, cred, signed, code)
 }
 
@@ -195,9 +195,9 @@
 	}
 	payload := r.Fields.Get("X-Amz-Content-Sha256")
 	if payload == "" {
-		payload = Unsigned
+		payload = UnsignedPayload
 	}
-	id := &Identity{Access: cred.access, Payload: payload, Signature: r.Query.Get("X-Amz-Signature"),
+	id := &Identity{AccessKey: cred.access, PayloadHash: payload, Signature: r.Query.Get("X-Amz-Signature"),
 		Presigned: true, stamp: stamp, scope: cred.scope}
 	return id, v.check(r, id, cred, r.Query.Get("X-Amz-SignedHeaders"), code)
 }
@@ -221,7 +221,7 @@
 		return refuse("InvalidAccessKeyId", "the access key does not exist in our records")
 	}
 	id.key = key
-	want := stringSignature(key, id.stamp, cred.scope, canonical(r, names, id.Payload, id.Presigned))
+	want := stringSignature(key, id.stamp, cred.scope, canonical(r, names, id.PayloadHash, id.Presigned))
 	if subtle.ConstantTimeCompare([]byte(want), []byte(id.Signature)) != 1 {
 		return refuse("SignatureDoesNotMatch", "the signature does not match the one that the secret key gives")
 	}
@@ -274,7 +274,7 @@
 func canonical(r *Request, names []string, payload string, presigned bool) []byte {
 	b := make([]byte, 0, 1024)
 	b = append(append(b, r.Method...), '\n')
-	b = append(AppendEscaped(b, r.Path, true), '\n')
+	b = append(AppendPercentEncoded(b, r.Path, true), '\n')
 	b = append(appendQuery(b, r.Query, presigned), '\n')
 	for _, name := range names {
 		b = append(append(b, name...), ':')
@@ -319,7 +319,7 @@
 		if presigned && p.Name == "X-Amz-Signature" {
 			continue
 		}
-		pairs = append(pairs, string(AppendEscaped(append(AppendEscaped(nil, p.Name, false), '='), p.Value, false)))
+		pairs = append(pairs, string(AppendPercentEncoded(append(AppendPercentEncoded(nil, p.Name, false), '='), p.Value, false)))
 	}
 	slices.Sort(pairs)
 	return append(b, strings.Join(pairs, "&")...)
@@ -327,9 +327,9 @@
 
 const upperHex = "0123456789ABCDEF"
 
-// AppendEscaped percent-encodes as the specification has it: all but letters,
+// AppendPercentEncoded percent-encodes as the specification has it: all but letters,
 // digits, "-._~" and, in a path, the slash.
-func AppendEscaped(b []byte, s string, path bool) []byte {
+func AppendPercentEncoded(b []byte, s string, path bool) []byte {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
 		if c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
@@ -349,26 +349,26 @@
 	previous string
 }
 
-// Chunks returns the signer of the chunks that follow a verified request.
-func (id *Identity) Chunks() *ChunkSigner { return &ChunkSigner{id, id.Signature} }
+// NewChunkSigner returns the signer of the chunks that follow a verified request.
+func (id *Identity) NewChunkSigner() *ChunkSigner { return &ChunkSigner{id, id.Signature} }
 
-// Chunk returns the signature of the next chunk, given its SHA-256.
-func (c *ChunkSigner) Chunk(sum []byte) string {
+// SignChunk returns the signature of the next chunk, given its SHA-256.
+func (c *ChunkSigner) SignChunk(sum []byte) string {
 	c.previous = hex.EncodeToString(mac(c.id.key, "AWS4-HMAC-SHA256-PAYLOAD\n"+c.id.stamp+"\n"+c.id.scope+"\n"+
-		c.previous+"\n"+EmptyHash+"\n"+hex.EncodeToString(sum)))
+		c.previous+"\n"+EmptyPayloadHash+"\n"+hex.EncodeToString(sum)))
 	return c.previous
 }
 
-// Trailer returns the signature of the trailer, given the SHA-256 of its
+// SignTrailer returns the signature of the trailer, given the SHA-256 of its
 // lines, each "name:value\n".
-func (c *ChunkSigner) Trailer(sum []byte) string {
+func (c *ChunkSigner) SignTrailer(sum []byte) string {
 	return hex.EncodeToString(mac(c.id.key, "AWS4-HMAC-SHA256-TRAILER\n"+c.id.stamp+"\n"+c.id.scope+"\n"+
 		c.previous+"\n"+hex.EncodeToString(sum)))
 }
 
 // Signer signs requests for clients: the load tool, proofs and tests.
 type Signer struct {
-	Access, Secret, Region string
+	AccessKey, SecretKey, Region string
 }
 
 // Sign returns the fields to add to a request: X-Amz-Date,
@@ -387,12 +387,12 @@
 	slices.Sort(names)
 	names = slices.Compact(names)
 	scope := stamp[:8] + "/" + s.Region + "/s3/aws4_request"
-	key := derive(s.Secret, stamp[:8], s.Region)
+	key := derive(s.SecretKey, stamp[:8], s.Region)
 	signed := Request{Method: r.Method, Path: r.Path, Query: r.Query, Fields: all}
 	signature := stringSignature(key, stamp, scope, canonical(&signed, names, payload, false))
-	auth := algorithm + " Credential=" + s.Access + "/" + scope + ", SignedHeaders=" + strings.Join(names, ";") +
+	auth := algorithm + " Credential=" + s.AccessKey + "/" + scope + ", SignedHeaders=" + strings.Join(names, ";") +
 		", Signature=" + signature
-	id := &Identity{Access: s.Access, Payload: payload, Signature: signature, key: key, stamp: stamp, scope: scope}
+	id := &Identity{AccessKey: s.AccessKey, PayloadHash: payload, Signature: signature, key: key, stamp: stamp, scope: scope}
 	return append(added, http1.Field{Name: "Authorization", Value: auth}), id
 }
 
--- a/internal/front/s3/sigv4/sigv4_test.go
+++ b/internal/front/s3/sigv4/sigv4_test.go
@@ -12,7 +12,7 @@
 
 var (
 	at     = time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
-	signer = Signer{Access: "AKID", Secret: "secret", Region: "us-east-1"}
+	signer = Signer{AccessKey: "AKID", SecretKey: "secret", Region: "us-east-1"}
 )
 
 func verifier() *Verifier {
@@ -23,10 +23,10 @@
 func TestPublishedExample(t *testing.T) {
 	r := &Request{Method: "GET", Path: "/test.txt", Fields: http1.Fields{
 		{Name: "Host", Value: "examplebucket.s3.amazonaws.com"}, {Name: "Range", Value: "bytes=0-9"},
-		{Name: "x-amz-content-sha256", Value: EmptyHash}, {Name: "x-amz-date", Value: "20130524T000000Z"}}}
+		{Name: "x-amz-content-sha256", Value: EmptyPayloadHash}, {Name: "x-amz-date", Value: "20130524T000000Z"}}}
 	key := derive("wJalrXUtnFEMI/K7MDENG/bPxRfiCYEXAMPLEKEY", "20130524", "us-east-1")
 	names := []string{"host", "range", "x-amz-content-sha256", "x-amz-date"}
-	got := stringSignature(key, "20130524T000000Z", "20130524/us-east-1/s3/aws4_request", canonical(r, names, EmptyHash, false))
+	got := stringSignature(key, "20130524T000000Z", "20130524/us-east-1/s3/aws4_request", canonical(r, names, EmptyPayloadHash, false))
 	if want := "f0e8bdb87c964420e857bd35b5d6ed310bd44f0170aba48dd91039c6036bdb41"; got != want {
 		t.Errorf("signature %s, want %s", got, want)
 	}
@@ -35,7 +35,7 @@
 func signed(change func(r *Request)) *Request {
 	r := &Request{Method: "PUT", Path: "/b/a b/é%2F", Query: Query{{"x", "1+2"}, {"a", ""}},
 		Fields: http1.Fields{{Name: "Host", Value: "h:1"}, {Name: "x-amz-meta-a", Value: "one   two"}}}
-	added, _ := signer.Sign(r, Unsigned, at)
+	added, _ := signer.Sign(r, UnsignedPayload, at)
 	r.Fields = append(r.Fields, added...)
 	if change != nil {
 		change(r)
@@ -71,7 +71,7 @@
 		{"path", func(r *Request) { r.Path = "/b/a b/é/" }, at, "SignatureDoesNotMatch"},
 		{"query", func(r *Request) { r.Query = append(r.Query, Param{"acl", ""}) }, at, "SignatureDoesNotMatch"},
 		{"header", func(r *Request) { set(r, "x-amz-meta-a", "other") }, at, "SignatureDoesNotMatch"},
-		{"payload", func(r *Request) { set(r, "x-amz-content-sha256", EmptyHash) }, at, "SignatureDoesNotMatch"},
+		{"payload", func(r *Request) { set(r, "x-amz-content-sha256", EmptyPayloadHash) }, at, "SignatureDoesNotMatch"},
 		{"header not signed", func(r *Request) { r.Fields = append(r.Fields, http1.Field{Name: "X-Amz-Acl", Value: "public"}) }, at, "AccessDenied"},
 		{"unknown key", func(r *Request) { replaceAuth(r, "AKID", "OTHER") }, at, "InvalidAccessKeyId"},
 		{"region", func(r *Request) { replaceAuth(r, "us-east-1", "mars") }, at, "AuthorizationHeaderMalformed"},
@@ -101,7 +101,7 @@
 		{"X-Amz-Algorithm", algorithm}, {"X-Amz-Credential", "AKID/20261201/us-east-1/s3/aws4_request"},
 		{"X-Amz-Date", "20261201T100000Z"}, {"X-Amz-Expires", span}, {"X-Amz-SignedHeaders", "host"}}}
 	key := derive("secret", "20261201", "us-east-1")
-	sig := stringSignature(key, "20261201T100000Z", "20261201/us-east-1/s3/aws4_request", canonical(r, []string{"host"}, Unsigned, true))
+	sig := stringSignature(key, "20261201T100000Z", "20261201/us-east-1/s3/aws4_request", canonical(r, []string{"host"}, UnsignedPayload, true))
 	r.Query = append(r.Query, Param{"X-Amz-Signature", sig})
 	if change != nil {
 		change(r)
@@ -144,11 +144,11 @@
 			return
 		}
 		r := &Request{Method: method, Path: path, Query: q, Fields: http1.Fields{{Name: "Host", Value: "h"}, {Name: name, Value: value},
-			{Name: "Authorization", Value: auth}, {Name: "X-Amz-Date", Value: "20261201T100000Z"}, {Name: "x-amz-content-sha256", Value: Unsigned}}}
+			{Name: "Authorization", Value: auth}, {Name: "X-Amz-Date", Value: "20261201T100000Z"}, {Name: "x-amz-content-sha256", Value: UnsignedPayload}}}
 		if _, err := verifier().Verify(r, at); err == nil {
 			t.Errorf("a signature made up passes: %q", auth)
 		}
-		escaped := string(AppendEscaped(nil, path, true))
+		escaped := string(AppendPercentEncoded(nil, path, true))
 		if strings.ContainsAny(escaped, "\n ?&") {
 			t.Errorf("path %q escapes to %q", path, escaped)
 		}
--- a/internal/front/s3/task.go
+++ b/internal/front/s3/task.go
@@ -43,7 +43,7 @@
 	if x.tells {
 		x.owes(&j.Task)
 	}
-	if ended := x.s.opt.Ended; ended != nil {
+	if ended := x.s.opt.OnTaskEnd; ended != nil {
 		ended(x.bucket, x.volume.Plan, j.shard, v.Status)
 	}
 	switch v.Status {
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -21,8 +21,8 @@
 // told of: a drain by hand holds from the first moment.
 func (g *Gateway) openDesk() error {
 	var err error
-	if g.opt.Control != "" {
-		if g.book, err = orderlog.Open(filepath.Join(g.opt.Data, "orders.db")); err != nil {
+	if g.opt.ControlSocket != "" {
+		if g.book, err = orderlog.Open(filepath.Join(g.opt.DataDir, "orders.db")); err != nil {
 			return err
 		}
 	}
@@ -32,7 +32,7 @@
 
 // startControl opens the operators' socket.
 func (g *Gateway) startControl() error {
-	if at, ok := strings.CutPrefix(g.opt.DropGuard, "crash-"); ok { // ends outright there, for a proof
+	if at, ok := strings.CutPrefix(g.opt.DisabledGuard, "crash-"); ok { // ends outright there, for a proof
 		g.desk.OnStage = func(stage string) {
 			if stage == at {
 				syscall.Kill(syscall.Getpid(), syscall.SIGKILL)
@@ -41,18 +41,18 @@
 		}
 	}
 	g.desk.SetApplyFunc(func() {
-		if g.opt.DropGuard == "apply" { // recorded, and not carried out: a proof must see it
+		if g.opt.DisabledGuard == "apply" { // recorded, and not carried out: a proof must see it
 			return
 		}
 		g.words.Clear() // what an order took back may be said again
 		g.keeper.Refresh()
 		g.host.Snapshot() // comes back after the host has taken the change
 	})
-	if g.opt.Control == "" {
+	if g.opt.ControlSocket == "" {
 		return nil
 	}
 	var err error
-	g.ctl, err = control.Listen(g.opt.Control, g.desk, g, g.opt.Log)
+	g.ctl, err = control.Listen(g.opt.ControlSocket, g.desk, g, g.opt.Log)
 	return err
 }
 
@@ -120,7 +120,7 @@
 	now := time.Now()
 	stats, front, use := g.host.Stats(), g.front.Stats(), g.spool.Usage()
 	s := &control.Snapshot{At: now.UnixMicro(), Host: g.host.RunID(), Accepted: stats.Accepted,
-		Served: stats.Ended["served"], Refused: stats.Ended["refused"], Failed: stats.Ended["failed"], Connections: front.Conns,
+		Served: stats.Ended["served"], Refused: stats.Ended["refused"], Failed: stats.Ended["failed"], Connections: front.OpenConns,
 		BodyMemoryBytes: use.Memory, SpoolBytes: use.File, LastEvent: g.desk.LastEventNumber()}
 	state := g.host.Snapshot()
 	if state == nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -36,21 +36,21 @@
 
 // Options of a Gateway.
 type Options struct {
-	Config *config.Config
-	Data   string // directory of embedded bricks and made keys
-	Log    *slog.Logger
-	// Control is the path of the operators' socket; orders are kept in Data.
+	Config  *config.Config
+	DataDir string // directory of embedded bricks and made keys
+	Log     *slog.Logger
+	// ControlSocket is the path of the operators' socket; orders are kept in Data.
 	// "": there is none, and no orders.
-	Control string
-	// Tolerant goes on without an embedded brick whose directory cannot be
+	ControlSocket string
+	// SkipFailedBricks goes on without an embedded brick whose directory cannot be
 	// used, as long as one is left.
-	Tolerant bool
-	// DropGuard takes a guard out, so that a proof is seen to fail: "expect"
+	SkipFailedBricks bool
+	// DisabledGuard takes a guard out, so that a proof is seen to fail: "expect"
 	// believes a kept list and lets any brick answer for another, "age" takes
 	// what is found after a stall for fresh.
-	DropGuard string
-	NoSync    bool             // embedded bricks do not wait for the disk; for tests of other things
-	Now       func() time.Time // wall clock for signatures; nil: time.Now
+	DisabledGuard string
+	NoSync        bool             // embedded bricks do not wait for the disk; for tests of other things
+	Now           func() time.Time // wall clock for signatures; nil: time.Now
 }
 
 // Gateway is a running gateway.
@@ -131,8 +131,8 @@
 	for _, k := range g.Keys {
 		secrets[k.Access] = k.Secret
 	}
-	opt := s3.Options{Seen: g.seen, Ended: g.ended, Unready: g.unready, Config: cfg, Host: g.host, Pool: g.pool, Spool: g.spool, Keys: secrets, Log: g.opt.Log, Now: g.opt.Now,
-		AnyBrick: g.opt.DropGuard == "expect", NoAge: g.opt.DropGuard == "age"}
+	opt := s3.Options{OnObservation: g.seen, OnTaskEnd: g.ended, NotReadyReason: g.unready, Config: cfg, Host: g.host, Pool: g.pool, Spool: g.spool, Secrets: secrets, Log: g.opt.Log, Now: g.opt.Now,
+		AcceptAnyBrick: g.opt.DisabledGuard == "expect", IgnoreSocketAge: g.opt.DisabledGuard == "age"}
 	if g.front, err = s3.Start(ln, opt); err != nil {
 		return err
 	}
@@ -159,7 +159,7 @@
 				zones[b.Zone] = zone
 			}
 			e, err := g.startBrick(b, zone, meter)
-			if err != nil && g.opt.Tolerant {
+			if err != nil && g.opt.SkipFailedBricks {
 				g.without(b, err)
 				continue
 			}
@@ -187,13 +187,13 @@
 	g.desk.PublishEvent("without", b.Name, fmt.Sprintf("%s takes no part: %v", b.Name, err))
 }
 
-// Out returns the embedded bricks that could not be started, and why.
-func (g *Gateway) Out() map[string]error { return g.out }
+// FailedBricks returns the embedded bricks that could not be started, and why.
+func (g *Gateway) FailedBricks() map[string]error { return g.out }
 
 func (g *Gateway) startBrick(b config.Brick, zone *brickd.Zone, meter *brickd.Meter) (*embedded, error) {
 	path := b.Data
 	if path == "" {
-		path = filepath.Join(g.opt.Data, "bricks", b.Name)
+		path = filepath.Join(g.opt.DataDir, "bricks", b.Name)
 	}
 	dir, err := store.Open(path, store.Options{NoSync: g.opt.NoSync, Log: g.opt.Log.With("brick", b.Name)})
 	if err != nil {
@@ -215,7 +215,7 @@
 	cfg := g.opt.Config
 	shape := membership.Topology{Zones: cfg.Zones, Shards: cfg.Shards}
 	keeper, err := membership.StartTracker(membership.TrackerOptions{Topology: shape, Host: g.host, Prober: asker{g.pool}, CacheDir: cfg.CacheDir,
-		Log: g.opt.Log, OnAddresses: g.pool.CloseIdleExcept, TrustCache: g.opt.DropGuard == "expect", OnList: g.listed, Overlay: g.overlay})
+		Log: g.opt.Log, OnAddresses: g.pool.CloseIdleExcept, TrustCache: g.opt.DisabledGuard == "expect", OnList: g.listed, Overlay: g.overlay})
 	if err != nil {
 		return err
 	}
@@ -313,7 +313,7 @@
 	if len(g.opt.Config.Keys) > 0 {
 		return g.opt.Config.Keys, nil
 	}
-	path := filepath.Join(g.opt.Data, "keys.json")
+	path := filepath.Join(g.opt.DataDir, "keys.json")
 	text, err := os.ReadFile(path)
 	if err == nil {
 		var keys []config.Key
@@ -325,7 +325,7 @@
 	if !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	if err := os.MkdirAll(g.opt.Data, 0o700); err != nil {
+	if err := os.MkdirAll(g.opt.DataDir, 0o700); err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
 	keys := []config.Key{{Access: "AW" + randomText(10), Secret: randomText(25)}}
@@ -333,7 +333,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := WriteFile(path, text); err != nil {
+	if err := WriteFileAtomic(path, text); err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
 	return keys, nil
@@ -345,8 +345,8 @@
 	return base32.StdEncoding.WithPadding(base32.NoPadding).EncodeToString(b)
 }
 
-// WriteFile writes a file that only its owner can read, in one step.
-func WriteFile(path string, text []byte) error {
+// WriteFileAtomic writes a file that only its owner can read, in one step.
+func WriteFileAtomic(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".arrowwalk")
 	if err != nil {
 		return err
@@ -371,8 +371,8 @@
 // Host returns the running host, for those who watch it.
 func (g *Gateway) Host() *host.Host { return g.host }
 
-// Front returns the object API, for those who watch it.
-func (g *Gateway) Front() *s3.Server { return g.front }
+// S3Server returns the object API, for those who watch it.
+func (g *Gateway) S3Server() *s3.Server { return g.front }
 
 // Spool returns the store of bodies, for those who watch it.
 func (g *Gateway) Spool() *spool.Pool { return g.spool }
@@ -385,8 +385,8 @@
 	g.closeAll()
 }
 
-// StopWithin returns how long a request that was taken may still need.
-func (g *Gateway) StopWithin() time.Duration {
+// MaxStopDuration returns how long a request that was taken may still need.
+func (g *Gateway) MaxStopDuration() time.Duration {
 	c := g.opt.Config
 	return config.MS(max(c.Classes.Read.DeadlineMS, c.Classes.Write.DeadlineMS)) + 2*time.Second
 }
--- a/internal/gateway/volumes.go
+++ b/internal/gateway/volumes.go
@@ -47,12 +47,12 @@
 const attachWait = 10 * time.Second
 
 func (g *Gateway) openExports() error {
-	store, err := volume.New(volume.Options{Config: g.opt.Config, Host: g.host, Pool: g.pool, Log: g.opt.Log, NoFence: g.opt.DropGuard == "fence", Seen: g.seen,
+	store, err := volume.New(volume.Options{Config: g.opt.Config, Host: g.host, Pool: g.pool, Log: g.opt.Log, NoFence: g.opt.DisabledGuard == "fence", Seen: g.seen,
 		Ended: func(name string, plan, shard int, end host.TaskStatus) { g.ended("volume/"+name, plan, shard, end) }})
 	if err != nil {
 		return err
 	}
-	data, err := filepath.Abs(g.opt.Data)
+	data, err := filepath.Abs(g.opt.DataDir)
 	if err != nil {
 		return err
 	}
@@ -137,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	return WriteFile(x.file, text)
+	return WriteFileAtomic(x.file, text)
 }
 
 // close ends all devices; volumes stay attached to this host, for its next run.
--- a/internal/lab/experiment/live.go
+++ b/internal/lab/experiment/live.go
@@ -75,12 +75,12 @@
 		return Row{}, err
 	}
 	defer os.RemoveAll(dir)
-	g, err := gateway.Start(gateway.Options{Config: cfg, Data: dir, NoSync: true, Log: slog.New(slog.DiscardHandler)})
+	g, err := gateway.Start(gateway.Options{Config: cfg, DataDir: dir, NoSync: true, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		return Row{}, err
 	}
 	defer func() {
-		ctx, cancel := context.WithTimeout(context.Background(), g.StopWithin())
+		ctx, cancel := context.WithTimeout(context.Background(), g.MaxStopDuration())
 		defer cancel()
 		g.Stop(ctx)
 	}()
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -38,7 +38,7 @@
 func TestAgainstGateway(t *testing.T) {
 	cfg := config.Default()
 	cfg.Listen, cfg.Keys = "127.0.0.1:0", []config.Key{{Access: "LOAD", Secret: "load-secret"}}
-	g, err := gateway.Start(gateway.Options{Config: cfg, Data: t.TempDir(), NoSync: true, Log: slog.New(slog.DiscardHandler)})
+	g, err := gateway.Start(gateway.Options{Config: cfg, DataDir: t.TempDir(), NoSync: true, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/prove/badday.go
+++ b/internal/prove/badday.go
@@ -217,7 +217,7 @@
 	if err != nil {
 		return err
 	}
-	return gateway.WriteFile(filepath.Join(d.dir, "nodes.json"), text)
+	return gateway.WriteFileAtomic(filepath.Join(d.dir, "nodes.json"), text)
 }
 
 // state changes a brick's state in the list and notes since when that is told.
--- a/internal/prove/evening.go
+++ b/internal/prove/evening.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	return gateway.WriteFile(filepath.Join(e.dir, "nodes.json"), text)
+	return gateway.WriteFileAtomic(filepath.Join(e.dir, "nodes.json"), text)
 }
 
 // uploader stores objects in parts without a pause.
--- a/internal/prove/process.go
+++ b/internal/prove/process.go
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	p.target = &clients.Target{Host: number, Stopping: p.stopping,
-		Signer: sigv4.Signer{Access: cfg.Keys[0].Access, Secret: cfg.Keys[0].Secret, Region: cfg.Region}}
+		Signer: sigv4.Signer{AccessKey: cfg.Keys[0].Access, SecretKey: cfg.Keys[0].Secret, Region: cfg.Region}}
 	return p, p.start(ctx)
 }
 
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	if err := gateway.WriteFile(p.file("settings.json"), text); err != nil {
+	if err := gateway.WriteFileAtomic(p.file("settings.json"), text); err != nil {
 		return err
 	}
 	os.Remove(p.file("ready.json"))
--- a/internal/prove/replay.go
+++ b/internal/prove/replay.go
@@ -593,7 +593,7 @@
 	if err != nil {
 		return err
 	}
-	err = gateway.WriteFile(filepath.Join(r.dir, "nodes.json"), text)
+	err = gateway.WriteFileAtomic(filepath.Join(r.dir, "nodes.json"), text)
 	open := map[string]bool{}
 	for _, t := range r.told {
 		if t.Until == 0 {
--- a/internal/standin/clients/client.go
+++ b/internal/standin/clients/client.go
@@ -201,13 +201,13 @@
 func (c *Client) build(r *Request) []byte {
 	fields := append(http1.Fields{{Name: "Host", Value: c.Target.Addr}}, r.Fields...)
 	signed := &sigv4.Request{Method: r.Method, Path: r.Path, Query: r.Query, Fields: fields}
-	added, _ := c.Target.Signer.Sign(signed, sigv4.Unsigned, time.Now().Add(r.Skew))
+	added, _ := c.Target.Signer.Sign(signed, sigv4.UnsignedPayload, time.Now().Add(r.Skew))
 	b := append(c.out[:0], r.Method...)
-	b = sigv4.AppendEscaped(append(b, ' '), r.Path, true)
+	b = sigv4.AppendPercentEncoded(append(b, ' '), r.Path, true)
 	for i, p := range r.Query {
 		b = append(b, "?&"[min(i, 1)])
-		b = append(sigv4.AppendEscaped(b, p.Name, false), '=')
-		b = sigv4.AppendEscaped(b, p.Value, false)
+		b = append(sigv4.AppendPercentEncoded(b, p.Name, false), '=')
+		b = sigv4.AppendPercentEncoded(b, p.Value, false)
 	}
 	b = append(b, " HTTP/1.1\r\n"...)
 	for _, f := range append(fields, added...) {
