--- a/cmd/arrowwalk/load.go
+++ b/cmd/arrowwalk/load.go
@@ -36,8 +36,8 @@
 
 // Run sends the load; the error tells that bytes were wrong.
 func (c *loadCmd) Run(g *globals) error {
-	opt := &load.Options{Endpoint: c.Endpoint, Access: c.Access, Secret: c.Secret, Region: c.Region, Buckets: c.Bucket, Keys: c.Keys,
-		Wait: c.Wait, InFlight: c.InFlight, Seed: c.Seed, Print: g.out, Every: time.Second}
+	opt := &load.Options{Endpoint: c.Endpoint, AccessKey: c.Access, SecretKey: c.Secret, Region: c.Region, Buckets: c.Bucket, ObjectsPerBucket: c.Keys,
+		RequestTimeout: c.Wait, MaxInFlight: c.InFlight, Seed: c.Seed, Progress: g.out, ProgressInterval: time.Second}
 	var err error
 	if opt.Mix, err = parseMix(c.Mix); err != nil {
 		return err
@@ -57,7 +57,7 @@
 	r, err := load.Run(ctx, opt)
 	if r != nil {
 		r.Write(g.out)
-		if r.Broken() {
+		if r.HasCorruption() {
 			return fmt.Errorf("bytes came back that were not stored")
 		}
 	}
@@ -81,15 +81,15 @@
 	return arrivals.NewPoisson(c.Rate, c.For, c.Seed), nil
 }
 
-func parseMix(text string) ([]load.Part, error) {
-	var out []load.Part
+func parseMix(text string) ([]load.MixEntry, error) {
+	var out []load.MixEntry
 	for _, one := range strings.Split(text, ",") {
 		op, weight, ok := strings.Cut(one, "=")
 		w, err := strconv.ParseFloat(weight, 64)
 		if !ok || err != nil {
 			return nil, fmt.Errorf("--mix: %q is not KIND=WEIGHT", one)
 		}
-		out = append(out, load.Part{Op: load.Op(op), Weight: w})
+		out = append(out, load.MixEntry{Op: load.Op(op), Weight: w})
 	}
 	return out, nil
 }
--- a/cmd/arrowwalk/rehearse.go
+++ b/cmd/arrowwalk/rehearse.go
@@ -16,9 +16,9 @@
 
 	"arrowwalk/internal/control"
 	"arrowwalk/internal/emul"
-	"arrowwalk/internal/emul/hunt"
-	"arrowwalk/internal/emul/record"
+	"arrowwalk/internal/emul/capture"
 	"arrowwalk/internal/emul/scenario"
+	"arrowwalk/internal/emul/worstcase"
 	"arrowwalk/internal/lab/charts"
 	"arrowwalk/internal/lab/experiment"
 	"arrowwalk/internal/prove"
@@ -85,8 +85,8 @@
 		fmt.Fprintf(g.out, "%-15s %s\n", name, sc.About)
 	}
 	fmt.Fprintln(g.out, "\ntroubles:")
-	for _, kind := range slices.Sorted(maps.Keys(scenario.Kinds)) {
-		fmt.Fprintf(g.out, "%-15s %s\n", kind, scenario.Kinds[kind])
+	for _, kind := range slices.Sorted(maps.Keys(scenario.EventKinds)) {
+		fmt.Fprintf(g.out, "%-15s %s\n", kind, scenario.EventKinds[kind])
 	}
 	return nil
 }
@@ -111,18 +111,18 @@
 	took := time.Since(began)
 	fmt.Fprintf(g.out, "%s, seed %d, %s: %g s of %d hosts and %d bricks in %.2f s; %d events, hash %s\n", sc.Name, res.Seed, sc.Policy, sc.Seconds,
 		sc.Site.Hosts, sc.Site.Bricks, took.Seconds(), res.Events, res.Hash)
-	for _, name := range scenario.Figures {
+	for _, name := range scenario.FigureNames {
 		fmt.Fprintf(g.out, "  %s %.3f", name, res.Figures[name])
 	}
 	fmt.Fprintln(g.out)
-	for _, v := range res.Claims(sc) {
+	for _, v := range res.CheckClaims(sc) {
 		mark := ""
-		if !v.Good {
+		if !v.Holds {
 			mark = "   BROKEN"
 		}
 		fmt.Fprintln(g.out, "  "+v.Text+mark)
 	}
-	for i, text := range res.Broken {
+	for i, text := range res.Violations {
 		if i < 10 {
 			fmt.Fprintln(g.out, "    "+text)
 		}
@@ -132,7 +132,7 @@
 			return err
 		}
 	}
-	if !res.Good(sc) {
+	if !res.ClaimsHold(sc) {
 		return errBroken
 	}
 	return nil
@@ -149,22 +149,22 @@
 	if err := os.WriteFile(filepath.Join(dir, "result.json"), text, 0o644); err != nil {
 		return err
 	}
-	_, err = charts.Run(dir, res)
+	_, err = charts.DrawRun(dir, res)
 	return err
 }
 
 func (r *rehearseCmd) hunt(g *globals) error {
-	opt := hunt.Options{Seed: max(1, r.Seed), Days: r.Hunt, Workers: runtime.NumCPU(), Hosts: [2]int{min(4, r.Hosts), r.Hosts}, Bricks: [2]int{min(3, r.Bricks), r.Bricks},
-		Load: [2]float64{min(0.4, r.Load), r.Load}, Events: [2]int{1, 6}, Seconds: 45, Keep: r.Keep}
-	days, err := hunt.Hunt(opt)
+	opt := worstcase.Options{Seed: max(1, r.Seed), Candidates: r.Hunt, Workers: runtime.NumCPU(), Hosts: [2]int{min(4, r.Hosts), r.Hosts}, Bricks: [2]int{min(3, r.Bricks), r.Bricks},
+		Utilization: [2]float64{min(0.4, r.Load), r.Load}, EventCount: [2]int{1, 6}, DurationSeconds: 45, MaxFindings: r.Keep}
+	days, err := worstcase.Search(opt)
 	if err != nil {
 		return err
 	}
 	broken := false
 	for i := range days {
 		d := &days[i]
-		broken = broken || len(d.Broken) > 0
-		fmt.Fprintf(g.out, "seed %d: loses %.3f of service, %d places where a rule is broken; shrunk in %d runs to:\n", d.Seed, d.Loss, len(d.Broken), d.Runs)
+		broken = broken || len(d.Violations) > 0
+		fmt.Fprintf(g.out, "seed %d: loses %.3f of service, %d places where a rule is broken; shrunk in %d runs to:\n", d.Seed, d.ServiceLoss, len(d.Violations), d.ShrinkRuns)
 		for _, e := range d.Scenario.Timeline {
 			text, err := json.Marshal(e)
 			if err != nil {
@@ -172,7 +172,7 @@
 			}
 			fmt.Fprintf(g.out, "  %s\n", text)
 		}
-		for _, text := range d.Broken {
+		for _, text := range d.Violations {
 			fmt.Fprintf(g.out, "  %s\n", text)
 		}
 		if r.Out != "" {
@@ -202,7 +202,7 @@
 	defer done()
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
-	var looks []record.Look
+	var looks []capture.Sample
 	began := time.Now()
 	for {
 		looks = append(looks, look(r.Record, time.Since(began)))
@@ -213,7 +213,7 @@
 		}
 		break
 	}
-	sc, err := record.Scenario("recorded", looks)
+	sc, err := capture.BuildScenario("recorded", looks)
 	if err != nil {
 		return err
 	}
@@ -226,8 +226,8 @@
 }
 
 // look takes one look at a gateway; one that does not answer is away.
-func look(socket string, at time.Duration) record.Look {
-	l := record.Look{At: at}
+func look(socket string, at time.Duration) capture.Sample {
+	l := capture.Sample{At: at}
 	c, err := control.Dial(socket)
 	if err != nil {
 		return l
@@ -238,9 +238,9 @@
 		return l
 	}
 	s := answer.Snapshot
-	l.Host, l.Taken = s.Host, s.Accepted
+	l.RunID, l.Accepted = s.Host, s.Accepted
 	for _, b := range s.Bricks {
-		l.Bricks = append(l.Bricks, record.Brick{Name: b.Status.Brick, Shard: b.Shard, State: string(b.State), Cold: b.Cold, Util: b.Util, P50: b.P50})
+		l.Bricks = append(l.Bricks, capture.BrickSample{Name: b.Status.Brick, Shard: b.Shard, State: string(b.State), Cold: b.Cold, Utilization: b.Util, MedianLatency: b.P50})
 	}
 	return l
 }
@@ -270,7 +270,7 @@
 	if err != nil {
 		return err
 	}
-	page, err := experiment.Report(f, rows, e.Out)
+	page, err := experiment.WriteReport(f, rows, e.Out)
 	if err != nil {
 		return err
 	}
--- a/example_test.go
+++ b/example_test.go
@@ -23,7 +23,7 @@
 	s.Step(now, &arrowwalk.NodeList{Kind: arrowwalk.ListStored, Nodes: []arrowwalk.Node{node}})
 
 	request := &arrowwalk.Request{
-		ID: 7, Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Left: 2_500_000, Units: 2,
+		ID: 7, Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, TimeLeft: 2_500_000, Units: 2,
 	}
 	for _, a := range s.Step(now, request) {
 		switch a.Kind {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -508,11 +508,11 @@
 func (c *Config) Module() arrowwalk.Settings {
 	s := arrowwalk.Settings{
 		Seed: c.Host.Seed, Host: c.Host.Number, Hosts: c.Host.Count, Zone: max(0, c.ZoneNumber(c.Host.Zone)),
-		Shards: c.Shards, Tick: 1000, MaxAttempts: c.MaxAttempts, MaxWait: micros(c.MaxAdviceMS),
+		Shards: c.Shards, Tick: 1000, MaxAttempts: c.MaxAttempts, MaxRetryAfter: micros(c.MaxAdviceMS),
 		MeanUnits: c.Units.Base + c.MostUnits()/8, MostUnits: c.MostUnits(), ShareWorth: c.Rules.ShareWorth, SpareWorth: c.Rules.SpareWorth,
-		MeterPeriod: micros(c.MeterMS), TellsOthers: true, Cancel: true,
+		MeterPeriod: micros(c.MeterMS), ReportsOthersUnits: true, Cancel: true,
 		Rules: arrowwalk.Rules{
-			DrainGrace: micros(c.Rules.DrainGraceMS), AskEvery: micros(c.Rules.AskEveryMS),
+			DrainGrace: micros(c.Rules.DrainGraceMS), MaxListInterval: micros(c.Rules.AskEveryMS),
 			ColdFrom: c.Rules.ColdFrom, WarmWithin: micros(c.Rules.WarmWithinMS), ColdMultiple: c.Rules.ColdMultiple,
 			ColdSpan: micros(c.Rules.ColdSpanMS), ColdUnits: c.Rules.ColdUnits, OrderGap: micros(c.Rules.OrderGapMS),
 			ResendFree: c.Rules.ResendFree, ResendRatio: c.Rules.ResendRatio, ResendSpan: micros(c.Rules.ResendSpanMS),
--- a/internal/emul/record/record.go
+++ b/internal/emul/capture/record.go
@@ -1,7 +1,7 @@
 // Package record makes a scenario out of what a running host was seen to live
 // through: its bricks' states, their latencies and its load, look by look. It
 // is pure; who looks is the caller's concern.
-package record
+package capture
 
 import (
 	"cmp"
@@ -13,22 +13,22 @@
 	"arrowwalk/internal/emul/scenario"
 )
 
-// Brick is a brick at one look.
-type Brick struct {
-	Name  string
-	Shard int
-	State string // ready, draining or gone
-	Cold  bool
-	Util  float64 // -1: not told
-	P50   time.Duration
+// BrickSample is a brick at one look.
+type BrickSample struct {
+	Name          string
+	Shard         int
+	State         string // ready, draining or gone
+	Cold          bool
+	Utilization   float64 // -1: not told
+	MedianLatency time.Duration
 }
 
-// Look is one look at a host.
-type Look struct {
-	At     time.Duration // since the first
-	Host   string        // the label of its run; "": it did not answer
-	Taken  uint64        // requests since its start
-	Bricks []Brick
+// Sample is one look at a host.
+type Sample struct {
+	At       time.Duration // since the first
+	RunID    string        // the label of its run; "": it did not answer
+	Accepted uint64        // requests since its start
+	Bricks   []BrickSample
 }
 
 const (
@@ -37,9 +37,9 @@
 	least     = 2   // looks in a row that make a trouble
 )
 
-// Scenario returns a day with the troubles that the looks show. Looks are in
+// BuildScenario returns a day with the troubles that the looks show. Looks are in
 // order of time; fewer than three make no day.
-func Scenario(name string, looks []Look) (*scenario.Scenario, error) {
+func BuildScenario(name string, looks []Sample) (*scenario.Scenario, error) {
 	if len(looks) < 3 {
 		return nil, fmt.Errorf("record: %d looks are too few to tell anything", len(looks))
 	}
@@ -51,8 +51,8 @@
 	for _, l := range looks {
 		for _, b := range l.Bricks {
 			shards[b.Shard] = true
-			if b.Util >= 0 {
-				utils = append(utils, b.Util)
+			if b.Utilization >= 0 {
+				utils = append(utils, b.Utilization)
 			}
 		}
 	}
@@ -60,7 +60,7 @@
 		s.Site.Bricks = len(shards)
 	}
 	if len(utils) > 0 {
-		s.Load.Of = round(min(2, max(0.05, median(utils))))
+		s.Load.Utilization = round(min(2, max(0.05, median(utils))))
 	}
 	s.Timeline = append(crashes(looks), surges(looks)...)
 	s.Timeline = append(s.Timeline, replacements(looks)...)
@@ -79,17 +79,17 @@
 }
 
 // crashes finds where the host's label changed.
-func crashes(looks []Look) []scenario.Event {
+func crashes(looks []Sample) []scenario.Event {
 	var out []scenario.Event
 	last, seen := "", time.Duration(0)
 	for _, l := range looks {
-		if l.Host == "" {
+		if l.RunID == "" {
 			continue
 		}
-		if last != "" && l.Host != last {
-			out = append(out, scenario.Event{At: round(seen.Seconds()), Kind: "crash_hosts", Share: 1, MS: int(max(100*time.Millisecond, l.At-seen).Milliseconds())})
+		if last != "" && l.RunID != last {
+			out = append(out, scenario.Event{At: round(seen.Seconds()), Kind: "crash_hosts", Share: 1, LengthMS: int(max(100*time.Millisecond, l.At-seen).Milliseconds())})
 		}
-		last, seen = l.Host, l.At
+		last, seen = l.RunID, l.At
 	}
 	return out
 }
@@ -110,13 +110,13 @@
 	}
 }
 
-func surges(looks []Look) []scenario.Event {
+func surges(looks []Sample) []scenario.Event {
 	rates := make([]float64, len(looks))
 	var all []float64
 	for i := 1; i < len(looks); i++ {
 		a, b := &looks[i-1], &looks[i]
-		if a.Host == b.Host && b.Taken >= a.Taken && b.At > a.At {
-			rates[i] = float64(b.Taken-a.Taken) / (b.At - a.At).Seconds()
+		if a.RunID == b.RunID && b.Accepted >= a.Accepted && b.At > a.At {
+			rates[i] = float64(b.Accepted-a.Accepted) / (b.At - a.At).Seconds()
 			all = append(all, rates[i])
 		}
 	}
@@ -127,19 +127,19 @@
 	var out []scenario.Event
 	spells(len(looks), func(i int) float64 { return rates[i] / usual }, surgeFrom, func(from, to int, mean float64) {
 		at := looks[max(0, from-1)].At
-		out = append(out, scenario.Event{At: round(at.Seconds()), For: round((looks[to].At - at).Seconds()), Kind: "surge", By: round(mean)})
+		out = append(out, scenario.Event{At: round(at.Seconds()), Duration: round((looks[to].At - at).Seconds()), Kind: "surge", Factor: round(mean)})
 	})
 	return out
 }
 
 // replacements finds bricks that were ready and then drained or gone, and when
 // their shard was served again.
-func replacements(looks []Look) []scenario.Event {
+func replacements(looks []Sample) []scenario.Event {
 	type loss struct{ at time.Duration }
 	lost, ready := map[int]loss{}, map[int]bool{}
 	var out []scenario.Event
 	for _, l := range looks {
-		if l.Host == "" {
+		if l.RunID == "" {
 			continue
 		}
 		now := map[int]bool{}
@@ -154,25 +154,25 @@
 				lost[shard] = loss{l.At}
 			case now[shard] && gone:
 				delete(lost, shard)
-				out = append(out, scenario.Event{At: round(from.at.Seconds()), For: round(max(0, (l.At-from.at).Seconds()-2)), Kind: "replace", Count: 1})
+				out = append(out, scenario.Event{At: round(from.at.Seconds()), Duration: round(max(0, (l.At-from.at).Seconds()-2)), Kind: "replace", Count: 1})
 			}
 		}
 	}
 	for _, from := range lost {
-		out = append(out, scenario.Event{At: round(from.at.Seconds()), For: 600, Kind: "replace", Count: 1})
+		out = append(out, scenario.Event{At: round(from.at.Seconds()), Duration: 600, Kind: "replace", Count: 1})
 	}
 	slices.SortFunc(out, func(a, b scenario.Event) int { return cmp.Compare(a.At, b.At) })
 	return out
 }
 
-func slows(looks []Look) []scenario.Event {
+func slows(looks []Sample) []scenario.Event {
 	series := map[string][]float64{}
 	for i, l := range looks {
 		for _, b := range l.Bricks {
 			if series[b.Name] == nil {
 				series[b.Name] = make([]float64, len(looks))
 			}
-			series[b.Name][i] = b.P50.Seconds()
+			series[b.Name][i] = b.MedianLatency.Seconds()
 		}
 	}
 	var out []scenario.Event
@@ -193,7 +193,7 @@
 		}
 		usual := median(told)
 		spells(len(looks), func(i int) float64 { return series[name][i] / usual }, slowFrom, func(from, to int, mean float64) {
-			out = append(out, scenario.Event{At: round(looks[from].At.Seconds()), For: round((looks[to].At - looks[from].At).Seconds()), Kind: "slow", Count: 1, By: round(mean)})
+			out = append(out, scenario.Event{At: round(looks[from].At.Seconds()), Duration: round((looks[to].At - looks[from].At).Seconds()), Kind: "slow", Count: 1, Factor: round(mean)})
 		})
 	}
 	return out
--- a/internal/emul/clients.go
+++ b/internal/emul/clients.go
@@ -88,15 +88,15 @@
 	for _, b := range s.bricks {
 		capacity += b.Capacity()
 	}
-	unit := l.Of * capacity / sizes // units a second of size 1
+	unit := l.Utilization * capacity / sizes // units a second of size 1
 	for p := range l.Plans {
 		s.rates = append(s.rates, unit*l.Plans[p].Size)
 	}
 	for _, v := range s.volumes {
 		p := &l.Plans[v.plan]
 		v.rate = s.rates[v.plan] / s.s.MeanUnits()
-		if rnd.Float64() < p.Greedy {
-			v.rate *= max(1, p.GreedyBy)
+		if rnd.Float64() < p.GreedyShare {
+			v.rate *= max(1, p.GreedyFactor)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 	s.push(s.now+s.gap(v), event{kind: evNext, who: int32(v.number)})
 	l := &s.s.Load
 	v.seq++
-	if hot := int64(l.HotMS) * 1000; hot > 0 {
+	if hot := int64(l.HotHostPeriodMS) * 1000; hot > 0 {
 		v.hot = int((s.now/hot + int64(v.number)) % int64(len(v.hosts)))
 	}
 	r := &request{id: v.seq<<20 | uint64(v.number), volume: v, units: float64(s.span(v.rnd, l.Units)), born: s.now, left: l.Retries,
@@ -134,7 +134,7 @@
 	r.cost = class.WorkMS * 1000 * r.units / s.s.MeanUnits() * (0.7 + 0.6*v.rnd.Float64())
 	r.until = s.now + int64(class.DeadlineMS)*1000
 	if e := s.hasty; e != nil && v.rnd.Float64() < e.Share && (e.Plan == "" || e.Plan == l.Plans[v.plan].Name) {
-		r.left = max(1, int(e.By))
+		r.left = max(1, int(e.Factor))
 		r.leave = int64(0.35 * float64(class.AimMS) * 1000)
 	}
 	s.result.due(s, r)
@@ -166,12 +166,12 @@
 	r.task, r.accepted = arrowwalk.RequestID(h.last), true
 	h.requests[r.task] = r
 	wait := r.until - r.sentAt // as the request says
-	if s.found > 0 && s.s.Site.Found == scenario.FoundHalf {
+	if s.found > 0 && s.s.Site.BacklogAge == scenario.BacklogAgeHalf {
 		wait -= (h.stood.End - h.stood.Start) / 2
 	}
 	wait -= s.now - s.came()
-	h.inbox = append(h.inbox, &arrowwalk.Request{ID: r.task, Class: r.class, Left: arrowwalk.Micros(max(1, wait-margin)), Units: r.units, Shard: r.shard,
-		Again: r.tries > 0, Volume: arrowwalk.Volume{ID: arrowwalk.VolumeID(r.volume.number + 1), Plan: r.volume.plan, Hosts: len(r.volume.hosts)}})
+	h.inbox = append(h.inbox, &arrowwalk.Request{ID: r.task, Class: r.class, TimeLeft: arrowwalk.Micros(max(1, wait-margin)), Units: r.units, Shard: r.shard,
+		IsRetry: r.tries > 0, Volume: arrowwalk.Volume{ID: arrowwalk.VolumeID(r.volume.number + 1), Plan: r.volume.plan, Hosts: len(r.volume.hosts)}})
 }
 
 // finalAnswer gives a client the one final word.
--- a/internal/emul/emul_test.go
+++ b/internal/emul/emul_test.go
@@ -54,13 +54,13 @@
 				t.Skip("without the race detector, or by arrowwalk rehearse --all")
 			}
 			r := play(t, sc, 0)
-			for _, v := range r.Claims(sc) {
+			for _, v := range r.CheckClaims(sc) {
 				t.Log(v.Text)
-				if !v.Good {
+				if !v.Holds {
 					t.Errorf("broken: %s", v.Text)
 				}
 			}
-			for _, b := range r.Broken {
+			for _, b := range r.Violations {
 				t.Log(b)
 			}
 		})
@@ -77,27 +77,27 @@
 		{"stalled-host", "drains", "", "drains kept"},
 	} {
 		sc := find(t, c.name)
-		sc.Site.Guard, sc.Policy = c.guard, c.policy
+		sc.Site.DisabledGuard, sc.Policy = c.guard, c.policy
 		if c.name == "cold-box" { // smaller, with the same load for each brick
 			sc.Site.Hosts, sc.Site.Bricks, sc.Load.Volumes, sc.Seconds = 60, 10, 60, 35
-			sc.Timeline[0].Count, sc.Load.Of, sc.Site.Brick.Multiple = 2, 1.4, 1.5
+			sc.Timeline[0].Count, sc.Load.Utilization, sc.Site.Brick.ColdMultiple = 2, 1.4, 1.5
 		}
 		if c.policy == "" { // with the guard in, the same day holds
-			guard := sc.Site.Guard
-			sc.Site.Guard = ""
-			if r := play(t, sc, 0); !r.Good(sc) {
+			guard := sc.Site.DisabledGuard
+			sc.Site.DisabledGuard = ""
+			if r := play(t, sc, 0); !r.ClaimsHold(sc) {
 				t.Errorf("%s with its guard: %v %v", c.name, r.Rules, r.Figures)
 			}
-			sc.Site.Guard = guard
+			sc.Site.DisabledGuard = guard
 		}
 		r := play(t, sc, 0)
 		broken := 0
-		for _, v := range r.Checked {
+		for _, v := range r.RuleVerdicts {
 			if v.Rule == c.rule {
 				broken = v.Count
 			}
 		}
-		if broken == 0 || r.Good(sc) {
+		if broken == 0 || r.ClaimsHold(sc) {
 			t.Errorf("%+v: nothing is seen: %v", c, r.Rules)
 		}
 	}
--- a/internal/emul/hosts.go
+++ b/internal/emul/hosts.go
@@ -22,7 +22,7 @@
 	stalled   int64 // until
 	stallFrom int64
 	stood     stall.Stall // the last time that it stood still
-	decider   policy.Decider
+	decider   policy.Scheduler
 	requests  map[arrowwalk.RequestID]*request
 	last      uint64
 	inbox     []arrowwalk.Event
@@ -95,7 +95,7 @@
 
 // startHost starts a host, or starts it again with its last list.
 func (s *Sim) startHost(h *hostSim) error {
-	set := s.s.Config(h.id, s.rates).Module()
+	set := s.s.GatewayConfig(h.id, s.rates).Module()
 	set.MeanUnits, set.MostUnits = s.s.MeanUnits(), float64(s.s.Load.Units[1])
 	set.Seed = s.s.Seed<<16 + uint64(h.id)<<4 + uint64(h.run)
 	var err error
@@ -177,7 +177,7 @@
 	}
 	what := trust.Answered
 	switch {
-	case b.mute || b.Fallen || s.lost(h.id, b):
+	case b.mute || b.Collapsed || s.lost(h.id, b):
 		what = trust.TimedOut
 	case b.Dead:
 		what = trust.ConnRefused
@@ -203,14 +203,14 @@
 
 func (s *Sim) take(h *hostSim, kind arrowwalk.ListKind, l *list) {
 	nodes := l.nodes
-	if s.s.Site.Guard == "cold" { // the host takes cold bricks for warm ones
+	if s.s.Site.DisabledGuard == "cold" { // the host takes cold bricks for warm ones
 		nodes = make([]arrowwalk.Node, len(l.nodes))
 		for i, n := range l.nodes {
 			n.Started = 0
 			nodes[i] = n
 		}
 	}
-	if s.s.Site.Guard == "drains" { // the host is not told that bricks drain
+	if s.s.Site.DisabledGuard == "drains" { // the host is not told that bricks drain
 		nodes = make([]arrowwalk.Node, len(l.nodes))
 		for i, n := range l.nodes {
 			n.State = arrowwalk.Ready
@@ -315,7 +315,7 @@
 	r := at.rq
 	closed := status == arrowwalk.OK && !r.final
 	unseen := int64(0)
-	if status != arrowwalk.OK && s.found == 0 && s.s.Site.TellsAge() {
+	if status != arrowwalk.OK && s.found == 0 && s.s.Site.KnowsBacklogAge() {
 		unseen = h.stood.Overlap(at.sent, s.now)
 	}
 	h.inbox = append(h.inbox, &arrowwalk.Outcome{
@@ -430,7 +430,7 @@
 
 // came returns when what a host takes in has come, as far as it knows.
 func (s *Sim) came() int64 {
-	if s.found > 0 && s.s.Site.TellsAge() {
+	if s.found > 0 && s.s.Site.KnowsBacklogAge() {
 		return s.now - (s.now-s.found)/1000*1000 // the kernel tells milliseconds
 	}
 	return s.now
--- a/internal/emul/policy/policy.go
+++ b/internal/emul/policy/policy.go
@@ -10,8 +10,8 @@
 	"arrowwalk/internal/host"
 )
 
-// Decider takes events and returns what is to be done (host.Engine).
-type Decider interface {
+// Scheduler takes events and returns what is to be done (host.Engine).
+type Scheduler interface {
 	Step(now arrowwalk.Micros, events []arrowwalk.Event) []arrowwalk.Action
 	Next() (arrowwalk.Micros, bool)
 }
@@ -20,7 +20,7 @@
 var Names = []string{"module", "everything", "even", "least", "aimd"}
 
 // New returns a policy by name for a host with the given settings.
-func New(name string, set arrowwalk.Settings, now arrowwalk.Micros) (Decider, error) {
+func New(name string, set arrowwalk.Settings, now arrowwalk.Micros) (Scheduler, error) {
 	switch name {
 	case "", "module":
 		return host.NewEngine(set, now)
@@ -119,7 +119,7 @@
 		case *arrowwalk.NodeList:
 			p.list(e)
 		case *arrowwalk.Request:
-			j := &job{id: e.ID, shard: e.Shard, class: e.Class, until: now + e.Left - margin}
+			j := &job{id: e.ID, shard: e.Shard, class: e.Class, until: now + e.TimeLeft - margin}
 			p.requests[e.ID] = j
 			i, _ := slices.BinarySearchFunc(p.due, j, func(a, b *job) int { return int(a.until - b.until) })
 			p.due = slices.Insert(p.due, i, j)
--- a/internal/emul/result.go
+++ b/internal/emul/result.go
@@ -12,48 +12,48 @@
 	"arrowwalk/internal/rules"
 )
 
-// Second is what became of the requests that were born in one second.
-type Second struct {
-	Due     float64 `json:"due"` // worth
-	Got     float64 `json:"got"`
-	Served  int     `json:"served"`
-	Refused int     `json:"refused"`
-	Failed  int     `json:"failed"`
-	Late    int     `json:"late"` // served after the aim
+// SecondTotals is what became of the requests that were born in one second.
+type SecondTotals struct {
+	MaxWorth    float64 `json:"due"` // worth
+	EarnedWorth float64 `json:"got"`
+	Served      int     `json:"served"`
+	Refused     int     `json:"refused"`
+	Failed      int     `json:"failed"`
+	Late        int     `json:"late"` // served after the aim
 }
 
 // Sample is a look at the bricks and at volumes' quadrants.
 type Sample struct {
-	At     float64        `json:"at"` // seconds
-	Queue  []int          `json:"queue"`
-	Out    []int          `json:"out"`
-	Worlds map[string]int `json:"quadrants,omitempty"`
+	At        float64        `json:"at"` // seconds
+	Queued    []int          `json:"queue"`
+	InFlight  []int          `json:"out"`
+	Quadrants map[string]int `json:"quadrants,omitempty"`
 }
 
-// Part is what became of the requests of one class, plan or volume.
-type Part struct {
-	Due float64 `json:"due"`
-	Got float64 `json:"got"`
+// WorthTotals is what became of the requests of one class, plan or volume.
+type WorthTotals struct {
+	MaxWorth    float64 `json:"due"`
+	EarnedWorth float64 `json:"got"`
 }
 
 // Result is what came of a run. All but the trace is in the JSON.
 type Result struct {
-	Scenario string             `json:"scenario"`
-	Seed     uint64             `json:"seed"`
-	Policy   string             `json:"policy"`
-	Hash     string             `json:"hash"` // of all sends and answers
-	Events   int64              `json:"events"`
-	Figures  map[string]float64 `json:"figures"`
-	Plans    map[string]*Part   `json:"plans"`
-	Seconds  []Second           `json:"seconds"`
-	Samples  []Sample           `json:"samples"`
-	Latency  [][2]float64       `json:"latency"` // milliseconds and part of the requests
-	Rules    []string           `json:"rules"`
-	Broken   []string           `json:"broken,omitempty"`
-	Fallen   []string           `json:"fallen,omitempty"`
+	Scenario        string                  `json:"scenario"`
+	Seed            uint64                  `json:"seed"`
+	Policy          string                  `json:"policy"`
+	Hash            string                  `json:"hash"` // of all sends and answers
+	Events          int64                   `json:"events"`
+	Figures         map[string]float64      `json:"figures"`
+	Plans           map[string]*WorthTotals `json:"plans"`
+	Seconds         []SecondTotals          `json:"seconds"`
+	Samples         []Sample                `json:"samples"`
+	Latency         [][2]float64            `json:"latency"` // milliseconds and part of the requests
+	Rules           []string                `json:"rules"`
+	Violations      []string                `json:"broken,omitempty"`
+	CollapsedBricks []string                `json:"fallen,omitempty"`
 
-	Trace   *rules.Trace    `json:"-"`
-	Checked []rules.Verdict `json:"-"`
+	Trace        *rules.Trace    `json:"-"`
+	RuleVerdicts []rules.Verdict `json:"-"`
 
 	work, wasted float64
 	hist         *hdrhistogram.Histogram
@@ -62,21 +62,21 @@
 
 func (r *Result) init(s *scenario.Scenario) {
 	r.Scenario, r.Seed, r.Policy = s.Name, s.Seed, s.Policy
-	r.Seconds = make([]Second, int(math.Ceil(s.Seconds))+1)
-	r.Plans = map[string]*Part{}
+	r.Seconds = make([]SecondTotals, int(math.Ceil(s.Seconds))+1)
+	r.Plans = map[string]*WorthTotals{}
 	for _, p := range s.Load.Plans {
-		r.Plans[p.Name] = &Part{}
+		r.Plans[p.Name] = &WorthTotals{}
 	}
 	r.hist = hdrhistogram.New(1, 600_000_000, 3)
 }
 
-func (r *Result) second(at int64) *Second {
+func (r *Result) second(at int64) *SecondTotals {
 	return &r.Seconds[min(int((at-base)/1_000_000), len(r.Seconds)-1)]
 }
 
 // worth is what a request is worth when it is answered within its aim.
 func (s *Sim) worth(q *request) float64 {
-	return s.class(q).Worth * s.s.Load.Plans[q.volume.plan].Worth * q.units / s.s.MeanUnits()
+	return s.class(q).Worth * s.s.Load.Plans[q.volume.plan].WorthFactor * q.units / s.s.MeanUnits()
 }
 
 func (s *Sim) class(q *request) *scenario.Class {
@@ -89,8 +89,8 @@
 // due counts a client's first try, into the second in which it was born.
 func (r *Result) due(s *Sim, q *request) {
 	w := s.worth(q)
-	r.second(q.born).Due += w
-	r.Plans[s.s.Load.Plans[q.volume.plan].Name].Due += w
+	r.second(q.born).MaxWorth += w
+	r.Plans[s.s.Load.Plans[q.volume.plan].Name].MaxWorth += w
 	q.volume.due += w
 	r.all++
 }
@@ -106,8 +106,8 @@
 	} else {
 		r.inTime++
 	}
-	sec.Got += w
-	r.Plans[s.s.Load.Plans[q.volume.plan].Name].Got += w
+	sec.EarnedWorth += w
+	r.Plans[s.s.Load.Plans[q.volume.plan].Name].EarnedWorth += w
 	q.volume.got += w
 }
 
@@ -121,18 +121,18 @@
 
 // sample notes figures once a second.
 func (s *Sim) sample() {
-	one := Sample{At: float64(s.now-base) / 1e6, Worlds: map[string]int{}}
+	one := Sample{At: float64(s.now-base) / 1e6, Quadrants: map[string]int{}}
 	for shard := range s.shards {
 		queue, out := 0, 0
 		if i := s.shards[shard]; i >= 0 {
-			queue = s.bricks[i].Waiting()
+			queue = s.bricks[i].QueueLen()
 		}
-		one.Queue, one.Out = append(one.Queue, queue), append(one.Out, out)
+		one.Queued, one.InFlight = append(one.Queued, queue), append(one.InFlight, out)
 	}
 	for _, h := range s.hosts {
 		for _, q := range h.requests {
 			if at := q.running; at != nil {
-				one.Out[s.bricks[at.brick].Shard]++
+				one.InFlight[s.bricks[at.brick].Shard]++
 			}
 		}
 		viewer, ok := h.decider.(interface {
@@ -141,7 +141,7 @@
 		if ok && h.up && h.id < 8 {
 			_, volumes := viewer.View()
 			for _, v := range volumes {
-				one.Worlds[v.Quadrant]++
+				one.Quadrants[v.Quadrant]++
 			}
 		}
 	}
@@ -161,7 +161,7 @@
 	var due, got float64
 	var served, refused, failed int
 	for _, sec := range r.Seconds {
-		due, got = due+sec.Due, got+sec.Got
+		due, got = due+sec.MaxWorth, got+sec.EarnedWorth
 		served, refused, failed = served+sec.Served, refused+sec.Refused, failed+sec.Failed
 	}
 	all := float64(max(1, served+refused+failed))
@@ -173,11 +173,11 @@
 	f["recover_s"] = s.recovery()
 	f["jain"] = jain(s.volumes)
 	for _, b := range s.bricks {
-		if b.Fallen {
-			r.Fallen = append(r.Fallen, b.Name)
+		if b.Collapsed {
+			r.CollapsedBricks = append(r.CollapsedBricks, b.Name)
 		}
 	}
-	f["fallen"] = float64(len(r.Fallen))
+	f["fallen"] = float64(len(r.CollapsedBricks))
 	r.Figures = f
 	for q := 0.5; q < 100; q += 0.5 {
 		r.Latency = append(r.Latency, [2]float64{float64(r.hist.ValueAtQuantile(q)) / 1000, q / 100})
@@ -188,18 +188,18 @@
 
 func (s *Sim) check(r *Result) {
 	b := &s.s.Site.Brick
-	s.trace.Figures = rules.Figures{Slack: slack, DrainGrace: int64(s.s.Site.Grace) * 1000, Window: int64(s.s.Site.Window) * 1000,
-		ColdFrom: b.ColdFrom, WarmWithin: int64(b.WarmMS) * 1000, ColdMultiple: b.Multiple, ColdSpan: 1_000_000, ColdUnits: b.ColdUnits}
+	s.trace.Figures = rules.Figures{Slack: slack, DrainGrace: int64(s.s.Site.DrainGraceMS) * 1000, Window: int64(s.s.Site.DedupWindowMS) * 1000,
+		ColdFrom: b.ColdCapacity, WarmWithin: int64(b.WarmUpMS) * 1000, ColdMultiple: b.ColdMultiple, ColdSpan: 1_000_000, ColdUnits: b.ColdUnits}
 	r.Trace = &s.trace
-	r.Checked = rules.Check(&s.trace)
-	for _, v := range r.Checked {
+	r.RuleVerdicts = rules.Check(&s.trace)
+	for _, v := range r.RuleVerdicts {
 		r.Rules = append(r.Rules, v.String())
-		r.Broken = append(r.Broken, v.Broken...)
+		r.Violations = append(r.Violations, v.Broken...)
 	}
 }
 
 // worst returns the service of the worst span of seconds.
-func worst(list []Second, span int) float64 {
+func worst(list []SecondTotals, span int) float64 {
 	least := 1.0
 	for i := 0; i+span <= len(list); i++ {
 		least = min(least, service(list[i:i+span]))
@@ -207,10 +207,10 @@
 	return least
 }
 
-func service(list []Second) float64 {
+func service(list []SecondTotals) float64 {
 	var due, got float64
 	for _, sec := range list {
-		due, got = due+sec.Due, got+sec.Got
+		due, got = due+sec.MaxWorth, got+sec.EarnedWorth
 	}
 	if due == 0 {
 		return 1
@@ -252,41 +252,41 @@
 	return sum * sum / (n * squares)
 }
 
-// Verdict is a claim with what came of it.
-type Verdict struct {
-	Text string
-	Good bool
+// ClaimResult is a claim with what came of it.
+type ClaimResult struct {
+	Text  string
+	Holds bool
 }
 
-// Claims judges the scenario's claims.
-func (r *Result) Claims(s *scenario.Scenario) []Verdict {
-	var out []Verdict
+// CheckClaims judges the scenario's claims.
+func (r *Result) CheckClaims(s *scenario.Scenario) []ClaimResult {
+	var out []ClaimResult
 	for _, c := range s.Claims {
 		if c.Figure != "" {
 			v := r.Figures[c.Figure]
 			text := fmt.Sprintf("claim %s %.3f", c.Figure, v)
 			good := true
-			if c.Least != nil {
-				text += fmt.Sprintf(", at least %g", *c.Least)
-				good = good && v >= *c.Least
+			if c.Min != nil {
+				text += fmt.Sprintf(", at least %g", *c.Min)
+				good = good && v >= *c.Min
 			}
-			if c.Most != nil {
-				text += fmt.Sprintf(", at most %g", *c.Most)
-				good = good && v <= *c.Most
+			if c.Max != nil {
+				text += fmt.Sprintf(", at most %g", *c.Max)
+				good = good && v <= *c.Max
 			}
-			out = append(out, Verdict{text, good})
+			out = append(out, ClaimResult{text, good})
 			continue
 		}
-		for _, v := range r.Checked {
+		for _, v := range r.RuleVerdicts {
 			if c.Rule == "all" || c.Rule == v.Rule {
-				out = append(out, Verdict{v.String(), v.Count == 0})
+				out = append(out, ClaimResult{v.String(), v.Count == 0})
 			}
 		}
 	}
 	return out
 }
 
-// Good tells whether all claims hold.
-func (r *Result) Good(s *scenario.Scenario) bool {
-	return !slices.ContainsFunc(r.Claims(s), func(v Verdict) bool { return !v.Good })
+// ClaimsHold tells whether all claims hold.
+func (r *Result) ClaimsHold(s *scenario.Scenario) bool {
+	return !slices.ContainsFunc(r.CheckClaims(s), func(v ClaimResult) bool { return !v.Holds })
 }
--- a/internal/emul/scenario/scenario.go
+++ b/internal/emul/scenario/scenario.go
@@ -35,44 +35,44 @@
 
 // Site is hosts, bricks and what is between them.
 type Site struct {
-	Hosts   int     `json:"hosts"`
-	Zones   int     `json:"zones"`
-	Bricks  int     `json:"bricks"` // one for each shard at first
-	Brick   Brick   `json:"brick"`
-	DelayUS [2]int  `json:"delay_us"`        // one way, from least to most
-	Loss    float64 `json:"loss,omitempty"`  // of messages: the attempt hears nothing
-	ListMS  [2]int  `json:"list_ms"`         // how late a host hears of the node list
-	SkewMS  int     `json:"skew_ms"`         // clocks of hosts are off by as much, either way
-	Window  int     `json:"window_ms"`       // for which a zone drops repeats
-	Grace   int     `json:"drain_grace_ms"`  // for sends after a drain was told
-	MeterMS int     `json:"meter_ms"`        // period of the figures of use in answers
-	Found   string  `json:"found,omitempty"` // for how old hosts take what they find after a stall
-	Guard   string  `json:"guard,omitempty"` // a guard taken out, so that claims are seen to fail: cold or drains
+	Hosts         int     `json:"hosts"`
+	Zones         int     `json:"zones"`
+	Bricks        int     `json:"bricks"` // one for each shard at first
+	Brick         Brick   `json:"brick"`
+	DelayUS       [2]int  `json:"delay_us"`        // one way, from least to most
+	Loss          float64 `json:"loss,omitempty"`  // of messages: the attempt hears nothing
+	ListMS        [2]int  `json:"list_ms"`         // how late a host hears of the node list
+	SkewMS        int     `json:"skew_ms"`         // clocks of hosts are off by as much, either way
+	DedupWindowMS int     `json:"window_ms"`       // for which a zone drops repeats
+	DrainGraceMS  int     `json:"drain_grace_ms"`  // for sends after a drain was told
+	UsagePeriodMS int     `json:"meter_ms"`        // period of the figures of use in answers
+	BacklogAge    string  `json:"found,omitempty"` // for how old hosts take what they find after a stall
+	DisabledGuard string  `json:"guard,omitempty"` // a guard taken out, so that claims are seen to fail: cold or drains
 }
 
 // What Found may be.
 const (
-	FoundAge   = "age"   // as old as it is, which the kernel tells; the same as ""
-	FoundHalf  = "half"  // half as old as the stall
-	FoundFresh = "fresh" // as if it had just come
+	BacklogAgeExact = "age"   // as old as it is, which the kernel tells; the same as ""
+	BacklogAgeHalf  = "half"  // half as old as the stall
+	BacklogAgeZero  = "fresh" // as if it had just come
 )
 
-// TellsAge tells whether hosts know how old what they find after a stall is.
-func (s *Site) TellsAge() bool { return s.Found == "" || s.Found == FoundAge }
+// KnowsBacklogAge tells whether hosts know how old what they find after a stall is.
+func (s *Site) KnowsBacklogAge() bool { return s.BacklogAge == "" || s.BacklogAge == BacklogAgeExact }
 
 // Brick is what bricks are like.
 type Brick struct {
-	Cores      int        `json:"cores"`
-	Speed      [2]float64 `json:"speed"`
-	Queue      int        `json:"queue"`
-	CacheItems int        `json:"cache_items"`
-	CacheSaves float64    `json:"cache_saves"`
-	PutOff     float64    `json:"put_off"`
-	PutOffMS   int        `json:"put_off_ms"`
-	ColdFrom   float64    `json:"cold_from"`
-	WarmMS     int        `json:"warm_ms"`
-	Multiple   float64    `json:"cold_multiple"`
-	ColdUnits  float64    `json:"cold_units"`
+	Cores              int        `json:"cores"`
+	Speed              [2]float64 `json:"speed"`
+	MaxQueue           int        `json:"queue"`
+	CacheItems         int        `json:"cache_items"`
+	CacheSavings       float64    `json:"cache_saves"`
+	DeferredFraction   float64    `json:"put_off"`
+	DeferredIntervalMS int        `json:"put_off_ms"`
+	ColdCapacity       float64    `json:"cold_from"`
+	WarmUpMS           int        `json:"warm_ms"`
+	ColdMultiple       float64    `json:"cold_multiple"`
+	ColdUnits          float64    `json:"cold_units"`
 }
 
 // Class is one of the two kinds of request.
@@ -87,55 +87,55 @@
 
 // Plan is a kind of volume.
 type Plan struct {
-	Name     string  `json:"name"`
-	Share    float64 `json:"share"`   // of the volumes
-	Size     float64 `json:"size"`    // times the smallest rate
-	Reserve  float64 `json:"reserve"` // part of its rate
-	Weight   float64 `json:"weight"`
-	Worth    float64 `json:"worth"`
-	Shards   [2]int  `json:"shards"`
-	Hosts    [2]int  `json:"hosts"`
-	Greedy   float64 `json:"greedy,omitempty"` // share of its volumes that ask for
-	GreedyBy float64 `json:"greedy_by,omitempty"`
+	Name         string  `json:"name"`
+	Share        float64 `json:"share"`   // of the volumes
+	Size         float64 `json:"size"`    // times the smallest rate
+	Reserve      float64 `json:"reserve"` // part of its rate
+	Weight       float64 `json:"weight"`
+	WorthFactor  float64 `json:"worth"`
+	Shards       [2]int  `json:"shards"`
+	Hosts        [2]int  `json:"hosts"`
+	GreedyShare  float64 `json:"greedy,omitempty"` // share of its volumes that ask for
+	GreedyFactor float64 `json:"greedy_by,omitempty"`
 }
 
 // Load is what clients ask for.
 type Load struct {
-	Of      float64 `json:"of"` // of what warm bricks can do
-	Volumes int     `json:"volumes"`
-	Plans   []Plan  `json:"plans"`
-	Read    Class   `json:"read"`
-	Write   Class   `json:"write"`
-	Units   [2]int  `json:"units"` // of a request
-	Retries int     `json:"retries"`
-	RetryMS [2]int  `json:"retry_ms"`
-	HotMS   int     `json:"hot_ms"` // how often a volume's busiest host changes
+	Utilization     float64 `json:"of"` // of what warm bricks can do
+	Volumes         int     `json:"volumes"`
+	Plans           []Plan  `json:"plans"`
+	Read            Class   `json:"read"`
+	Write           Class   `json:"write"`
+	Units           [2]int  `json:"units"` // of a request
+	Retries         int     `json:"retries"`
+	RetryMS         [2]int  `json:"retry_ms"`
+	HotHostPeriodMS int     `json:"hot_ms"` // how often a volume's busiest host changes
 }
 
 // Event is a trouble that begins at a time.
 type Event struct {
-	At      float64 `json:"at"`
-	For     float64 `json:"for,omitempty"`
-	Kind    string  `json:"kind"`
-	Share   float64 `json:"share,omitempty"`    // of the bricks, hosts or volumes that it meets
-	Count   int     `json:"count,omitempty"`    // or how many
-	By      float64 `json:"by,omitempty"`       // how much
-	EveryMS int     `json:"every_ms,omitempty"` // for what comes again and again
-	MS      int     `json:"ms,omitempty"`
-	Zone    int     `json:"zone,omitempty"` // for what meets one zone, from 0
-	Plan    string  `json:"plan,omitempty"`
+	At         float64 `json:"at"`
+	Duration   float64 `json:"for,omitempty"`
+	Kind       string  `json:"kind"`
+	Share      float64 `json:"share,omitempty"`    // of the bricks, hosts or volumes that it meets
+	Count      int     `json:"count,omitempty"`    // or how many
+	Factor     float64 `json:"by,omitempty"`       // how much
+	IntervalMS int     `json:"every_ms,omitempty"` // for what comes again and again
+	LengthMS   int     `json:"ms,omitempty"`
+	Zone       int     `json:"zone,omitempty"` // for what meets one zone, from 0
+	Plan       string  `json:"plan,omitempty"`
 }
 
 // Claim is what must hold of the day.
 type Claim struct {
 	Rule   string   `json:"rule,omitempty"`   // a rule's name, or "all"
 	Figure string   `json:"figure,omitempty"` // a figure's name
-	Least  *float64 `json:"least,omitempty"`
-	Most   *float64 `json:"most,omitempty"`
+	Min    *float64 `json:"least,omitempty"`
+	Max    *float64 `json:"most,omitempty"`
 }
 
-// Kinds are the troubles that a timeline may have, with what they mean.
-var Kinds = map[string]string{
+// EventKinds are the troubles that a timeline may have, with what they mean.
+var EventKinds = map[string]string{
 	"slow":         "bricks run BY times slower",
 	"still":        "bricks stand still for MS every EVERY_MS",
 	"fail":         "bricks fail the part BY of their requests at once",
@@ -228,7 +228,7 @@
 	}
 	for i, e := range s.Timeline {
 		field := fmt.Sprintf("timeline/%d", i)
-		if _, ok := Kinds[e.Kind]; !ok {
+		if _, ok := EventKinds[e.Kind]; !ok {
 			return bad(field+"/kind", e.Kind, "is not known")
 		}
 		if e.At > s.Seconds {
@@ -242,7 +242,7 @@
 		if (c.Rule == "") == (c.Figure == "") {
 			return bad(fmt.Sprintf("claims/%d", i), c, "must name a rule or a figure")
 		}
-		if c.Figure != "" && !slices.Contains(Figures, c.Figure) {
+		if c.Figure != "" && !slices.Contains(FigureNames, c.Figure) {
 			return bad(fmt.Sprintf("claims/%d/figure", i), c.Figure, "is not known")
 		}
 	}
@@ -251,8 +251,8 @@
 
 func pair(p [2]int) [2]float64 { return [2]float64{float64(p[0]), float64(p[1])} }
 
-// Figures are the names of the figures that a run has.
-var Figures = []string{"service", "served", "refused", "failed", "in_time", "p50_ms", "p99_ms", "fallen", "wasted", "jain", "recover_s", "worst_10s"}
+// FigureNames are the names of the figures that a run has.
+var FigureNames = []string{"service", "served", "refused", "failed", "in_time", "p50_ms", "p99_ms", "fallen", "wasted", "jain", "recover_s", "worst_10s"}
 
 // Load reads a scenario of the library by its name, or a file.
 func Find(name string) (*Scenario, error) {
@@ -284,16 +284,16 @@
 // Default returns a small site on a quiet day.
 func Default() *Scenario {
 	return &Scenario{Name: "quiet", Seed: 1, Seconds: 20, Policy: "module",
-		Site: Site{Hosts: 12, Zones: 3, Bricks: 6, DelayUS: [2]int{200, 1200}, ListMS: [2]int{20, 300}, Window: 4000, Grace: 500, MeterMS: 1000,
-			Brick: Brick{Cores: 2, Speed: [2]float64{0.7, 1.1}, Queue: 64, CacheItems: 3, CacheSaves: 0.4, PutOff: 0.35, PutOffMS: 2300,
-				ColdFrom: 0.23, WarmMS: 15000, Multiple: 4, ColdUnits: 12}},
-		Load: Load{Of: 0.6, Volumes: 30, Units: [2]int{1, 6}, Retries: 1, RetryMS: [2]int{200, 600}, HotMS: 12000,
+		Site: Site{Hosts: 12, Zones: 3, Bricks: 6, DelayUS: [2]int{200, 1200}, ListMS: [2]int{20, 300}, DedupWindowMS: 4000, DrainGraceMS: 500, UsagePeriodMS: 1000,
+			Brick: Brick{Cores: 2, Speed: [2]float64{0.7, 1.1}, MaxQueue: 64, CacheItems: 3, CacheSavings: 0.4, DeferredFraction: 0.35, DeferredIntervalMS: 2300,
+				ColdCapacity: 0.23, WarmUpMS: 15000, ColdMultiple: 4, ColdUnits: 12}},
+		Load: Load{Utilization: 0.6, Volumes: 30, Units: [2]int{1, 6}, Retries: 1, RetryMS: [2]int{200, 600}, HotHostPeriodMS: 12000,
 			Read:  Class{Share: 0.65, WorkMS: 44, AimMS: 400, DeadlineMS: 2500, Worth: 2, LateWorth: 0.18},
 			Write: Class{Share: 0.35, WorkMS: 56, AimMS: 500, DeadlineMS: 2500, Worth: 2, LateWorth: 0.18},
 			Plans: []Plan{
-				{Name: "basic", Share: 0.5, Size: 1, Weight: 1, Worth: 0.8, Shards: [2]int{2, 6}, Hosts: [2]int{1, 3}, Greedy: 0.25, GreedyBy: 3},
-				{Name: "campus", Share: 0.3, Size: 2, Reserve: 1, Weight: 1, Worth: 0.9, Shards: [2]int{2, 6}, Hosts: [2]int{1, 3}, Greedy: 0.2, GreedyBy: 2},
-				{Name: "university", Share: 0.2, Size: 4, Reserve: 1.2, Weight: 1, Worth: 1.4, Shards: [2]int{1, 4}, Hosts: [2]int{3, 8}},
+				{Name: "basic", Share: 0.5, Size: 1, Weight: 1, WorthFactor: 0.8, Shards: [2]int{2, 6}, Hosts: [2]int{1, 3}, GreedyShare: 0.25, GreedyFactor: 3},
+				{Name: "campus", Share: 0.3, Size: 2, Reserve: 1, Weight: 1, WorthFactor: 0.9, Shards: [2]int{2, 6}, Hosts: [2]int{1, 3}, GreedyShare: 0.2, GreedyFactor: 2},
+				{Name: "university", Share: 0.2, Size: 4, Reserve: 1.2, Weight: 1, WorthFactor: 1.4, Shards: [2]int{1, 4}, Hosts: [2]int{3, 8}},
 			}}}
 }
 
@@ -306,9 +306,9 @@
 	return (l.Read.Share*l.Read.WorkMS + l.Write.Share*l.Write.WorkMS) * 1000 / s.MeanUnits()
 }
 
-// Config returns the settings of a gateway of the site, as the real host takes
+// GatewayConfig returns the settings of a gateway of the site, as the real host takes
 // them. rates are the plans' units a second, by plan.
-func (s *Scenario) Config(host int, rates []float64) *config.Config {
+func (s *Scenario) GatewayConfig(host int, rates []float64) *config.Config {
 	c := config.Default()
 	c.Shards = s.Site.Bricks
 	c.Host = config.Host{Number: host, Count: s.Site.Hosts, Zone: fmt.Sprint("zone-", host%s.Site.Zones), Seed: s.Seed*1000 + uint64(host)}
@@ -318,18 +318,18 @@
 	}
 	c.Plans = nil
 	for i, p := range s.Load.Plans {
-		c.Plans = append(c.Plans, config.Plan{Name: p.Name, Rate: rates[i], Reserve: p.Reserve * rates[i], Weight: p.Weight, WorthFactor: p.Worth})
+		c.Plans = append(c.Plans, config.Plan{Name: p.Name, Rate: rates[i], Reserve: p.Reserve * rates[i], Weight: p.Weight, WorthFactor: p.WorthFactor})
 	}
 	class := func(x Class) config.Class {
 		return config.Class{AimMS: x.AimMS, DeadlineMS: x.DeadlineMS, Worth: x.Worth, LateWorth: x.LateWorth}
 	}
 	c.Classes.Read, c.Classes.Write = class(s.Load.Read), class(s.Load.Write)
-	c.Classes.Write.WindowMS = s.Site.Window
+	c.Classes.Write.WindowMS = s.Site.DedupWindowMS
 	b := s.Site.Brick
-	c.Rules.DrainGraceMS, c.Rules.ColdFrom, c.Rules.WarmWithinMS = s.Site.Grace, b.ColdFrom, b.WarmMS
-	c.Rules.ColdMultiple, c.Rules.ColdSpanMS, c.Rules.ColdUnits = b.Multiple, 1000, b.ColdUnits
-	c.Rules.ResendSpanMS, c.MeterMS = 0, s.Site.MeterMS
-	if s.Site.Guard == "cold" {
+	c.Rules.DrainGraceMS, c.Rules.ColdFrom, c.Rules.WarmWithinMS = s.Site.DrainGraceMS, b.ColdCapacity, b.WarmUpMS
+	c.Rules.ColdMultiple, c.Rules.ColdSpanMS, c.Rules.ColdUnits = b.ColdMultiple, 1000, b.ColdUnits
+	c.Rules.ResendSpanMS, c.MeterMS = 0, s.Site.UsagePeriodMS
+	if s.Site.DisabledGuard == "cold" {
 		c.Rules.WarmWithinMS, c.Rules.ColdUnits = 0, 0
 	}
 	return c
--- a/internal/emul/sim.go
+++ b/internal/emul/sim.go
@@ -68,8 +68,8 @@
 	bricks  []*brickSim
 	names   map[arrowwalk.NodeID]*brickSim
 	shards  []int // the brick that serves each; -1: none
-	zones   []*model.Keys
-	figures model.Figures
+	zones   []*model.DedupCache
+	figures model.Params
 	volumes []*volume
 	rates   []float64 // of the plans, units a second
 	lists   []list    // each version of the node list
@@ -112,12 +112,12 @@
 	s := &Sim{s: &c, now: base, end: base + int64(c.Seconds*1e6), digest: xxhash.New(), surge: 1, cutZone: -1,
 		net: source(c.Seed, 1), odd: source(c.Seed, 2), names: map[arrowwalk.NodeID]*brickSim{}, lossOf: map[int]float64{}, blocked: map[int]bool{}}
 	b := &c.Site.Brick
-	s.figures = model.Figures{Cores: b.Cores, Queue: b.Queue, CacheItems: b.CacheItems, CacheSaves: b.CacheSaves, PutOff: b.PutOff,
-		PutOffEvery: int64(b.PutOffMS) * 1000, ColdFrom: b.ColdFrom, WarmWithin: int64(b.WarmMS) * 1000, Multiple: b.Multiple,
-		Span: 1_000_000, Units: b.ColdUnits, UnitCost: c.UnitCost(), Window: int64(c.Site.Window) * 1000}
+	s.figures = model.Params{Cores: b.Cores, MaxQueue: b.MaxQueue, CacheItems: b.CacheItems, CacheSavings: b.CacheSavings, DeferredFraction: b.DeferredFraction,
+		DeferredInterval: int64(b.DeferredIntervalMS) * 1000, ColdCapacity: b.ColdCapacity, WarmUpTime: int64(b.WarmUpMS) * 1000, OverloadFactor: b.ColdMultiple,
+		OverloadWindow: 1_000_000, MinOverloadUnits: b.ColdUnits, UnitCost: c.UnitCost(), DedupWindow: int64(c.Site.DedupWindowMS) * 1000}
 	s.result.init(&c)
 	for range c.Site.Zones {
-		s.zones = append(s.zones, model.NewKeys())
+		s.zones = append(s.zones, model.NewDedupCache())
 	}
 	for shard := range c.Site.Bricks {
 		s.shards = append(s.shards, s.addBrick(shard, shard%c.Site.Zones, 0))
@@ -132,7 +132,7 @@
 		}
 	}
 	s.plan()
-	s.push(base+int64(c.Site.MeterMS)*1000, event{kind: evMeter})
+	s.push(base+int64(c.Site.UsagePeriodMS)*1000, event{kind: evMeter})
 	s.push(base, event{kind: evSample})
 	for i := range s.volumes {
 		s.push(base+s.gap(s.volumes[i]), event{kind: evNext, who: int32(i)})
@@ -160,7 +160,7 @@
 	if started > 0 {
 		s.trace.Capacities = append(s.trace.Capacities, rules.Capacity{Brick: b.Name, Started: started, UnitsPerSec: b.Capacity()})
 	}
-	s.push(s.now+s.figures.PutOffEvery, event{kind: evOwn, who: int32(i)})
+	s.push(s.now+s.figures.DeferredInterval, event{kind: evOwn, who: int32(i)})
 	return i
 }
 
@@ -236,40 +236,40 @@
 	s.trace.Arrivals = append(s.trace.Arrivals, rules.Arrival{At: s.now, Ended: s.now, Brick: b.Name, Zone: fmt.Sprint("zone-", b.Zone), Started: b.Started,
 		Request: fmt.Sprintf("%s.%d", at.task(), at.number), Host: r.host, Method: method, Space: "objects", Name: r.name(), Volume: uint64(r.volume.number),
 		Units: r.units, Key: key})
-	j := &model.Job{Units: r.units, Cost: r.cost, Write: r.class == classWrite, Item: r.item, First: at.number == 0}
+	j := &model.Job{Units: r.units, Work: r.cost, Write: r.class == classWrite, Item: r.item, FirstAttempt: at.number == 0}
 	if j.Write {
 		j.Key = r.id<<8 | uint64(r.tries)
 	}
 	b.units += r.units
-	switch b.Arrive(s.now, j, b.rnd.Float64()) {
-	case model.Full:
+	switch b.Admit(s.now, j, b.rnd.Float64()) {
+	case model.QueueFull:
 		s.answer(b, at, arrowwalk.Overloaded)
-	case model.Fails:
+	case model.Failed:
 		s.answer(b, at, arrowwalk.Failed)
-	case model.Repeat:
+	case model.Duplicate:
 		s.trace.Arrivals[at.arrival].Repeat = true
 		s.answer(b, at, arrowwalk.OK)
-	case model.Taken:
+	case model.Accepted:
 		b.seq++
-		j.Ref = b.seq
-		b.jobs[j.Ref] = at
+		j.ID = b.seq
+		b.jobs[j.ID] = at
 		at.job = j
 		s.startJobs(b)
 	}
 }
 
 func (s *Sim) startJobs(b *brickSim) {
-	for j := b.Start(s.now); j != nil; j = b.Start(s.now) {
-		if j.Own() {
-			s.push(j.End, event{kind: evDone, who: int32(b.number), n: -1, at: &attempt{job: j}})
+	for j := b.StartNext(s.now); j != nil; j = b.StartNext(s.now) {
+		if j.IsBackground() {
+			s.push(j.FinishAt, event{kind: evDone, who: int32(b.number), n: -1, at: &attempt{job: j}})
 		} else {
-			s.push(j.End, event{kind: evDone, who: int32(b.number), n: int64(j.Ref), at: b.jobs[j.Ref]})
+			s.push(j.FinishAt, event{kind: evDone, who: int32(b.number), n: int64(j.ID), at: b.jobs[j.ID]})
 		}
 	}
 }
 
 func (s *Sim) done(b *brickSim, ref int32, at *attempt) {
-	again, gone := b.Done(s.now, at.job)
+	again, gone := b.Finish(s.now, at.job)
 	switch {
 	case gone:
 		return
@@ -288,7 +288,7 @@
 			a.Stored = true
 		}
 		r.volume.served += r.units
-		at.others = b.Others(uint32(r.volume.number), int32(r.host), r.units)
+		at.others = b.RecordServed(uint32(r.volume.number), int32(r.host), r.units)
 		s.answer(b, at, arrowwalk.OK)
 	}
 	s.startJobs(b)
@@ -296,11 +296,11 @@
 
 // own has a brick look whether put-off work is due.
 func (s *Sim) own(b *brickSim) {
-	if b.Dead || b.Fallen {
+	if b.Dead || b.Collapsed {
 		return
 	}
 	s.startJobs(b)
-	s.push(s.now+s.figures.PutOffEvery, event{kind: evOwn, who: int32(b.number)})
+	s.push(s.now+s.figures.DeferredInterval, event{kind: evOwn, who: int32(b.number)})
 }
 
 // answer sends a brick's answer back.
@@ -326,16 +326,16 @@
 // meter ends a period of the figures of use.
 func (s *Sim) meter() {
 	for _, v := range s.volumes {
-		rate := s.rates[v.plan] * float64(s.s.Site.MeterMS) / 1000
+		rate := s.rates[v.plan] * float64(s.s.Site.UsagePeriodMS) / 1000
 		v.last = 1 + 100*v.served/rate
 		v.served = 0
 	}
 	s.push(s.now+300_000+s.lateBy, event{kind: evTold})
-	s.push(s.now+int64(s.s.Site.MeterMS)*1000, event{kind: evMeter})
+	s.push(s.now+int64(s.s.Site.UsagePeriodMS)*1000, event{kind: evMeter})
 }
 
-// Rates returns the plans' units a second.
-func (s *Sim) Rates() []float64 { return s.rates }
+// PlanRates returns the plans' units a second.
+func (s *Sim) PlanRates() []float64 { return s.rates }
 
 // VolumeView is a volume as it was drawn.
 type VolumeView struct {
@@ -354,8 +354,8 @@
 	return out
 }
 
-// Speeds returns the speed of a core of each brick that serves a shard.
-func (s *Sim) Speeds() []float64 {
+// BrickSpeeds returns the speed of a core of each brick that serves a shard.
+func (s *Sim) BrickSpeeds() []float64 {
 	var out []float64
 	for _, i := range s.shards {
 		out = append(out, s.bricks[i].Speed)
--- a/internal/emul/troubles.go
+++ b/internal/emul/troubles.go
@@ -12,8 +12,8 @@
 	s.first = s.end
 	for i := range s.s.Timeline {
 		e := &s.s.Timeline[i]
-		at, span := base+int64(e.At*1e6), int64(e.For*1e6)
-		over := at + span + int64(e.MS)*1000
+		at, span := base+int64(e.At*1e6), int64(e.Duration*1e6)
+		over := at + span + int64(e.LengthMS)*1000
 		if e.Kind == "replace" {
 			over += 2_000_000
 		}
@@ -52,23 +52,23 @@
 		list := s.serving(e)
 		s.every(e, until, func() {
 			for _, b := range list {
-				b.Pause(s.now, int64(e.MS)*1000)
+				b.Pause(s.now, int64(e.LengthMS)*1000)
 			}
 		})
 	case "replace":
 		for _, b := range s.serving(e) {
-			s.replace(b, int64(e.For*1e6))
+			s.replace(b, int64(e.Duration*1e6))
 		}
 	case "surge":
-		s.surge *= e.By
-		s.at(until, func() { s.surge /= e.By })
+		s.surge *= e.Factor
+		s.at(until, func() { s.surge /= e.Factor })
 	case "heavy":
 		s.beginHeavy(e, until)
 	case "impatient":
 		s.hasty = e
 		s.at(until, func() { s.hasty = nil })
 	case "late_reports":
-		s.lateBy = int64(e.MS) * 1000
+		s.lateBy = int64(e.LengthMS) * 1000
 		s.at(until, func() { s.lateBy = 0 })
 	case "cut_bricks":
 		s.cutZone = e.Zone
@@ -84,13 +84,13 @@
 	for _, b := range s.serving(e) {
 		switch e.Kind {
 		case "slow":
-			b.Slow = max(1, e.By)
-			s.at(until, func() { b.Slow = 1 })
+			b.Slowdown = max(1, e.Factor)
+			s.at(until, func() { b.Slowdown = 1 })
 		case "fail":
-			b.FailOf = e.By
-			s.at(until, func() { b.FailOf = 0 })
+			b.FailureRate = e.Factor
+			s.at(until, func() { b.FailureRate = 0 })
 		case "lose":
-			s.lossOf[b.number] = e.By
+			s.lossOf[b.number] = e.Factor
 			s.at(until, func() { delete(s.lossOf, b.number) })
 		case "mute":
 			b.mute = true
@@ -102,7 +102,7 @@
 // every does something now and again until a time.
 func (s *Sim) every(e *scenario.Event, until int64, do func()) {
 	do()
-	if next := s.now + int64(e.EveryMS)*1000; e.EveryMS > 0 && next < until {
+	if next := s.now + int64(e.IntervalMS)*1000; e.IntervalMS > 0 && next < until {
 		s.at(next, func() { s.every(e, until, do) })
 	}
 }
@@ -143,7 +143,7 @@
 	}
 	list := pick(s.odd, len(s.volumes), max(1, e.Count))
 	for _, i := range list {
-		v, more := s.volumes[i], e.By*total/float64(len(list))
+		v, more := s.volumes[i], e.Factor*total/float64(len(list))
 		v.extra += more
 		s.at(until, func() { v.extra -= more })
 	}
@@ -153,11 +153,11 @@
 	for _, i := range pick(s.odd, len(s.hosts), some(e, len(s.hosts))) {
 		h := s.hosts[i]
 		if e.Kind == "crash_hosts" {
-			s.at(s.now+s.odd.Int64N(500_000), func() { s.crash(h, int64(e.MS)*1000) })
+			s.at(s.now+s.odd.Int64N(500_000), func() { s.crash(h, int64(e.LengthMS)*1000) })
 			continue
 		}
-		jitter := s.odd.Int64N(int64(e.EveryMS)*1000 + 1)
-		s.at(s.now+jitter, func() { s.every(e, until, func() { s.stall(h, int64(e.MS)*1000) }) })
+		jitter := s.odd.Int64N(int64(e.IntervalMS)*1000 + 1)
+		s.at(s.now+jitter, func() { s.every(e, until, func() { s.stall(h, int64(e.LengthMS)*1000) }) })
 	}
 }
 
--- a/internal/emul/hunt/hunt.go
+++ b/internal/emul/worstcase/hunt.go
@@ -1,6 +1,6 @@
 // Package hunt searches for bad days: random scenarios out of ranges, the worst
 // first, each shrunk to what matters.
-package hunt
+package worstcase
 
 import (
 	"cmp"
@@ -16,44 +16,44 @@
 
 // Options of a hunt.
 type Options struct {
-	Seed    uint64
-	Days    int
-	Workers int
-	Hosts   [2]int
-	Bricks  [2]int
-	Load    [2]float64
-	Events  [2]int
-	Seconds float64
-	Keep    int // of the worst days
-	Guard   string
+	Seed            uint64
+	Candidates      int
+	Workers         int
+	Hosts           [2]int
+	Bricks          [2]int
+	Utilization     [2]float64
+	EventCount      [2]int
+	DurationSeconds float64
+	MaxFindings     int // of the worst days
+	DisabledGuard   string
 }
 
-// Day is a day that was found.
-type Day struct {
-	Seed     uint64             `json:"seed"`
-	Scenario *scenario.Scenario `json:"scenario"`
-	Loss     float64            `json:"loss"` // service of the same day without its troubles, less its own
-	Broken   []string           `json:"broken,omitempty"`
-	Runs     int                `json:"runs"` // that shrinking took
+// Finding is a day that was found.
+type Finding struct {
+	Seed        uint64             `json:"seed"`
+	Scenario    *scenario.Scenario `json:"scenario"`
+	ServiceLoss float64            `json:"loss"` // service of the same day without its troubles, less its own
+	Violations  []string           `json:"broken,omitempty"`
+	ShrinkRuns  int                `json:"runs"` // that shrinking took
 }
 
-// Hunt plays random days on all workers, and returns the worst, shrunk.
-func Hunt(opt Options) ([]Day, error) {
-	days := make([]Day, opt.Days)
-	err := each(opt.Workers, opt.Days, func(i int) error {
+// Search plays random days on all workers, and returns the worst, shrunk.
+func Search(opt Options) ([]Finding, error) {
+	days := make([]Finding, opt.Candidates)
+	err := each(opt.Workers, opt.Candidates, func(i int) error {
 		seed := opt.Seed*1_000_003 + uint64(i)
-		sc := Draw(seed, &opt)
+		sc := Generate(seed, &opt)
 		loss, broken, err := judge(sc)
-		days[i] = Day{Seed: seed, Scenario: sc, Loss: loss, Broken: broken}
+		days[i] = Finding{Seed: seed, Scenario: sc, ServiceLoss: loss, Violations: broken}
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	slices.SortStableFunc(days, func(a, b Day) int {
-		return cmp.Or(cmp.Compare(min(1, len(b.Broken)), min(1, len(a.Broken))), cmp.Compare(b.Loss, a.Loss))
+	slices.SortStableFunc(days, func(a, b Finding) int {
+		return cmp.Or(cmp.Compare(min(1, len(b.Violations)), min(1, len(a.Violations))), cmp.Compare(b.ServiceLoss, a.ServiceLoss))
 	})
-	days = days[:min(opt.Keep, len(days))]
+	days = days[:min(opt.MaxFindings, len(days))]
 	err = each(opt.Workers, len(days), func(i int) error { return Shrink(&days[i]) })
 	return days, err
 }
@@ -114,22 +114,22 @@
 	{kind: "late_reports", span: [2]float64{5, 20}, ms: [2]int{1000, 4000}},
 }
 
-// Draw makes a day of a seed.
-func Draw(seed uint64, opt *Options) *scenario.Scenario {
+// Generate makes a day of a seed.
+func Generate(seed uint64, opt *Options) *scenario.Scenario {
 	rnd := rand.New(rand.NewPCG(seed, 9))
 	number := func(of [2]float64) float64 {
 		return math.Round((of[0]+rnd.Float64()*(of[1]-of[0]))*100) / 100
 	}
 	whole := func(of [2]int) int { return of[0] + rnd.IntN(max(0, of[1]-of[0])+1) }
 	s := scenario.Default()
-	s.Name, s.Seed, s.Seconds = fmt.Sprintf("hunt-%d", seed), seed%(1<<40)+1, opt.Seconds
-	s.Site.Hosts, s.Site.Bricks, s.Load.Of, s.Site.Guard = whole(opt.Hosts), whole(opt.Bricks), number(opt.Load), opt.Guard
+	s.Name, s.Seed, s.Seconds = fmt.Sprintf("hunt-%d", seed), seed%(1<<40)+1, opt.DurationSeconds
+	s.Site.Hosts, s.Site.Bricks, s.Load.Utilization, s.Site.DisabledGuard = whole(opt.Hosts), whole(opt.Bricks), number(opt.Utilization), opt.DisabledGuard
 	s.Load.Volumes = s.Site.Bricks * (4 + rnd.IntN(5))
 	s.Load.Retries = rnd.IntN(2)
-	for range whole(opt.Events) {
+	for range whole(opt.EventCount) {
 		t := troubles[rnd.IntN(len(troubles))]
-		e := scenario.Event{Kind: t.kind, At: number([2]float64{5, opt.Seconds * 0.6}), For: number(t.span), Share: number(t.share), By: number(t.by),
-			MS: whole(t.ms), EveryMS: whole(t.every)}
+		e := scenario.Event{Kind: t.kind, At: number([2]float64{5, opt.DurationSeconds * 0.6}), Duration: number(t.span), Share: number(t.share), Factor: number(t.by),
+			LengthMS: whole(t.ms), IntervalMS: whole(t.every)}
 		if t.zoned {
 			e.Zone = rnd.IntN(s.Site.Zones)
 		}
@@ -162,19 +162,19 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	return q.Figures["service"] - r.Figures["service"], r.Broken, nil
+	return q.Figures["service"] - r.Figures["service"], r.Violations, nil
 }
 
 // Shrink takes out of a day what does not matter: troubles without which it is
 // as bad, within a tenth, and then halves spans and shares.
-func Shrink(d *Day) error {
+func Shrink(d *Finding) error {
 	bad := func(sc *scenario.Scenario) (bool, error) {
-		d.Runs++
+		d.ShrinkRuns++
 		loss, broken, err := judge(sc)
-		if len(d.Broken) > 0 {
+		if len(d.Violations) > 0 {
 			return len(broken) > 0, err
 		}
-		return loss >= 0.9*d.Loss, err
+		return loss >= 0.9*d.ServiceLoss, err
 	}
 	for again := true; again; {
 		again = false
@@ -191,7 +191,7 @@
 		}
 	}
 	for i := range d.Scenario.Timeline {
-		for _, halve := range []func(*scenario.Event){func(e *scenario.Event) { e.For /= 2 }, func(e *scenario.Event) { e.Share /= 2 }} {
+		for _, halve := range []func(*scenario.Event){func(e *scenario.Event) { e.Duration /= 2 }, func(e *scenario.Event) { e.Share /= 2 }} {
 			try := *d.Scenario
 			try.Timeline = slices.Clone(d.Scenario.Timeline)
 			halve(&try.Timeline[i])
@@ -203,9 +203,9 @@
 		}
 	}
 	loss, broken, err := judge(d.Scenario)
-	d.Loss = loss
-	if len(d.Broken) > 0 {
-		d.Broken = broken
+	d.ServiceLoss = loss
+	if len(d.Violations) > 0 {
+		d.Violations = broken
 	}
 	return err
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -200,7 +200,7 @@
 	t.signals = make(chan signal, 4)
 	t.request = arrowwalk.Request{
 		ID: arrowwalk.RequestID(h.last.Add(1)), Class: t.Class, Volume: t.Volume, HasKey: t.HasKey, Key: t.Key,
-		Units: t.Units, Shard: t.Shard, Again: t.IsRetry,
+		Units: t.Units, Shard: t.Shard, IsRetry: t.IsRetry,
 	}
 	h.stats.taken.Add(1)
 	v := TaskResult{Status: Failed}
@@ -334,7 +334,7 @@
 	switch e := m.event.(type) {
 	case *arrowwalk.Request:
 		// Left counts from this step: the host may have stood still since Do.
-		e.Left = arrowwalk.Micros(h.wall+h.micros(m.task.Deadline)) - now
+		e.TimeLeft = arrowwalk.Micros(h.wall+h.micros(m.task.Deadline)) - now
 		l.tasks[e.ID] = m.task
 		m.task.until = l.until(m.task.Deadline)
 	case *arrowwalk.Outcome:
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -16,7 +16,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func settings() arrowwalk.Settings {
-	return arrowwalk.Settings{Hosts: 1, MaxAttempts: 3, Tick: 1000, MeanUnits: 1, MostUnits: 4, MaxWait: 1_000_000, Cancel: true,
+	return arrowwalk.Settings{Hosts: 1, MaxAttempts: 3, Tick: 1000, MeanUnits: 1, MostUnits: 4, MaxRetryAfter: 1_000_000, Cancel: true,
 		Classes: []arrowwalk.Class{{Name: "read", Aim: 100_000, Deadline: 400_000, Worth: 1},
 			{Name: "write", Aim: 100_000, Deadline: 400_000, Worth: 1, Repeat: arrowwalk.Keyed, Scope: arrowwalk.ScopeZone, Window: 200_000}},
 		Plans: []arrowwalk.Plan{{Name: "basic", Rate: 1000, Weight: 1, WorthFactor: 1}}}
@@ -38,7 +38,7 @@
 				events = append(events, &arrowwalk.NodeList{Kind: arrowwalk.ListStored, Nodes: []arrowwalk.Node{{ID: "a"}, {ID: "b", Shard: 1}}})
 			}
 			if i < 2000 {
-				events = append(events, &arrowwalk.Request{ID: arrowwalk.RequestID(i), Class: i % 2, Units: 1, Shard: i % 2, Left: 400_000, Volume: arrowwalk.Volume{ID: 1, Hosts: 1}})
+				events = append(events, &arrowwalk.Request{ID: arrowwalk.RequestID(i), Class: i % 2, Units: 1, Shard: i % 2, TimeLeft: 400_000, Volume: arrowwalk.Volume{ID: 1, Hosts: 1}})
 			}
 			for id, at := range out {
 				if now-at > 2000 && id%50 != 7 {
--- a/internal/lab/charts/charts.go
+++ b/internal/lab/charts/charts.go
@@ -14,8 +14,8 @@
 	"arrowwalk/internal/emul"
 )
 
-// Line is a named series of points.
-type Line struct {
+// Series is a named series of points.
+type Series struct {
 	Name   string
 	Points plotter.XYs
 }
@@ -26,7 +26,7 @@
 }
 
 // Draw writes lines into an SVG file.
-func Draw(path, title, x, y string, lines []Line) error {
+func Draw(path, title, x, y string, lines []Series) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	p.Legend.Top = true
@@ -62,33 +62,33 @@
 	return out
 }
 
-// Run draws the charts of a run into a directory, and returns their names.
-func Run(dir string, r *emul.Result) ([]string, error) {
-	sec := func(name string, of func(*emul.Second) float64) Line {
-		return Line{name, points(len(r.Seconds), func(i int) (float64, float64) { return float64(i), of(&r.Seconds[i]) })}
+// DrawRun draws the charts of a run into a directory, and returns their names.
+func DrawRun(dir string, r *emul.Result) ([]string, error) {
+	sec := func(name string, of func(*emul.SecondTotals) float64) Series {
+		return Series{name, points(len(r.Seconds), func(i int) (float64, float64) { return float64(i), of(&r.Seconds[i]) })}
 	}
-	var queues, outs []Line
+	var queues, outs []Series
 	if len(r.Samples) > 0 {
-		for b := range r.Samples[0].Queue {
-			queues = append(queues, Line{fmt.Sprint("shard ", b), points(len(r.Samples), func(i int) (float64, float64) { return r.Samples[i].At, float64(r.Samples[i].Queue[b]) })})
-			outs = append(outs, Line{fmt.Sprint("shard ", b), points(len(r.Samples), func(i int) (float64, float64) { return r.Samples[i].At, float64(r.Samples[i].Out[b]) })})
+		for b := range r.Samples[0].Queued {
+			queues = append(queues, Series{fmt.Sprint("shard ", b), points(len(r.Samples), func(i int) (float64, float64) { return r.Samples[i].At, float64(r.Samples[i].Queued[b]) })})
+			outs = append(outs, Series{fmt.Sprint("shard ", b), points(len(r.Samples), func(i int) (float64, float64) { return r.Samples[i].At, float64(r.Samples[i].InFlight[b]) })})
 		}
 	}
 	list := []struct {
 		name, title, x, y string
-		lines             []Line
+		lines             []Series
 	}{
-		{"answers", "answers, by the second of the first try", "s", "requests", []Line{
-			sec("served", func(s *emul.Second) float64 { return float64(s.Served) }),
-			sec("late", func(s *emul.Second) float64 { return float64(s.Late) }),
-			sec("refused", func(s *emul.Second) float64 { return float64(s.Refused) }),
-			sec("failed", func(s *emul.Second) float64 { return float64(s.Failed) })}},
-		{"worth", "worth", "s", "worth", []Line{
-			sec("due", func(s *emul.Second) float64 { return s.Due }), sec("got", func(s *emul.Second) float64 { return s.Got })}},
+		{"answers", "answers, by the second of the first try", "s", "requests", []Series{
+			sec("served", func(s *emul.SecondTotals) float64 { return float64(s.Served) }),
+			sec("late", func(s *emul.SecondTotals) float64 { return float64(s.Late) }),
+			sec("refused", func(s *emul.SecondTotals) float64 { return float64(s.Refused) }),
+			sec("failed", func(s *emul.SecondTotals) float64 { return float64(s.Failed) })}},
+		{"worth", "worth", "s", "worth", []Series{
+			sec("due", func(s *emul.SecondTotals) float64 { return s.MaxWorth }), sec("got", func(s *emul.SecondTotals) float64 { return s.EarnedWorth })}},
 		{"queues", "requests that wait at each shard's brick", "s", "requests", queues},
 		{"out", "requests out at each shard's brick", "s", "requests", outs},
 		{"quadrants", "volumes of eight hosts, by quadrant", "s", "volumes", quadrants(r)},
-		{"latency", "latency from the first try", "ms", "part of those served", []Line{
+		{"latency", "latency from the first try", "ms", "part of those served", []Series{
 			{"", points(len(r.Latency), func(i int) (float64, float64) { return r.Latency[i][0], r.Latency[i][1] })}}},
 	}
 	var names []string
@@ -102,10 +102,10 @@
 	return names, nil
 }
 
-func quadrants(r *emul.Result) []Line {
+func quadrants(r *emul.Result) []Series {
 	seen := map[string]bool{}
 	for _, s := range r.Samples {
-		for name := range s.Worlds {
+		for name := range s.Quadrants {
 			seen[name] = true
 		}
 	}
@@ -114,13 +114,13 @@
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	var out []Line
+	var out []Series
 	for _, name := range names {
 		label := name
 		if label == "" {
 			label = "not yet"
 		}
-		out = append(out, Line{label, points(len(r.Samples), func(i int) (float64, float64) { return r.Samples[i].At, float64(r.Samples[i].Worlds[name]) })})
+		out = append(out, Series{label, points(len(r.Samples), func(i int) (float64, float64) { return r.Samples[i].At, float64(r.Samples[i].Quadrants[name]) })})
 	}
 	return out
 }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -22,8 +22,8 @@
 	"arrowwalk/internal/emul/scenario"
 )
 
-// File is an experiment as it is written down.
-type File struct {
+// Spec is an experiment as it is written down.
+type Spec struct {
 	Name      string    `json:"name"`
 	About     string    `json:"about,omitempty"`
 	Scenarios []string  `json:"scenarios,omitempty"` // names of the library, or files
@@ -36,13 +36,13 @@
 
 // Variant is one setting of the grid: fields of the scenario that differ.
 type Variant struct {
-	Name string          `json:"name"`
-	Set  json.RawMessage `json:"set,omitempty"` // merged into the scenario, object by object
+	Name      string          `json:"name"`
+	Overrides json.RawMessage `json:"set,omitempty"` // merged into the scenario, object by object
 }
 
 // Parse reads an experiment. Errors name the field at fault.
-func Parse(text []byte) (*File, error) {
-	f := &File{}
+func Parse(text []byte) (*Spec, error) {
+	f := &Spec{}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(f); err != nil {
@@ -61,7 +61,7 @@
 	case len(f.Figures) == 0:
 		return nil, bad("figures", "must name one at least")
 	}
-	known := scenario.Figures
+	known := scenario.FigureNames
 	if f.Live != nil {
 		known = liveFigures
 	}
@@ -84,7 +84,7 @@
 }
 
 // checkLive finds what is wrong with an experiment on real gateways.
-func (f *File) checkLive() error {
+func (f *Spec) checkLive() error {
 	f.Scenarios, f.Workers = []string{liveScenario}, 1
 	if err := f.Live.check(); err != nil {
 		return fmt.Errorf("experiment %q: %w", f.Name, err)
@@ -98,15 +98,15 @@
 }
 
 // variant returns a scenario with a variant's fields.
-func (f *File) variant(name string, i int) (*scenario.Scenario, error) {
+func (f *Spec) variant(name string, i int) (*scenario.Scenario, error) {
 	sc, err := scenario.Find(name)
 	if err != nil {
 		return nil, err
 	}
-	if len(f.Variants[i].Set) == 0 {
+	if len(f.Variants[i].Overrides) == 0 {
 		return sc, nil
 	}
-	text, err := merged(sc, f.Variants[i].Set)
+	text, err := merged(sc, f.Variants[i].Overrides)
 	if err != nil {
 		return nil, err
 	}
@@ -144,14 +144,14 @@
 
 // Row is what one run showed.
 type Row struct {
-	Scenario string             `json:"scenario"`
-	Variant  string             `json:"variant"`
-	Seed     uint64             `json:"seed"`
-	Hash     string             `json:"hash"`
-	Broken   int                `json:"broken"`
-	Figures  map[string]float64 `json:"figures"`
-	Took     float64            `json:"took_s"`
-	Events   int64              `json:"events"`
+	Scenario        string             `json:"scenario"`
+	Variant         string             `json:"variant"`
+	Seed            uint64             `json:"seed"`
+	Hash            string             `json:"hash"`
+	Violations      int                `json:"broken"`
+	Figures         map[string]float64 `json:"figures"`
+	DurationSeconds float64            `json:"took_s"`
+	Events          int64              `json:"events"`
 }
 
 // cell is one run of the grid.
@@ -165,7 +165,7 @@
 
 // Run plays what of the grid is not in the store yet, and returns all rows in
 // the order of the grid. progress is told of each row.
-func Run(f *File, dir string, progress func(done, all int, row *Row)) ([]Row, error) {
+func Run(f *Spec, dir string, progress func(done, all int, row *Row)) ([]Row, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
@@ -202,8 +202,8 @@
 
 // key names a run: with what its variant sets, so that a changed one is played
 // again.
-func (f *File) key(c cell) string {
-	return fmt.Sprintf("%s|%s|%s|%d", c.scenario, f.Variants[c.variant].Name, f.Variants[c.variant].Set, c.seed)
+func (f *Spec) key(c cell) string {
+	return fmt.Sprintf("%s|%s|%s|%d", c.scenario, f.Variants[c.variant].Name, f.Variants[c.variant].Overrides, c.seed)
 }
 
 func rows(db *bolt.DB) (map[string]Row, error) {
@@ -225,7 +225,7 @@
 	return out, err
 }
 
-func (f *File) playAll(db *bolt.DB, open []cell, kept map[string]Row, all int, progress func(done, all int, row *Row)) error {
+func (f *Spec) playAll(db *bolt.DB, open []cell, kept map[string]Row, all int, progress func(done, all int, row *Row)) error {
 	workers := f.Workers
 	if workers <= 0 {
 		workers = runtime.NumCPU()
@@ -290,7 +290,7 @@
 	return db.Update(func(tx *bolt.Tx) error { return tx.Bucket(bucketName).Put([]byte(key), text) })
 }
 
-func (f *File) play(c cell) (Row, error) {
+func (f *Spec) play(c cell) (Row, error) {
 	if f.Live != nil {
 		return f.playLive(c)
 	}
@@ -307,8 +307,8 @@
 	if err != nil {
 		return Row{}, fmt.Errorf("%s, seed %d: %w", c.scenario, c.seed, err)
 	}
-	return Row{Scenario: c.scenario, Variant: f.Variants[c.variant].Name, Seed: c.seed, Hash: r.Hash, Broken: len(r.Broken),
-		Figures: r.Figures, Took: time.Since(began).Seconds(), Events: r.Events}, nil
+	return Row{Scenario: c.scenario, Variant: f.Variants[c.variant].Name, Seed: c.seed, Hash: r.Hash, Violations: len(r.Violations),
+		Figures: r.Figures, DurationSeconds: time.Since(began).Seconds(), Events: r.Events}, nil
 }
 
 var errNoRows = errors.New("experiment: no rows")
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -42,7 +42,7 @@
 			t.Errorf("row %d differs in another run", i)
 		}
 	}
-	page, err := Report(f, rows, filepath.Join(dir, "report"))
+	page, err := WriteReport(f, rows, filepath.Join(dir, "report"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/experiment/live.go
+++ b/internal/lab/experiment/live.go
@@ -21,12 +21,12 @@
 // its variant sets, and loads it. Figures are served, refused, failed, p50_ms
 // and p99_ms; runs go one after the other.
 type Live struct {
-	Rate    float64 `json:"rate"`
-	Seconds float64 `json:"seconds"`
-	Burst   float64 `json:"burst,omitempty"` // times the rate for half a second of each three
-	Sizes   []int   `json:"sizes"`
-	Writes  float64 `json:"writes"` // part of the requests
-	Keys    int     `json:"keys"`
+	Rate          float64 `json:"rate"`
+	Seconds       float64 `json:"seconds"`
+	BurstFactor   float64 `json:"burst,omitempty"` // times the rate for half a second of each three
+	Sizes         []int   `json:"sizes"`
+	WriteFraction float64 `json:"writes"` // part of the requests
+	Keys          int     `json:"keys"`
 }
 
 // liveScenario stands in rows for the load.
@@ -43,7 +43,7 @@
 		return errors.New("live/seconds: must be over 0, 600 at most")
 	case len(l.Sizes) == 0:
 		return errors.New("live/sizes: must name one at least")
-	case l.Writes < 0 || l.Writes > 1:
+	case l.WriteFraction < 0 || l.WriteFraction > 1:
 		return errors.New("live/writes: must be 0 to 1")
 	case l.Keys < 1:
 		return errors.New("live/keys: must be 1 at least")
@@ -52,11 +52,11 @@
 }
 
 // settings returns a gateway's settings with what a variant sets.
-func (f *File) settings(i int) (*config.Config, error) {
-	if len(f.Variants[i].Set) == 0 {
+func (f *Spec) settings(i int) (*config.Config, error) {
+	if len(f.Variants[i].Overrides) == 0 {
 		return config.Default(), nil
 	}
-	text, err := merged(config.Default(), f.Variants[i].Set)
+	text, err := merged(config.Default(), f.Variants[i].Overrides)
 	if err != nil {
 		return nil, err
 	}
@@ -64,7 +64,7 @@
 }
 
 // playLive starts a gateway, loads it and stops it.
-func (f *File) playLive(c cell) (Row, error) {
+func (f *Spec) playLive(c cell) (Row, error) {
 	cfg, err := f.settings(c.variant)
 	if err != nil {
 		return Row{}, err
@@ -87,23 +87,23 @@
 	l := f.Live
 	span := time.Duration(l.Seconds * float64(time.Second))
 	var source arrivals.Source = arrivals.NewPoisson(l.Rate, span, c.seed)
-	if l.Burst > 0 {
-		if source, err = arrivals.NewBursts(l.Rate, l.Burst, 500*time.Millisecond, 3*time.Second, span, c.seed); err != nil {
+	if l.BurstFactor > 0 {
+		if source, err = arrivals.NewBursts(l.Rate, l.BurstFactor, 500*time.Millisecond, 3*time.Second, span, c.seed); err != nil {
 			return Row{}, err
 		}
 	}
 	began := time.Now()
-	r, err := load.Run(context.Background(), &load.Options{Endpoint: g.Endpoint(), Access: "LOAD", Secret: "load-secret", Region: cfg.Region, Buckets: []string{"live"},
-		Mix: []load.Part{{Op: load.Get, Weight: 1 - l.Writes}, {Op: load.Put, Weight: l.Writes}}, Sizes: l.Sizes, Keys: l.Keys, Arrivals: source,
-		Wait: 10 * time.Second, InFlight: 512, Seed: c.seed, Print: io.Discard})
+	r, err := load.Run(context.Background(), &load.Options{Endpoint: g.Endpoint(), AccessKey: "LOAD", SecretKey: "load-secret", Region: cfg.Region, Buckets: []string{"live"},
+		Mix: []load.MixEntry{{Op: load.Get, Weight: 1 - l.WriteFraction}, {Op: load.Put, Weight: l.WriteFraction}}, Sizes: l.Sizes, ObjectsPerBucket: l.Keys, Arrivals: source,
+		RequestTimeout: 10 * time.Second, MaxInFlight: 512, Seed: c.seed, Progress: io.Discard})
 	if err != nil {
 		return Row{}, err
 	}
-	if r.Broken() {
+	if r.HasCorruption() {
 		return Row{}, errors.New("bytes came back that were not stored")
 	}
-	row := Row{Scenario: liveScenario, Variant: f.Variants[c.variant].Name, Seed: c.seed, Took: time.Since(began).Seconds(), Figures: liveResult(r)}
-	for _, t := range r.Tallies {
+	row := Row{Scenario: liveScenario, Variant: f.Variants[c.variant].Name, Seed: c.seed, DurationSeconds: time.Since(began).Seconds(), Figures: liveResult(r)}
+	for _, t := range r.Ops {
 		row.Events += t.Sent
 	}
 	return row, nil
@@ -112,8 +112,8 @@
 func liveResult(r *load.Report) map[string]float64 {
 	all := hdrhistogram.New(1, 600_000_000, 3)
 	var sent, served, refused, failed float64
-	for _, t := range r.Tallies {
-		all.Merge(t.From)
+	for _, t := range r.Ops {
+		all.Merge(t.Latency)
 		sent, served, refused, failed = sent+float64(t.Sent), served+float64(t.Served), refused+float64(t.Refused), failed+float64(t.Failed)
 	}
 	sent = max(sent, 1)
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -12,9 +12,9 @@
 	"arrowwalk/internal/lab/stats"
 )
 
-// Report writes NAME.md with tables and verdicts, and a chart for each figure,
+// WriteReport writes NAME.md with tables and verdicts, and a chart for each figure,
 // into a directory. It returns the page's path.
-func Report(f *File, rows []Row, dir string) (string, error) {
+func WriteReport(f *Spec, rows []Row, dir string) (string, error) {
 	if len(rows) == 0 {
 		return "", errNoRows
 	}
@@ -38,12 +38,12 @@
 	}
 	broken, events, took := 0, int64(0), 0.0
 	for _, r := range rows {
-		broken, events, took = broken+r.Broken, events+r.Events, took+r.Took
+		broken, events, took = broken+r.Violations, events+r.Events, took+r.DurationSeconds
 	}
 	fmt.Fprintf(&b, "\n%d runs, %d events; %d places where a rule is broken", len(rows), events, broken)
 	for _, r := range rows {
-		if r.Broken > 0 {
-			fmt.Fprintf(&b, "\n- %s, %s, seed %d: %d", r.Scenario, r.Variant, r.Seed, r.Broken)
+		if r.Violations > 0 {
+			fmt.Fprintf(&b, "\n- %s, %s, seed %d: %d", r.Scenario, r.Variant, r.Seed, r.Violations)
 		}
 	}
 	b.WriteString("\n")
@@ -51,7 +51,7 @@
 	return path, os.WriteFile(path, []byte(b.String()), 0o644)
 }
 
-func (f *File) kind() string {
+func (f *Spec) kind() string {
 	if f.Live != nil {
 		return "Real gateways on loopback"
 	}
@@ -69,7 +69,7 @@
 	return out
 }
 
-func (f *File) table(b *strings.Builder, rows []Row, sc, figure string) {
+func (f *Spec) table(b *strings.Builder, rows []Row, sc, figure string) {
 	first := values(rows, sc, f.Variants[0].Name, figure)
 	for i, v := range f.Variants {
 		own := values(rows, sc, v.Name, figure)
@@ -78,13 +78,13 @@
 			c := stats.Compare(first, own, 1)
 			difference, verdict = c.Difference.String(), string(c.Verdict)
 		}
-		fmt.Fprintf(b, "| %s | %s | %s | %s | %s |\n", sc, v.Name, stats.Bootstrap(own, 1), difference, verdict)
+		fmt.Fprintf(b, "| %s | %s | %s | %s | %s |\n", sc, v.Name, stats.BootstrapMedian(own, 1), difference, verdict)
 	}
 }
 
 // chart draws a figure's distribution over scenarios and seeds.
-func (f *File) chart(path string, rows []Row, figure string) error {
-	var lines []charts.Line
+func (f *Spec) chart(path string, rows []Row, figure string) error {
+	var lines []charts.Series
 	for _, v := range f.Variants {
 		var all []float64
 		for _, sc := range f.Scenarios {
@@ -94,7 +94,7 @@
 		for q := 0; q <= 100; q++ {
 			points = append(points, plotter.XY{X: stats.Quantile(all, float64(q)/100), Y: float64(q) / 100})
 		}
-		lines = append(lines, charts.Line{Name: v.Name, Points: points})
+		lines = append(lines, charts.Series{Name: v.Name, Points: points})
 	}
 	return charts.Draw(path, figure+", all scenarios and seeds", figure, "part of the runs", lines)
 }
--- a/internal/lab/stats/stats.go
+++ b/internal/lab/stats/stats.go
@@ -12,12 +12,12 @@
 // Interval is an estimate with the interval that holds it, with 95% confidence
 // as far as resampling can tell.
 type Interval struct {
-	Mid, Low, High float64
-	N              int
+	Median, Low, High float64
+	N                 int
 }
 
 // String gives the estimate and its interval.
-func (i Interval) String() string { return fmt.Sprintf("%.3f [%.3f, %.3f]", i.Mid, i.Low, i.High) }
+func (i Interval) String() string { return fmt.Sprintf("%.3f [%.3f, %.3f]", i.Median, i.Low, i.High) }
 
 const resamples = 2000
 
@@ -32,9 +32,9 @@
 	return (list[(n-1)/2] + list[n/2]) / 2
 }
 
-// Bootstrap returns the median with a 95% percentile interval (Efron, 1979).
-func Bootstrap(values []float64, seed uint64) Interval {
-	out := Interval{Mid: Median(values), N: len(values)}
+// BootstrapMedian returns the median with a 95% percentile interval (Efron, 1979).
+func BootstrapMedian(values []float64, seed uint64) Interval {
+	out := Interval{Median: Median(values), N: len(values)}
 	if len(values) == 0 {
 		out.Low, out.High = math.NaN(), math.NaN()
 		return out
@@ -57,10 +57,10 @@
 
 // The verdicts.
 const (
-	More        Verdict = "more"
-	Less        Verdict = "less"
-	NoneShown   Verdict = "no difference shown"
-	TooFewPairs Verdict = "too few pairs"
+	More         Verdict = "more"
+	Less         Verdict = "less"
+	NoDifference Verdict = "no difference shown"
+	TooFewPairs  Verdict = "too few pairs"
 )
 
 // leastPairs is how many pairs a verdict needs: with five, all on one side, a
@@ -72,7 +72,7 @@
 	Difference Interval
 	Wins       int     // pairs in which b is more
 	Losses     int     // and less
-	P          float64 // of a two-sided sign test
+	PValue     float64 // of a two-sided sign test
 	Verdict    Verdict
 }
 
@@ -81,7 +81,7 @@
 func Compare(a, b []float64, seed uint64) Comparison {
 	n := min(len(a), len(b))
 	diff := make([]float64, n)
-	c := Comparison{Verdict: NoneShown}
+	c := Comparison{Verdict: NoDifference}
 	for i := range n {
 		diff[i] = b[i] - a[i]
 		switch {
@@ -91,12 +91,12 @@
 			c.Losses++
 		}
 	}
-	c.Difference = Bootstrap(diff, seed)
-	c.P = signTest(c.Wins, c.Losses)
+	c.Difference = BootstrapMedian(diff, seed)
+	c.PValue = signTest(c.Wins, c.Losses)
 	switch {
 	case n < leastPairs:
 		c.Verdict = TooFewPairs
-	case c.P >= 0.05:
+	case c.PValue >= 0.05:
 	case c.Difference.Low > 0:
 		c.Verdict = More
 	case c.Difference.High < 0:
--- a/internal/lab/stats/stats_test.go
+++ b/internal/lab/stats/stats_test.go
@@ -15,7 +15,7 @@
 		for j := range values {
 			values[j] = 10 + rnd.NormFloat64()
 		}
-		if b := Bootstrap(values, uint64(i)); b.Low <= 10 && 10 <= b.High && b.Low <= b.Mid && b.Mid <= b.High {
+		if b := BootstrapMedian(values, uint64(i)); b.Low <= 10 && 10 <= b.High && b.Low <= b.Median && b.Median <= b.High {
 			held++
 		}
 	}
@@ -37,7 +37,7 @@
 		if Compare(a, b, uint64(i)).Verdict != More || Compare(b, a, uint64(i)).Verdict != Less {
 			t.Errorf("run %d: a difference of three deviations is not shown", i)
 		}
-		if Compare(a, c, uint64(i)).Verdict != NoneShown {
+		if Compare(a, c, uint64(i)).Verdict != NoDifference {
 			wrong++
 		}
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -43,55 +43,55 @@
 // Ops are all kinds.
 var Ops = []Op{Get, Range, Put, Head}
 
-// Part is a part of the mix.
-type Part struct {
+// MixEntry is a part of the mix.
+type MixEntry struct {
 	Op     Op
 	Weight float64
 }
 
 // Options of a load.
 type Options struct {
-	Endpoint string
-	Access   string
-	Secret   string
-	Region   string
-	Buckets  []string
-	Mix      []Part
-	Sizes    []int // bytes; each as often
-	Keys     int   // objects of each bucket that are there to be read
-	Arrivals arrivals.Source
-	Wait     time.Duration // of one request
-	InFlight int           // more are not sent, and counted as failed
-	Seed     uint64
-	Print    io.Writer
-	Every    time.Duration // between lines of progress; 0: none
+	Endpoint         string
+	AccessKey        string
+	SecretKey        string
+	Region           string
+	Buckets          []string
+	Mix              []MixEntry
+	Sizes            []int // bytes; each as often
+	ObjectsPerBucket int   // objects of each bucket that are there to be read
+	Arrivals         arrivals.Source
+	RequestTimeout   time.Duration // of one request
+	MaxInFlight      int           // more are not sent, and counted as failed
+	Seed             uint64
+	Progress         io.Writer
+	ProgressInterval time.Duration // between lines of progress; 0: none
 }
 
-// Tally is what became of the requests of one kind.
-type Tally struct {
-	Op       Op
-	Sent     int64
-	Served   int64
-	Refused  int64 // 503 and 429
-	Failed   int64
-	Wrong    int64 // served with bytes that are not those that were stored
-	Unsent   int64 // too many were in flight
-	Bytes    int64
-	From     *hdrhistogram.Histogram // of those served: since they were due, microseconds
-	FromSend *hdrhistogram.Histogram // and since they were sent
-	Errors   map[string]int64
+// OpStats is what became of the requests of one kind.
+type OpStats struct {
+	Op          Op
+	Sent        int64
+	Served      int64
+	Refused     int64 // 503 and 429
+	Failed      int64
+	Corrupt     int64 // served with bytes that are not those that were stored
+	Skipped     int64 // too many were in flight
+	Bytes       int64
+	Latency     *hdrhistogram.Histogram // of those served: since they were due, microseconds
+	SendLatency *hdrhistogram.Histogram // and since they were sent
+	Errors      map[string]int64
 }
 
 // Report is what a load showed.
 type Report struct {
-	Took    time.Duration
-	Tallies []*Tally
-	Late    time.Duration // by which the sender itself was late, at most
+	Duration    time.Duration
+	Ops         []*OpStats
+	MaxLateness time.Duration // by which the sender itself was late, at most
 }
 
-// Broken tells whether bytes were wrong.
-func (r *Report) Broken() bool {
-	return slices.ContainsFunc(r.Tallies, func(t *Tally) bool { return t.Wrong > 0 })
+// HasCorruption tells whether bytes were wrong.
+func (r *Report) HasCorruption() bool {
+	return slices.ContainsFunc(r.Ops, func(t *OpStats) bool { return t.Corrupt > 0 })
 }
 
 // content is what an object of a name has: its name and size tell every byte.
@@ -122,7 +122,7 @@
 	keys   []string
 
 	mu      sync.Mutex
-	tallies map[Op]*Tally
+	tallies map[Op]*OpStats
 	out     int
 	wg      sync.WaitGroup
 }
@@ -143,10 +143,10 @@
 	late := l.send(ctx, began)
 	l.wg.Wait()
 	stop()
-	r := &Report{Took: time.Since(began), Late: late}
+	r := &Report{Duration: time.Since(began), MaxLateness: late}
 	for _, op := range Ops {
 		if t := l.tallies[op]; t != nil {
-			r.Tallies = append(r.Tallies, t)
+			r.Ops = append(r.Ops, t)
 		}
 	}
 	return r, ctx.Err()
@@ -160,19 +160,19 @@
 		return nil, errors.New("load: the mix is empty")
 	case len(opt.Sizes) == 0:
 		return nil, errors.New("load: no size is given")
-	case opt.InFlight < 1 || opt.Keys < 1:
+	case opt.MaxInFlight < 1 || opt.ObjectsPerBucket < 1:
 		return nil, errors.New("load: in flight and keys must be 1 at least")
 	}
-	l := &loader{opt: opt, rnd: rand.New(rand.NewPCG(opt.Seed, 31)), tallies: map[Op]*Tally{}}
+	l := &loader{opt: opt, rnd: rand.New(rand.NewPCG(opt.Seed, 31)), tallies: map[Op]*OpStats{}}
 	for _, p := range opt.Mix {
 		if !slices.Contains(Ops, p.Op) || p.Weight < 0 {
 			return nil, fmt.Errorf("load: mix: %s=%g: must be one of %v with a weight", p.Op, p.Weight, Ops)
 		}
-		l.tallies[p.Op] = &Tally{Op: p.Op, From: histogram(), FromSend: histogram(), Errors: map[string]int64{}}
+		l.tallies[p.Op] = &OpStats{Op: p.Op, Latency: histogram(), SendLatency: histogram(), Errors: map[string]int64{}}
 	}
-	l.conns = &http.Transport{MaxIdleConnsPerHost: opt.InFlight, MaxConnsPerHost: opt.InFlight, DisableCompression: true}
+	l.conns = &http.Transport{MaxIdleConnsPerHost: opt.MaxInFlight, MaxConnsPerHost: opt.MaxInFlight, DisableCompression: true}
 	l.client = s3.New(s3.Options{BaseEndpoint: aws.String(opt.Endpoint), Region: opt.Region, UsePathStyle: true, RetryMaxAttempts: 1,
-		Credentials: credentials.NewStaticCredentialsProvider(opt.Access, opt.Secret, ""),
+		Credentials: credentials.NewStaticCredentialsProvider(opt.AccessKey, opt.SecretKey, ""),
 		HTTPClient:  &http.Client{Transport: l.conns}})
 	return l, nil
 }
@@ -189,9 +189,9 @@
 				return fmt.Errorf("load: bucket %s: %w", bucket, err)
 			}
 		}
-		for n := range l.opt.Keys {
+		for n := range l.opt.ObjectsPerBucket {
 			name := object("read", n, l.opt.Sizes[n%len(l.opt.Sizes)])
-			if len(l.keys) < l.opt.Keys {
+			if len(l.keys) < l.opt.ObjectsPerBucket {
 				l.keys = append(l.keys, name)
 			}
 			if err := l.store(ctx, bucket, name); err != nil {
@@ -265,8 +265,8 @@
 	l.mu.Lock()
 	t := l.tallies[op]
 	t.Sent++
-	if l.out >= l.opt.InFlight {
-		t.Unsent++
+	if l.out >= l.opt.MaxInFlight {
+		t.Skipped++
 		t.Failed++
 		l.mu.Unlock()
 		return
@@ -277,7 +277,7 @@
 	go func() {
 		defer l.wg.Done()
 		began := time.Now()
-		c, cancel := context.WithTimeout(ctx, l.opt.Wait)
+		c, cancel := context.WithTimeout(ctx, l.opt.RequestTimeout)
 		moved, wrong, err := l.one(c, op, bucket, name, from, to)
 		cancel()
 		l.count(t, due, began, moved, wrong, err)
@@ -342,7 +342,7 @@
 	return "failed", "connection"
 }
 
-func (l *loader) count(t *Tally, due, began time.Time, moved int, wrong bool, err error) {
+func (l *loader) count(t *OpStats, due, began time.Time, moved int, wrong bool, err error) {
 	now := time.Now()
 	kind, text := sort(err)
 	l.mu.Lock()
@@ -354,12 +354,12 @@
 	case kind == "failed":
 		t.Failed++
 	case wrong:
-		t.Wrong++
+		t.Corrupt++
 	default:
 		t.Served++
 		t.Bytes += int64(moved)
-		t.From.RecordValue(max(1, now.Sub(due).Microseconds()))
-		t.FromSend.RecordValue(max(1, now.Sub(began).Microseconds()))
+		t.Latency.RecordValue(max(1, now.Sub(due).Microseconds()))
+		t.SendLatency.RecordValue(max(1, now.Sub(began).Microseconds()))
 	}
 	if text != "" {
 		t.Errors[text]++
@@ -368,13 +368,13 @@
 
 // progress prints a line now and again until the result is called.
 func (l *loader) progress(began time.Time) (stop func()) {
-	if l.opt.Every <= 0 || l.opt.Print == nil {
+	if l.opt.ProgressInterval <= 0 || l.opt.Progress == nil {
 		return func() {}
 	}
 	quit, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
-		tick := time.NewTicker(l.opt.Every)
+		tick := time.NewTicker(l.opt.ProgressInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -385,11 +385,11 @@
 			var sent, served, refused, failed int64
 			l.mu.Lock()
 			for _, t := range l.tallies {
-				sent, served, refused, failed = sent+t.Sent, served+t.Served, refused+t.Refused, failed+t.Failed+t.Wrong
+				sent, served, refused, failed = sent+t.Sent, served+t.Served, refused+t.Refused, failed+t.Failed+t.Corrupt
 			}
 			out := l.out
 			l.mu.Unlock()
-			fmt.Fprintf(l.opt.Print, "%5.0f s  sent %d  served %d  refused %d  failed %d  in flight %d\n", time.Since(began).Seconds(), sent, served, refused, failed, out)
+			fmt.Fprintf(l.opt.Progress, "%5.0f s  sent %d  served %d  refused %d  failed %d  in flight %d\n", time.Since(began).Seconds(), sent, served, refused, failed, out)
 		}
 	}()
 	return func() {
@@ -400,17 +400,17 @@
 
 // Write prints the report as a table.
 func (r *Report) Write(w io.Writer) {
-	fmt.Fprintf(w, "%.1f s; the sender was late by %s at most\n", r.Took.Seconds(), r.Late.Round(time.Microsecond))
+	fmt.Fprintf(w, "%.1f s; the sender was late by %s at most\n", r.Duration.Seconds(), r.MaxLateness.Round(time.Microsecond))
 	fmt.Fprintf(w, "%-6s %8s %8s %8s %8s %6s %9s %9s %9s %9s %9s  %s\n", "", "sent", "served", "refused", "failed", "wrong", "MiB/s", "p50 ms", "p99 ms", "p99.9 ms", "max ms", "p99 from the send")
 	ms := func(us int64) string { return fmt.Sprintf("%.2f", float64(us)/1000) }
-	for _, t := range r.Tallies {
-		fmt.Fprintf(w, "%-6s %8d %8d %8d %8d %6d %9.1f %9s %9s %9s %9s  %s\n", t.Op, t.Sent, t.Served, t.Refused, t.Failed, t.Wrong,
-			float64(t.Bytes)/(1<<20)/r.Took.Seconds(), ms(t.From.ValueAtQuantile(50)), ms(t.From.ValueAtQuantile(99)), ms(t.From.ValueAtQuantile(99.9)), ms(t.From.Max()), ms(t.FromSend.ValueAtQuantile(99)))
+	for _, t := range r.Ops {
+		fmt.Fprintf(w, "%-6s %8d %8d %8d %8d %6d %9.1f %9s %9s %9s %9s  %s\n", t.Op, t.Sent, t.Served, t.Refused, t.Failed, t.Corrupt,
+			float64(t.Bytes)/(1<<20)/r.Duration.Seconds(), ms(t.Latency.ValueAtQuantile(50)), ms(t.Latency.ValueAtQuantile(99)), ms(t.Latency.ValueAtQuantile(99.9)), ms(t.Latency.Max()), ms(t.SendLatency.ValueAtQuantile(99)))
 		for _, text := range slices.Sorted(maps.Keys(t.Errors)) {
 			fmt.Fprintf(w, "       %s: %d\n", text, t.Errors[text])
 		}
-		if t.Unsent > 0 {
-			fmt.Fprintf(w, "       not sent, too many in flight: %d\n", t.Unsent)
+		if t.Skipped > 0 {
+			fmt.Fprintf(w, "       not sent, too many in flight: %d\n", t.Skipped)
 		}
 	}
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -22,13 +22,13 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func options(endpoint string, rate float64) *Options {
-	return &Options{Endpoint: endpoint, Access: "LOAD", Secret: "load-secret", Region: "us-east-1", Buckets: []string{"one", "two"},
-		Mix: []Part{{Get, 5}, {Range, 2}, {Put, 2}, {Head, 1}}, Sizes: []int{0, 1000, 70_000}, Keys: 6,
-		Arrivals: arrivals.NewPoisson(rate, time.Second, 1), Wait: 5 * time.Second, InFlight: 64, Seed: 1}
+	return &Options{Endpoint: endpoint, AccessKey: "LOAD", SecretKey: "load-secret", Region: "us-east-1", Buckets: []string{"one", "two"},
+		Mix: []MixEntry{{Get, 5}, {Range, 2}, {Put, 2}, {Head, 1}}, Sizes: []int{0, 1000, 70_000}, ObjectsPerBucket: 6,
+		Arrivals: arrivals.NewPoisson(rate, time.Second, 1), RequestTimeout: 5 * time.Second, MaxInFlight: 64, Seed: 1}
 }
 
-func total(r *Report, of func(*Tally) int64) (n int64) {
-	for _, t := range r.Tallies {
+func total(r *Report, of func(*OpStats) int64) (n int64) {
+	for _, t := range r.Ops {
 		n += of(t)
 	}
 	return n
@@ -55,7 +55,7 @@
 	var text strings.Builder
 	r.Write(&text)
 	t.Log(text.String())
-	if r.Broken() || total(r, func(t *Tally) int64 { return t.Failed }) > 0 || total(r, func(t *Tally) int64 { return t.Served }) < 50 {
+	if r.HasCorruption() || total(r, func(t *OpStats) int64 { return t.Failed }) > 0 || total(r, func(t *OpStats) int64 { return t.Served }) < 50 {
 		t.Error("not all was served as it was stored")
 	}
 }
@@ -97,10 +97,10 @@
 	p := &plain{}
 	server := httptest.NewServer(p)
 	defer server.Close()
-	run := func(mix []Part, change func()) *Report {
+	run := func(mix []MixEntry, change func()) *Report {
 		t.Helper()
 		opt := options(server.URL, 200)
-		opt.Mix, opt.InFlight = mix, 4
+		opt.Mix, opt.MaxInFlight = mix, 4
 		opt.Sizes = []int{1000}
 		l, err := newLoader(opt)
 		if err != nil {
@@ -113,30 +113,30 @@
 		change()
 		l.send(context.Background(), time.Now())
 		l.wg.Wait()
-		r := &Report{Took: time.Second}
+		r := &Report{Duration: time.Second}
 		for _, tally := range l.tallies {
-			r.Tallies = append(r.Tallies, tally)
+			r.Ops = append(r.Ops, tally)
 		}
 		return r
 	}
-	if r := run([]Part{{Get, 1}}, func() { p.flip.Store(true) }); !r.Broken() {
+	if r := run([]MixEntry{{Get, 1}}, func() { p.flip.Store(true) }); !r.HasCorruption() {
 		t.Error("a flipped bit was not seen")
 	}
 	p.flip.Store(false)
-	r := run([]Part{{Get, 1}}, func() { p.hold.Store(time.Now().Add(400 * time.Millisecond).UnixNano()) })
-	if unsent := r.Tallies[0].Unsent; unsent < 20 || r.Tallies[0].Failed < unsent {
-		t.Errorf("a stall of 400 ms at 200 a second with 4 in flight: %d not sent, %d failed", unsent, r.Tallies[0].Failed)
+	r := run([]MixEntry{{Get, 1}}, func() { p.hold.Store(time.Now().Add(400 * time.Millisecond).UnixNano()) })
+	if unsent := r.Ops[0].Skipped; unsent < 20 || r.Ops[0].Failed < unsent {
+		t.Errorf("a stall of 400 ms at 200 a second with 4 in flight: %d not sent, %d failed", unsent, r.Ops[0].Failed)
 	}
-	if r := run([]Part{{Put, 1}}, func() { p.refuse.Store(true) }); r.Tallies[0].Refused == 0 || r.Tallies[0].Failed > r.Tallies[0].Unsent {
-		t.Errorf("refusals: %+v", r.Tallies[0])
+	if r := run([]MixEntry{{Put, 1}}, func() { p.refuse.Store(true) }); r.Ops[0].Refused == 0 || r.Ops[0].Failed > r.Ops[0].Skipped {
+		t.Errorf("refusals: %+v", r.Ops[0])
 	}
 }
 
 // Options that make no sense are named.
 func TestBadOptions(t *testing.T) {
 	for want, change := range map[string]func(*Options){
-		"bucket": func(o *Options) { o.Buckets = nil }, "mix": func(o *Options) { o.Mix = []Part{{"copy", 1}} },
-		"size": func(o *Options) { o.Sizes = nil }, "in flight": func(o *Options) { o.InFlight = 0 },
+		"bucket": func(o *Options) { o.Buckets = nil }, "mix": func(o *Options) { o.Mix = []MixEntry{{"copy", 1}} },
+		"size": func(o *Options) { o.Sizes = nil }, "in flight": func(o *Options) { o.MaxInFlight = 0 },
 	} {
 		opt := options("http://127.0.0.1:1", 1)
 		change(opt)
--- a/internal/platform/frontend/conn.go
+++ b/internal/platform/frontend/conn.go
@@ -138,7 +138,7 @@
 	}
 	bodyBytes := c.maxBodyBytes()
 	if !c.server.bodyMemory.Acquire(bodyBytes) {
-		wait := time.Duration(c.server.opt.Settings.MaxWait) * time.Microsecond
+		wait := time.Duration(c.server.opt.Settings.MaxRetryAfter) * time.Microsecond
 		c.writeResponse(503, c.retryAfter(wait), nil, true)
 		return false
 	}
--- a/internal/platform/frontend/validate_test.go
+++ b/internal/platform/frontend/validate_test.go
@@ -10,7 +10,7 @@
 )
 
 func testSettings() *arrowwalk.Settings {
-	return &arrowwalk.Settings{Hosts: 3, Shards: 9, MostUnits: 6, MeanUnits: 2, MaxAttempts: 4, Tick: 2000, MaxWait: 500_000,
+	return &arrowwalk.Settings{Hosts: 3, Shards: 9, MostUnits: 6, MeanUnits: 2, MaxAttempts: 4, Tick: 2000, MaxRetryAfter: 500_000,
 		Classes: []arrowwalk.Class{{Name: "fetch-text", Aim: 400_000, Deadline: 2_500_000, Worth: 2},
 			{Name: "save-paper", Aim: 500_000, Deadline: 2_500_000, Worth: 2, Repeat: arrowwalk.Keyed, Scope: arrowwalk.ScopeShard,
 				Window: 4_000_000, Writes: true}},
--- a/internal/prove/replay.go
+++ b/internal/prove/replay.go
@@ -83,7 +83,7 @@
 		sc.Site.Hosts = p.Hosts
 	}
 	sc.Site.DelayUS, sc.Site.ListMS, sc.Site.SkewMS, sc.Site.Loss = [2]int{50, 150}, [2]int{20, 120}, 0, 0
-	sc.Site.Brick.CacheItems, sc.Site.Brick.PutOff = 0, 0 // the stand-ins have neither
+	sc.Site.Brick.CacheItems, sc.Site.Brick.DeferredFraction = 0, 0 // the stand-ins have neither
 	sc.Load.Retries = 0
 	sc.Seconds *= p.Scale
 	sc.Timeline = slices.Clone(sc.Timeline)
@@ -92,7 +92,7 @@
 			return nil, fmt.Errorf("scenario %q: timeline/%d/kind: %s cannot be played on loopback", sc.Name, i, sc.Timeline[i].Kind)
 		}
 		sc.Timeline[i].At *= p.Scale
-		sc.Timeline[i].For *= p.Scale
+		sc.Timeline[i].Duration *= p.Scale
 	}
 	return &sc, nil
 }
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, err
 	}
-	speeds := sim.Speeds()
+	speeds := sim.BrickSpeeds()
 	emulated, err := sim.Run()
 	if err != nil {
 		return nil, err
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &replay{sc: sc, rates: sim.Rates(), speeds: speeds, slow: map[string]float64{}, still: map[string]time.Time{}, rnd: rand.New(rand.NewPCG(sc.Seed, 5)),
+	r := &replay{sc: sc, rates: sim.PlanRates(), speeds: speeds, slow: map[string]float64{}, still: map[string]time.Time{}, rnd: rand.New(rand.NewPCG(sc.Seed, 5)),
 		day: &day{opt: opt, dir: dir, entries: map[string]string{}, all: map[string]*bricks.Brick{}}}
 	defer r.closeAll()
 	if r.log, err = opt.newCalls(dir); err != nil {
@@ -154,7 +154,7 @@
 }
 
 func (r *replay) hostConfig(i int) *config.Config {
-	c := r.sc.Config(i, r.rates)
+	c := r.sc.GatewayConfig(i, r.rates)
 	c.Listen, c.Keys = "127.0.0.1:0", []config.Key{{Access: "PROOF", Secret: "proof-secret"}}
 	c.Units, c.PieceBytes = config.Units{Base: 0.5, Bytes: 16 << 10}, 128<<10
 	c.Bricks, c.NodesFile = []config.Brick{}, filepath.Join(r.dir, "nodes.json")
@@ -178,9 +178,9 @@
 
 func (r *replay) openSite(ctx context.Context, sim *emul.Sim) error {
 	b := &r.sc.Site.Brick
-	cold := bricks.Cold{Within: config.MS(b.WarmMS), From: b.ColdFrom, Multiple: b.Multiple, Span: time.Second, Units: b.ColdUnits, UnitsPerSec: r.capacity(1)}
-	r.site = bricks.NewLogged(r.dir, r.opt.logs(r.dir), config.MS(r.sc.Site.Window), cold)
-	r.site.Workers, r.site.Queue, r.site.Work = b.Cores, b.Queue, r.work
+	cold := bricks.Cold{Within: config.MS(b.WarmUpMS), From: b.ColdCapacity, Multiple: b.ColdMultiple, Span: time.Second, Units: b.ColdUnits, UnitsPerSec: r.capacity(1)}
+	r.site = bricks.NewLogged(r.dir, r.opt.logs(r.dir), config.MS(r.sc.Site.DedupWindowMS), cold)
+	r.site.Workers, r.site.Queue, r.site.Work = b.Cores, b.MaxQueue, r.work
 	for i, v := range sim.Volumes() {
 		r.volumes = append(r.volumes, &replayVolume{bucket: fmt.Sprintf("volume-%d", i), rate: v.Rate, hosts: v.Hosts,
 			keys: make([][]string, len(v.Shards)), rnd: rand.New(rand.NewPCG(r.sc.Seed, 100+uint64(i)))})
@@ -378,7 +378,7 @@
 	r.mu.Unlock()
 	tries := 1
 	if hasty != nil {
-		tries += max(1, int(hasty.By))
+		tries += max(1, int(hasty.Factor))
 		q.HangUpWait = time.Duration(0.35 * float64(config.MS(r.sc.Load.Read.AimMS)))
 	}
 	var a clients.Answer
@@ -395,7 +395,7 @@
 
 // trouble begins a trouble; it ends by itself.
 func (r *replay) trouble(ctx context.Context, e *scenario.Event) error {
-	span := time.Duration(e.For * float64(time.Second))
+	span := time.Duration(e.Duration * float64(time.Second))
 	later := func(after time.Duration, do func()) {
 		r.wg.Add(1)
 		go func() {
@@ -429,19 +429,19 @@
 	switch e.Kind {
 	case "slow":
 		for _, b := range some {
-			r.setSlow(b.Name, e.By)
+			r.setSlow(b.Name, e.Factor)
 			later(span, func() { r.setSlow(b.Name, 1) })
 		}
 	case "fail":
-		script(bricks.Script{Fault: brickd.Fault{Status: 500}, Every: max(1, int(1/max(e.By, 0.01)))})
+		script(bricks.Script{Fault: brickd.Fault{Status: 500}, Every: max(1, int(1/max(e.Factor, 0.01)))})
 	case "lose":
-		script(bricks.Script{Fault: brickd.Fault{DropResponse: true}, Every: max(1, int(1/max(e.By, 0.01)))})
+		script(bricks.Script{Fault: brickd.Fault{DropResponse: true}, Every: max(1, int(1/max(e.Factor, 0.01)))})
 	case "still":
 		r.pause(e, some, time.Now().Add(span), later)
 	case "surge", "heavy":
-		factor := e.By
+		factor := e.Factor
 		if e.Kind == "heavy" {
-			factor = 1 + e.By
+			factor = 1 + e.Factor
 		}
 		r.more.Store(e, factor)
 		later(span, func() { r.more.Delete(e) })
@@ -483,10 +483,10 @@
 func (r *replay) pause(e *scenario.Event, some []*bricks.Brick, until time.Time, later func(time.Duration, func())) {
 	r.mu.Lock()
 	for _, b := range some {
-		r.still[b.Name] = time.Now().Add(config.MS(e.MS))
+		r.still[b.Name] = time.Now().Add(config.MS(e.LengthMS))
 	}
 	r.mu.Unlock()
-	if next := config.MS(e.EveryMS); next > 0 && time.Now().Add(next).Before(until) {
+	if next := config.MS(e.IntervalMS); next > 0 && time.Now().Add(next).Before(until) {
 		later(next, func() { r.pause(e, some, until, later) })
 	}
 }
@@ -519,7 +519,7 @@
 			if err := h.kill(); err != nil {
 				return err
 			}
-			later(config.MS(e.MS), func() {
+			later(config.MS(e.LengthMS), func() {
 				if err := h.restart(ctx); err != nil {
 					r.fault("%v", err)
 				}
@@ -529,7 +529,7 @@
 		if err := h.standStill(); err != nil {
 			return err
 		}
-		later(config.MS(e.MS), h.goOn)
+		later(config.MS(e.LengthMS), h.goOn)
 	}
 	return nil
 }
@@ -656,17 +656,17 @@
 func drawnDay(d dice) []scenario.Event {
 	at := func(from, to float64) float64 { return from + (to-from)*d.Float64() }
 	some := []scenario.Event{
-		{At: at(1, 8), For: at(1, 3), Kind: "slow", Count: 1, By: at(2, 5)},
-		{At: at(1, 8), For: at(1, 3), Kind: "surge", By: at(1.2, 2)},
-		{At: at(1, 8), For: at(1, 3), Kind: "fail", Count: 1, By: at(0.1, 0.4)},
-		{At: at(1, 8), For: at(1, 3), Kind: "lose", Count: 1, By: at(0.05, 0.2)},
-		{At: at(1, 8), For: at(1, 3), Kind: "still", Count: 1, MS: d.between(100, 400), EveryMS: 1000},
-		{At: at(1, 8), For: 1, Kind: "crash_hosts", Count: 1, MS: d.between(200, 1000)},
+		{At: at(1, 8), Duration: at(1, 3), Kind: "slow", Count: 1, Factor: at(2, 5)},
+		{At: at(1, 8), Duration: at(1, 3), Kind: "surge", Factor: at(1.2, 2)},
+		{At: at(1, 8), Duration: at(1, 3), Kind: "fail", Count: 1, Factor: at(0.1, 0.4)},
+		{At: at(1, 8), Duration: at(1, 3), Kind: "lose", Count: 1, Factor: at(0.05, 0.2)},
+		{At: at(1, 8), Duration: at(1, 3), Kind: "still", Count: 1, LengthMS: d.between(100, 400), IntervalMS: 1000},
+		{At: at(1, 8), Duration: 1, Kind: "crash_hosts", Count: 1, LengthMS: d.between(200, 1000)},
 	}
 	d.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
-	list := append(some[:3], scenario.Event{At: at(3, 6), For: 1, Kind: "replace", Count: 1})
+	list := append(some[:3], scenario.Event{At: at(3, 6), Duration: 1, Kind: "replace", Count: 1})
 	if d.IntN(2) == 0 {
-		list = append(list, scenario.Event{At: at(9.5, 10), For: 1, Kind: "stall_hosts", Count: 1, MS: d.between(200, 2000)})
+		list = append(list, scenario.Event{At: at(9.5, 10), Duration: 1, Kind: "stall_hosts", Count: 1, LengthMS: d.between(200, 2000)})
 	}
 	slices.SortFunc(list, func(a, b scenario.Event) int { return int(1000 * (a.At - b.At)) })
 	return list
@@ -680,7 +680,7 @@
 	if err != nil {
 		return nil, err
 	}
-	sc.Site.Guard = opt.Guard
+	sc.Site.DisabledGuard = opt.Guard
 	var hashes []string
 	var broken []string
 	for range 2 {
@@ -693,7 +693,7 @@
 			return nil, err
 		}
 		hashes = append(hashes, res.Hash)
-		broken = res.Broken
+		broken = res.Violations
 	}
 	out := &Report{}
 	var differ []string
@@ -707,7 +707,7 @@
 	}
 	small := scenario.Default()
 	small.Name, small.Seed, small.Seconds = "small day", uint64(opt.Seed), 14
-	small.Site.Bricks, small.Load.Volumes, small.Site.Brick.WarmMS, small.Load.Of = 4, 12, 3000, 0.5
+	small.Site.Bricks, small.Load.Volumes, small.Site.Brick.WarmUpMS, small.Load.Utilization = 4, 12, 3000, 0.5
 	small.Timeline = nil
 	for _, t := range drawnDay(newDice(opt.Seed, 7)) {
 		if slices.Contains(opt.Drop, t.Kind) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -147,11 +147,11 @@
 		Tick: arrowwalk.Micros(doc.PeriodUs), Subscribe: doc.Discovery == "subscribe",
 		MaxAttempts: doc.Limits.MaxAttempts, MeanUnits: doc.FamilyInfo.UnitMean, MostUnits: doc.FamilyInfo.MostUnits,
 		ShareWorth: doc.FamilyInfo.WithinShare, SpareWorth: doc.FamilyInfo.BeyondShare,
-		MeterPeriod: arrowwalk.Micros(doc.FamilyInfo.MeterUs), TellsOthers: doc.FamilyInfo.SaysOthers,
+		MeterPeriod: arrowwalk.Micros(doc.FamilyInfo.MeterUs), ReportsOthersUnits: doc.FamilyInfo.SaysOthers,
 		Probing: doc.Limits.Probing, Cancel: doc.Limits.Cancel, Parallel: doc.Limits.ParallelTries,
-		Reports: doc.Reporting.Fields, ReportsIn: doc.Reporting.How == "inline",
+		Reports: doc.Reporting.Fields, InlineReports: doc.Reporting.How == "inline",
 		Rules: arrowwalk.Rules{
-			DrainGrace: arrowwalk.Micros(doc.Rules.DrainGraceUs), AskEvery: arrowwalk.Micros(doc.Rules.AskEveryUs),
+			DrainGrace: arrowwalk.Micros(doc.Rules.DrainGraceUs), MaxListInterval: arrowwalk.Micros(doc.Rules.AskEveryUs),
 			ColdFrom: doc.Rules.ColdFrom, WarmWithin: arrowwalk.Micros(doc.Rules.WarmWithinUs),
 			ColdMultiple: doc.Rules.OverloadFactor, ColdSpan: arrowwalk.Micros(doc.Rules.FallUs),
 			ColdUnits: doc.FamilyInfo.ColdBears, OrderGap: arrowwalk.Micros(doc.Rules.TurnGapUs),
@@ -160,7 +160,7 @@
 		},
 	}
 	if doc.Limits.RetryAfter {
-		s.MaxWait = arrowwalk.Micros(doc.Limits.MaxRetryAfterUs)
+		s.MaxRetryAfter = arrowwalk.Micros(doc.Limits.MaxRetryAfterUs)
 	}
 	for i, c := range doc.Categories {
 		repeat, ok := repeatPolicies[c.Repeat]
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Seed != 5 || s.Shards != 4 || s.MaxWait != 0 || s.DialTimeout != 250_000 || s.IdleClose != 15_000_000 || s.MaxOpen != 7 ||
+	if s.Seed != 5 || s.Shards != 4 || s.MaxRetryAfter != 0 || s.DialTimeout != 250_000 || s.IdleClose != 15_000_000 || s.MaxOpen != 7 ||
 		len(s.Zones) != 2 || s.Classes[0].Repeat != arrowwalk.Safe {
 		t.Errorf("%+v", s)
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -196,7 +196,7 @@
 	if text := f.field(); text != "-" {
 		req.HasKey, req.Key = true, f.parseUnsigned(text)
 	}
-	req.Left = f.micros()
+	req.TimeLeft = f.micros()
 	req.Volume.ID = arrowwalk.VolumeID(f.unsigned())
 	req.Units = f.float()
 	req.Shard = -1
@@ -204,7 +204,7 @@
 		req.Shard = int(f.parseFloat(text))
 	}
 	req.Volume.Hosts = int(f.float())
-	req.Again = f.unsigned()&againFlag != 0
+	req.IsRetry = f.unsigned()&againFlag != 0
 	return req
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -34,9 +34,9 @@
 		{"UPDATE\thost-3\terror\t41\t0", &arrowwalk.NodeList{Kind: arrowwalk.ListFailed, Version: 41}},
 		{"QUERY\thost-3\t156\t0\t1\t4569004829183723\t240000\t4050\t2\t0\t3\t3", &arrowwalk.Request{
 			ID: 156, Volume: arrowwalk.Volume{ID: 4050, Plan: 1, Hosts: 3}, HasKey: true, Key: 4569004829183723,
-			Left: 240000, Units: 2, Again: true}},
+			TimeLeft: 240000, Units: 2, IsRetry: true}},
 		{"QUERY\thost-3\t156\t0\t1\t-\t240000\t4050\t2.5\t-1\t3\t1", &arrowwalk.Request{
-			ID: 156, Volume: arrowwalk.Volume{ID: 4050, Plan: 1, Hosts: 3}, Left: 240000, Units: 2.5, Shard: -1}},
+			ID: 156, Volume: arrowwalk.Volume{ID: 4050, Plan: 1, Hosts: 3}, TimeLeft: 240000, Units: 2.5, Shard: -1}},
 		{"DONE\thost-3\t156\t2\tbrick_a\t200\t18500\t1\t86\t3\t0.62,-", &arrowwalk.Outcome{
 			Attempt: arrowwalk.Attempt{Request: 156, Number: 2, Node: "brick_a"}, Status: arrowwalk.OK,
 			Latency: 18500, Closed: true, FleetUse: 86, OthersUnits: 3, Load: []float64{0.62, 0}}},
@@ -68,12 +68,12 @@
 	}
 	got := b.Messages[0].Settings
 	want := arrowwalk.Settings{
-		Seed: 99, Host: 1, Hosts: 3, Zone: 2, Tick: 2000, Subscribe: true, MaxAttempts: 4, MaxWait: 500000,
+		Seed: 99, Host: 1, Hosts: 3, Zone: 2, Tick: 2000, Subscribe: true, MaxAttempts: 4, MaxRetryAfter: 500000,
 		MeanUnits: 2, MostUnits: 6, ShareWorth: 0.3, SpareWorth: 0.05, Cancel: true,
 		Classes: []arrowwalk.Class{{Name: "r", Aim: 400000, Deadline: 2500000, Worth: 2, LateWorth: 0.2,
 			Repeat: arrowwalk.Keyed, Scope: arrowwalk.ScopeShard, Window: 4000000, Ordered: true, Writes: true}},
 		Plans: []arrowwalk.Plan{{Name: "b", Rate: 3.6, Reserve: 1, Weight: 1, WorthFactor: 0.8, LimitRate: 7, LimitBurst: 12}},
-		Rules: arrowwalk.Rules{AskEvery: 10000000, ColdUnits: 29, OrderGap: 100000, ResendFree: 3, ResendRatio: 0.15,
+		Rules: arrowwalk.Rules{MaxListInterval: 10000000, ColdUnits: 29, OrderGap: 100000, ResendFree: 3, ResendRatio: 0.15,
 			ResendSpan: 5000000},
 	}
 	if !reflect.DeepEqual(*got, want) {
--- a/scheduler.go
+++ b/scheduler.go
@@ -230,7 +230,7 @@
 	if list.Kind == ListFailed {
 		s.logf("node list request failed, retrying in %d ms", s.listBackoff/1000)
 		s.setTimer(s.listBackoff+Micros(s.random.uniform()*float64(s.listBackoff)), timerTokenNodeList)
-		s.listBackoff = min(2*s.listBackoff, max(initialListBackoff, s.settings.Rules.AskEvery/4))
+		s.listBackoff = min(2*s.listBackoff, max(initialListBackoff, s.settings.Rules.MaxListInterval/4))
 		return
 	}
 	if list.Kind != ListStored {
@@ -286,7 +286,7 @@
 	}
 	s.accepted.add(s.now, 1)
 	r := &request{
-		Request: req, acceptedAt: s.now, deadline: s.now + req.Left, delayTolerance: 0.5 + s.random.uniform(),
+		Request: req, acceptedAt: s.now, deadline: s.now + req.TimeLeft, delayTolerance: 0.5 + s.random.uniform(),
 	}
 	if s.shutdownAt > 0 {
 		r.deadline = min(r.deadline, s.shutdownAt)
@@ -298,11 +298,11 @@
 	}
 	r.class = &s.settings.Classes[req.Class]
 	r.aimAt = s.now + s.aimSpan(r)
-	if req.Again { // the aim counts from the client's first try
-		r.aimAt -= max(0, r.class.Deadline-req.Left)
+	if req.IsRetry { // the aim counts from the client's first try
+		r.aimAt -= max(0, r.class.Deadline-req.TimeLeft)
 	} else { // the aim counts from the arrival; if a stall delayed the event, Left tells by how much
-		s.clientTimeout[req.Class] = max(s.clientTimeout[req.Class], req.Left)
-		r.aimAt -= min(s.stall, s.clientTimeout[req.Class]-req.Left)
+		s.clientTimeout[req.Class] = max(s.clientTimeout[req.Class], req.TimeLeft)
+		r.aimAt -= min(s.stall, s.clientTimeout[req.Class]-req.TimeLeft)
 	}
 	r.vol = s.findOrAddVolume(req.Volume)
 	s.setDeadlineTimer(r)
@@ -357,7 +357,7 @@
 	v.refilledAt = s.now
 	v.limitUnits = min(v.limitUnits+v.plan.LimitRate/v.hosts*elapsedSeconds, v.plan.LimitBurst/v.hosts)
 	reserveRate := v.plan.Reserve
-	if !s.settings.TellsOthers {
+	if !s.settings.ReportsOthersUnits {
 		reserveRate /= v.hosts
 	}
 	v.reserveUnits = min(v.reserveUnits+reserveRate*elapsedSeconds,
@@ -826,7 +826,7 @@
 	if r.class == nil || r.mayHaveRun == nil && r.inFlight == 0 || r.class.Repeat == Safe ||
 		r.class.Repeat == Keyed && r.class.Scope == ScopeAll {
 		// The longest wait, since a retry comes after the aim and earns little.
-		kind, wait = Refuse, s.settings.MaxWait
+		kind, wait = Refuse, s.settings.MaxRetryAfter
 	}
 	s.emit(Action{Kind: kind, Request: r.ID, Delay: wait})
 	s.closeRequest(r)
--- a/scheduler_test.go
+++ b/scheduler_test.go
@@ -28,7 +28,7 @@
 			{Name: "limited", Rate: 10, Weight: 1, WorthFactor: 1, LimitRate: 30, LimitBurst: 36, LimitSlack: 6},
 		},
 		Rules: Rules{
-			DrainGrace: 500 * ms, AskEvery: 10 * second, ColdFrom: 0.25, WarmWithin: 10 * second, ColdMultiple: 3,
+			DrainGrace: 500 * ms, MaxListInterval: 10 * second, ColdFrom: 0.25, WarmWithin: 10 * second, ColdMultiple: 3,
 			ColdSpan: second, ColdUnits: 30, OrderGap: 100 * ms,
 			ResendFree: 2, ResendRatio: 0.25, ResendSpan: 5 * second,
 		},
@@ -116,7 +116,7 @@
 // after change has modified it.
 func (h *harness) submit(change func(*Request)) RequestID {
 	h.nextID++
-	req := &Request{ID: h.nextID, Volume: Volume{ID: 1, Hosts: 3}, Left: 2500 * ms, Units: 2}
+	req := &Request{ID: h.nextID, Volume: Volume{ID: 1, Hosts: 3}, TimeLeft: 2500 * ms, Units: 2}
 	if change != nil {
 		change(req)
 	}
@@ -158,7 +158,7 @@
 		{"in flight and unanswered, safe", 0, Ready, nil, []string{"send 1", "refuse 1"}},
 		{"in flight and unanswered, unsafe", 2, Ready, nil, []string{"send 1", "fail 1"}},
 		{"in flight and unanswered, keyed", 1, Ready, nil, []string{"send 1", "fail 1"}},
-		{"deadline already passed", 0, Ready, func(req *Request) { req.Left = 0 }, []string{"refuse 1"}},
+		{"deadline already passed", 0, Ready, func(req *Request) { req.TimeLeft = 0 }, []string{"refuse 1"}},
 		{"unknown class", 0, Ready, func(req *Request) { req.Class = 9 }, []string{"refuse 1"}},
 		{"unknown plan", 0, Ready, func(req *Request) { req.Volume.Plan = 9 }, []string{"refuse 1"}},
 		{"unknown shard", 0, Ready, func(req *Request) { req.Shard = 40 }, []string{"refuse 1"}},
@@ -471,7 +471,7 @@
 	}
 	sent := []RequestID{h.submit(big(2, 0)), h.submit(big(2, 0))} // these use up the reserve of volume 2
 	h.complete(sent[0], OK)
-	late := h.submit(func(req *Request) { big(1, 0)(req); req.Again, req.Left = true, 2000*ms })
+	late := h.submit(func(req *Request) { big(1, 0)(req); req.IsRetry, req.TimeLeft = true, 2000*ms })
 	lowWorth := h.submit(big(4, 2))
 	pastReserve := h.submit(big(2, 0))
 	best := h.submit(big(3, 0))
@@ -653,8 +653,8 @@
 			} else {
 				h.advance(1200 * ms)
 			}
-			old := &Request{ID: 901, Volume: Volume{ID: 1}, Left: 1500 * ms, Units: 2}
-			young := &Request{ID: 902, Volume: Volume{ID: 1}, Left: 2400 * ms, Units: 2}
+			old := &Request{ID: 901, Volume: Volume{ID: 1}, TimeLeft: 1500 * ms, Units: 2}
+			young := &Request{ID: 902, Volume: Volume{ID: 1}, TimeLeft: 2400 * ms, Units: 2}
 			h.events = nil
 			h.step(&Outcome{Attempt: Attempt{Request: inFlight, Node: "a"}, Status: OK, Latency: 1200 * ms, Closed: true},
 				old, young)
@@ -706,7 +706,7 @@
 		}
 		gaps = append(gaps, h.now-start)
 	}
-	if gaps[0] > 2*initialListBackoff+20*ms || gaps[3] <= gaps[0] || gaps[3] > settings.Rules.AskEvery/2+20*ms {
+	if gaps[0] > 2*initialListBackoff+20*ms || gaps[3] <= gaps[0] || gaps[3] > settings.Rules.MaxListInterval/2+20*ms {
 		t.Errorf("waits between subscriptions: %v", gaps)
 	}
 }
@@ -855,16 +855,16 @@
 // refused at once, with the longest advice to wait.
 func TestLateRequestsAreAnsweredAtOnce(t *testing.T) {
 	settings := testSettings()
-	settings.MaxWait = 700 * ms
+	settings.MaxRetryAfter = 700 * ms
 	s, err := New(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := 100 * second
 	s.Step(now, &NodeList{Kind: ListStored, Nodes: []Node{{ID: "a"}}})
-	retry := &Request{ID: 1, Volume: Volume{ID: 1}, Left: 2000 * ms, Units: 2, Again: true}
+	retry := &Request{ID: 1, Volume: Volume{ID: 1}, TimeLeft: 2000 * ms, Units: 2, IsRetry: true}
 	for _, a := range s.Step(now, retry) {
-		if a.Kind == Send || a.Kind == Refuse && a.Delay != settings.MaxWait {
+		if a.Kind == Send || a.Kind == Refuse && a.Delay != settings.MaxRetryAfter {
 			t.Errorf("got %+v, want a refusal with the longest wait", a)
 		}
 	}
@@ -1015,7 +1015,7 @@
 	h.advance(100 * ms)
 	h.step(&Shutdown{At: h.now + 300*ms})
 	late := h.submit(nil) // arrives during the shutdown
-	short := h.submit(func(req *Request) { req.Left = 50 * ms })
+	short := h.submit(func(req *Request) { req.TimeLeft = 50 * ms })
 	h.advance(60 * ms)
 	h.wantEvents(fmt.Sprint("send ", inFlight), fmt.Sprint("refuse ", short))
 	h.advance(250 * ms)
--- a/types.go
+++ b/types.go
@@ -67,43 +67,43 @@
 
 // Rules holds the parameters of the rules that a host must keep.
 type Rules struct {
-	DrainGrace   Micros  // how long a draining node may still be sent requests
-	AskEvery     Micros  // longest time without a subscription to the node list or a request for it
-	ColdFrom     float64 // fraction of its capacity that a node has at its start
-	WarmWithin   Micros  // time from its start until a node has its full capacity
-	ColdMultiple float64 // load that makes a cold node fail, as a multiple of its capacity
-	ColdSpan     Micros  // time for which this load must last
-	ColdUnits    float64 // units in ColdSpan, from all hosts, that a cold node can handle
-	OrderGap     Micros  // pause for a key after an attempt that may still be running
-	ResendFree   float64 // further attempts in ResendSpan that are always allowed
-	ResendRatio  float64 // further attempts allowed per accepted request in ResendSpan
-	ResendSpan   Micros  // 0: no resend budget
+	DrainGrace      Micros  // how long a draining node may still be sent requests
+	MaxListInterval Micros  // longest time without a subscription to the node list or a request for it
+	ColdFrom        float64 // fraction of its capacity that a node has at its start
+	WarmWithin      Micros  // time from its start until a node has its full capacity
+	ColdMultiple    float64 // load that makes a cold node fail, as a multiple of its capacity
+	ColdSpan        Micros  // time for which this load must last
+	ColdUnits       float64 // units in ColdSpan, from all hosts, that a cold node can handle
+	OrderGap        Micros  // pause for a key after an attempt that may still be running
+	ResendFree      float64 // further attempts in ResendSpan that are always allowed
+	ResendRatio     float64 // further attempts allowed per accepted request in ResendSpan
+	ResendSpan      Micros  // 0: no resend budget
 }
 
 // Settings configures a Scheduler.
 type Settings struct {
-	Seed        uint64 // of the random source
-	Host, Hosts int    // index of this host and number of hosts
-	Zone        int    // zone of this host
-	Shards      int    // number of shards
-	Tick        Micros // shortest time between two steps
-	Classes     []Class
-	Plans       []Plan
-	Rules       Rules
-	Subscribe   bool     // the node list must be subscribed to
-	MaxAttempts int      // attempts per request
-	MaxWait     Micros   // longest advice to wait that clients follow; 0: give none
-	MeanUnits   float64  // units of a mean request; 0: 1
-	MostUnits   float64  // units of the largest request
-	ShareWorth  float64  // fraction of its worth that a unit past the reserve earns
-	SpareWorth  float64  // fraction of its worth that a unit past the reserve and the share earns
-	MeterPeriod Micros   // period of Outcome.FleetUse; 0: it is not reported
-	TellsOthers bool     // outcomes carry OthersUnits
-	Probing     bool     // nodes can be probed
-	Cancel      bool     // attempts can be cancelled
-	Parallel    bool     // a request may have two attempts in flight
-	Reports     []string // names of the values in a load report
-	ReportsIn   bool     // outcomes carry load reports
+	Seed               uint64 // of the random source
+	Host, Hosts        int    // index of this host and number of hosts
+	Zone               int    // zone of this host
+	Shards             int    // number of shards
+	Tick               Micros // shortest time between two steps
+	Classes            []Class
+	Plans              []Plan
+	Rules              Rules
+	Subscribe          bool     // the node list must be subscribed to
+	MaxAttempts        int      // attempts per request
+	MaxRetryAfter      Micros   // longest advice to wait that clients follow; 0: give none
+	MeanUnits          float64  // units of a mean request; 0: 1
+	MostUnits          float64  // units of the largest request
+	ShareWorth         float64  // fraction of its worth that a unit past the reserve earns
+	SpareWorth         float64  // fraction of its worth that a unit past the reserve and the share earns
+	MeterPeriod        Micros   // period of Outcome.FleetUse; 0: it is not reported
+	ReportsOthersUnits bool     // outcomes carry OthersUnits
+	Probing            bool     // nodes can be probed
+	Cancel             bool     // attempts can be cancelled
+	Parallel           bool     // a request may have two attempts in flight
+	Reports            []string // names of the values in a load report
+	InlineReports      bool     // outcomes carry load reports
 }
 
 // NodeID, RequestID and VolumeID are identifiers that the caller assigns.
@@ -169,15 +169,15 @@
 
 // Request reports a client's request, to which the host owes one final answer.
 type Request struct {
-	ID     RequestID
-	Class  int // index in Settings.Classes
-	Volume Volume
-	HasKey bool
-	Key    uint64 // orders requests of an Ordered class; valid if HasKey
-	Left   Micros // time until the client stops waiting
-	Units  float64
-	Shard  int  // -1: a new object, which any shard may store
-	Again  bool // a client's retry, not its first try
+	ID       RequestID
+	Class    int // index in Settings.Classes
+	Volume   Volume
+	HasKey   bool
+	Key      uint64 // orders requests of an Ordered class; valid if HasKey
+	TimeLeft Micros // time until the client stops waiting
+	Units    float64
+	Shard    int  // -1: a new object, which any shard may store
+	IsRetry  bool // a client's retry, not its first try
 }
 
 // StreamStarted reports that the answer to a streamed request has begun.
