--- a/internal/emul/emul_test.go
+++ b/internal/emul/emul_test.go
@@ -29,22 +29,24 @@
 	return sc
 }
 
-// The same scenario and seed give the same run; another seed another.
+// TestSameSeedSameRun checks that a scenario and seed determine the run, and
+// that another seed gives another run.
 func TestSameSeedSameRun(t *testing.T) {
 	sc := find(t, "host-crashes")
 	a, b, c := play(t, sc, 5), play(t, sc, 5), play(t, sc, 6)
 	if a.Hash != b.Hash || a.Events != b.Events {
-		t.Errorf("one seed, two runs: %s and %s", a.Hash, b.Hash)
+		t.Errorf("same seed, different hashes: %s and %s", a.Hash, b.Hash)
 	}
 	if a.Hash == c.Hash {
-		t.Error("two seeds, one run")
+		t.Error("different seeds gave the same hash")
 	}
 }
 
-// always are the days that are played with the race detector too.
+// always lists the scenarios that are also run with the race detector.
 var always = []string{"cold-box", "stalled-host", "retry-storm", "waves"}
 
-// The library's claims hold, for the seed they are shipped with.
+// TestLibrary checks that the claims of each scenario in the library hold with
+// the scenario's own seed.
 func TestLibrary(t *testing.T) {
 	for _, name := range scenario.Names() {
 		t.Run(name, func(t *testing.T) {
@@ -67,9 +69,9 @@
 	}
 }
 
-// Each guard that is taken out is seen: the claims of the two hard cases can
-// fail. A cold brick that hosts take for a warm one falls over; a host that is
-// not told of drains sends on.
+// TestGuardsAreSeen checks that the claims of the cold-box and stalled-host
+// scenarios fail when a guard is disabled: a cold brick that hosts treat as
+// warm collapses, and a host that is not told of drains keeps sending.
 func TestGuardsAreSeen(t *testing.T) {
 	for _, c := range []struct{ name, guard, policy, rule string }{
 		{"cold-box", "cold", "", "cold bricks spared"},
@@ -78,11 +80,11 @@
 	} {
 		sc := find(t, c.name)
 		sc.Site.DisabledGuard, sc.Policy = c.guard, c.policy
-		if c.name == "cold-box" { // smaller, with the same load for each brick
+		if c.name == "cold-box" { // a smaller site with the same load per brick
 			sc.Site.Hosts, sc.Site.Bricks, sc.Load.Volumes, sc.Seconds = 60, 10, 60, 35
 			sc.Timeline[0].Count, sc.Load.Utilization, sc.Site.Brick.ColdMultiple = 2, 1.4, 1.5
 		}
-		if c.policy == "" { // with the guard in, the same day holds
+		if c.policy == "" { // with the guard, the same scenario keeps its claims
 			guard := sc.Site.DisabledGuard
 			sc.Site.DisabledGuard = ""
 			if r := play(t, sc, 0); !r.ClaimsHold(sc) {
@@ -98,13 +100,13 @@
 			}
 		}
 		if broken == 0 || r.ClaimsHold(sc) {
-			t.Errorf("%+v: nothing is seen: %v", c, r.Rules)
+			t.Errorf("%+v: no violation found: %v", c, r.Rules)
 		}
 	}
 }
 
-// A storm of retries on top of crashes ends with its cause under the module.
-// Sending everything at once is seen to waste work on it.
+// TestStormEnds checks that the scheduler recovers from a retry storm during
+// host crashes, and serves more than a policy that sends everything at once.
 func TestStormEnds(t *testing.T) {
 	sc := find(t, "retry-storm")
 	module := play(t, sc, 0)
--- a/internal/emul/hosts.go
+++ b/internal/emul/hosts.go
@@ -12,205 +12,216 @@
 	"arrowwalk/internal/stall"
 )
 
-// hostSim is an emulated host: the module with its timers (host.Engine), the
-// gate that node lists pass, and what the running host keeps beside them.
+// hostSim is an emulated host: the scheduler with its timer, the gate that
+// filters node lists, and the state that a real host keeps beside them.
 type hostSim struct {
-	id, zone  int
-	skew      int64 // its clock is ahead by as much
-	run       int
-	up        bool
-	stalled   int64 // until
-	stallFrom int64
-	stood     stall.Stall // the last time that it stood still
-	decider   policy.Scheduler
-	requests  map[arrowwalk.RequestID]*request
-	last      uint64
-	inbox     []arrowwalk.Event
-	held      []heldEvent // what came during a stall
-	armed     int64
-	down      []outage // crashes, which excuse that there is no answer
+	id, zone     int
+	skew         int64 // microseconds by which its clock is ahead
+	runs         int   // number of starts
+	up           bool
+	stalledUntil int64 // until
+	stalledSince int64
+	lastStall    stall.Stall // the last stall that has ended
+	scheduler    policy.Scheduler
+	requests     map[arrowwalk.RequestID]*request
+	lastTaskID   uint64
+	inbox        []arrowwalk.Event
+	heldEvents   []heldEvent // events that arrived during a stall
+	timerAt      int64       // expiry of the scheduler's timer; 0: not set
+	outages      []outage    // crashes; a missing answer is excused while the host is down
 
-	gate     *trust.Gate
-	doubts   *trust.Verifier
-	known    []arrowwalk.Node // the last list that was taken
-	knownAt  int64
-	told     map[arrowwalk.NodeID]int // open entries of the trace
-	heardAny bool
+	gate       *trust.Gate
+	verifier   *trust.Verifier
+	knownNodes []arrowwalk.Node // the last node list that the gate accepted
+	knownAt    int64
+	openTold   map[arrowwalk.NodeID]int // index in the trace's Told of the current entry of each draining or removed brick
+	heardAny   bool
 }
 
+// outage is a period in which a host was down.
 type outage struct{ from, to int64 }
 
-// heldEvent is what came to a host that stood still, and when.
+// heldEvent is an event that arrived at a stalled host, with its arrival time.
 type heldEvent struct {
 	event
-	at int64
+	arrivedAt int64
 }
 
-// attempt is one sending.
+// attempt is one sending of a request to a brick.
 type attempt struct {
-	rq      *request
-	number  int
-	run     int
-	brick   int
-	sent    int64
-	over    bool // its end is known to the host
-	status  arrowwalk.Status
-	others  float64
-	arrival int32
-	job     *model.Job
+	request      *request
+	number       int
+	run          int
+	brick        int
+	sentAt       int64
+	ended        bool // the host knows the outcome
+	status       arrowwalk.Status
+	othersUnits  float64
+	arrivalIndex int32
+	job          *model.Job
 }
 
-func (at *attempt) task() string {
-	return fmt.Sprintf("%d-%d-%d-%d", at.rq.host, at.run, at.rq.id<<8|uint64(at.rq.tries), at.rq.task)
+// taskName returns the attempt's task ID as it appears in the trace, unique
+// over all hosts and starts.
+func (at *attempt) taskName() string {
+	return fmt.Sprintf("%d-%d-%d-%d", at.request.host, at.run, at.request.id<<8|uint64(at.request.tries), at.request.taskID)
 }
 
-// list is one version of the node list.
-type list struct {
+// listVersion is one version of the node list.
+type listVersion struct {
 	version int64
 	nodes   []arrowwalk.Node
 }
 
-// publish makes a new version of the node list out of what is, and tells it to
-// all hosts that hear of it.
-func (s *Sim) publish() {
-	s.lists = append(s.lists, list{int64(len(s.lists) + 1), nil})
-	l := &s.lists[len(s.lists)-1]
+// publishList creates a new version of the node list from the current state of
+// the bricks and sends it to all hosts.
+func (s *Sim) publishList() {
+	s.listVersions = append(s.listVersions, listVersion{int64(len(s.listVersions) + 1), nil})
+	l := &s.listVersions[len(s.listVersions)-1]
 	for _, b := range s.bricks {
-		if state := s.listed(b); state != arrowwalk.Removed {
+		if state := s.listedState(b); state != arrowwalk.Removed {
 			l.nodes = append(l.nodes, arrowwalk.Node{ID: arrowwalk.NodeID(b.Name), Shard: b.Shard, Zone: b.Zone, State: state, Started: arrowwalk.Micros(b.Started)})
 		}
 	}
 	for _, h := range s.hosts {
-		s.tell(h, len(s.lists)-1)
+		s.sendList(h, len(s.listVersions)-1)
 	}
 }
 
-// tell sends a version of the list on its way to a host.
-func (s *Sim) tell(h *hostSim, version int) {
-	if s.listDown || s.blocked[h.id] {
+// sendList schedules the arrival of a list version at a host, unless discovery
+// is down or the host is cut off from it.
+func (s *Sim) sendList(h *hostSim, version int) {
+	if s.listDown || s.listBlocked[h.id] {
 		return
 	}
-	s.push(s.now+s.span(s.net, s.s.Site.ListMS)*1000, event{kind: evList, who: int32(h.id), n: int64(version)})
+	s.push(s.now+s.drawInt(s.netRand, s.scenario.Site.ListMS)*1000, event{kind: evNodeList, target: int32(h.id), arg: int64(version)})
 }
 
-// startHost starts a host, or starts it again with its last list.
+// startHost starts a host. A host that starts again uses its stored node list
+// until it receives the current one.
 func (s *Sim) startHost(h *hostSim) error {
-	set := s.s.GatewayConfig(h.id, s.rates).Module()
-	set.MeanUnits, set.MostUnits = s.s.MeanUnits(), float64(s.s.Load.Units[1])
-	set.Seed = s.s.Seed<<16 + uint64(h.id)<<4 + uint64(h.run)
+	set := s.scenario.GatewayConfig(h.id, s.planRates).Module()
+	set.MeanUnits, set.MostUnits = s.scenario.MeanUnits(), float64(s.scenario.Load.Units[1])
+	set.Seed = s.scenario.Seed<<16 + uint64(h.id)<<4 + uint64(h.runs)
 	var err error
-	if h.decider, err = policy.New(s.s.Policy, set, s.clock(h)); err != nil {
+	if h.scheduler, err = policy.New(s.scenario.Policy, set, s.hostClock(h)); err != nil {
 		return err
 	}
-	h.run++
-	h.up, h.requests, h.last, h.armed, h.inbox, h.held = true, map[arrowwalk.RequestID]*request{}, 0, 0, nil, nil
-	h.told = map[arrowwalk.NodeID]int{}
-	first := h.run == 1
-	h.gate = trust.NewGate(10*time.Second, 10*time.Second, 3, len(h.known))
+	h.runs++
+	h.up, h.requests, h.lastTaskID, h.timerAt, h.inbox, h.heldEvents = true, map[arrowwalk.RequestID]*request{}, 0, 0, nil, nil
+	h.openTold = map[arrowwalk.NodeID]int{}
+	first := h.runs == 1
+	h.gate = trust.NewGate(10*time.Second, 10*time.Second, 3, len(h.knownNodes))
 	if first {
-		h.gate.Decide(trust.Offer{Source: "list", Version: 1, BrickCount: len(s.lists[0].nodes)})
-		s.take(h, arrowwalk.ListSnapshot, &s.lists[0])
+		h.gate.Decide(trust.Offer{Source: "list", Version: 1, BrickCount: len(s.listVersions[0].nodes)})
+		s.applyList(h, arrowwalk.ListSnapshot, &s.listVersions[0])
 	} else {
-		s.restore(h)
-		s.tell(h, len(s.lists)-1)
+		s.restoreList(h)
+		s.sendList(h, len(s.listVersions)-1)
 	}
-	s.step(h)
+	s.stepHost(h)
 	return nil
 }
 
-// restore has a host that comes back go by its last list as far as that is
-// believed (package trust), and ask the bricks that it doubts.
-func (s *Sim) restore(h *hostSim) {
+// restoreList loads the stored node list of a restarted host. Entries are used
+// as far as package trust allows, and the bricks that they name are probed.
+func (s *Sim) restoreList(h *hostSim) {
 	ids, ages := []trust.Identity{}, map[string]time.Duration{}
-	for _, n := range h.known {
+	for _, n := range h.knownNodes {
 		ids = append(ids, trust.Identity{Name: string(n.ID), Shard: n.Shard, Started: int64(n.Started)})
 		ages[string(n.ID)] = time.Duration(s.now-h.knownAt) * time.Microsecond
 	}
-	h.doubts = trust.NewVerifier(ids, ages, trust.ChangeRate{})
-	nodes := make([]arrowwalk.Node, len(h.known))
-	for i, n := range h.known {
-		nodes[i] = s.doubted(h, n)
+	h.verifier = trust.NewVerifier(ids, ages, trust.ChangeRate{})
+	nodes := make([]arrowwalk.Node, len(h.knownNodes))
+	for i, n := range h.knownNodes {
+		nodes[i] = s.applyTrust(h, n)
 	}
 	h.inbox = append(h.inbox, &arrowwalk.NodeList{Kind: arrowwalk.ListStored, Nodes: nodes})
-	s.note(h, h.known) // its own list told it that some drain
-	s.push(s.now, event{kind: evAsk, who: int32(h.id), n: int64(h.run)})
+	s.recordBrickStates(h, h.knownNodes) // the stored list already says which bricks drain
+	s.push(s.now, event{kind: evProbeBricks, target: int32(h.id), arg: int64(h.runs)})
 }
 
-// doubted makes of a kept entry what its level allows.
-func (s *Sim) doubted(h *hostSim, n arrowwalk.Node) arrowwalk.Node {
-	e, _ := h.doubts.Entry(string(n.ID))
+// applyTrust returns a stored node entry with the state and start time that its
+// trust level allows.
+func (s *Sim) applyTrust(h *hostSim, n arrowwalk.Node) arrowwalk.Node {
+	e, _ := h.verifier.Entry(string(n.ID))
 	switch {
 	case n.State != arrowwalk.Ready:
 	case !trust.MayServe(e.Level):
 		n.State = arrowwalk.Draining
 	case e.Level == trust.Aged:
-		n.Started = s.clock(h)
+		n.Started = s.hostClock(h)
 	case e.Started > 0:
 		n.Started = arrowwalk.Micros(e.Started)
 	}
 	return n
 }
 
-// ask sends questions to bricks that a host doubts.
-func (s *Sim) ask(h *hostSim) {
-	if h.doubts == nil {
+// probeBricks starts the pending probes of a host's verifier and schedules the
+// next round.
+func (s *Sim) probeBricks(h *hostSim) {
+	if h.verifier == nil {
 		return
 	}
-	for _, id := range h.doubts.StartProbes(time.Duration(s.now)*time.Microsecond, 4) {
+	for _, id := range h.verifier.StartProbes(time.Duration(s.now)*time.Microsecond, 4) {
 		for _, b := range s.bricks {
 			if b.Name == id.Name {
-				wait := 2 * s.delay()
-				if b.mute || s.lost(h.id, b) {
+				wait := 2 * s.drawDelay()
+				if b.mute || s.isMessageLost(h.id, b) {
 					wait = 500_000
 				}
-				s.push(s.now+wait, event{kind: evAsked, who: int32(h.id), n: int64(b.number)})
+				s.push(s.now+wait, event{kind: evProbeResult, target: int32(h.id), arg: int64(b.number)})
 			}
 		}
 	}
-	s.push(s.now+200_000, event{kind: evAsk, who: int32(h.id), n: int64(h.run)})
+	s.push(s.now+200_000, event{kind: evProbeBricks, target: int32(h.id), arg: int64(h.runs)})
 }
 
-// asked takes in what a question showed.
-func (s *Sim) asked(h *hostSim, b *brickSim) {
-	if h.doubts == nil {
+// handleProbeResult passes a probe's result to the verifier and tells the
+// scheduler if the trust in the entry has changed.
+func (s *Sim) handleProbeResult(h *hostSim, b *brickSim) {
+	if h.verifier == nil {
 		return
 	}
 	what := trust.Answered
 	switch {
-	case b.mute || b.Collapsed || s.lost(h.id, b):
+	case b.mute || b.Collapsed || s.isMessageLost(h.id, b):
 		what = trust.TimedOut
 	case b.Dead:
 		what = trust.ConnRefused
 	}
-	if !h.doubts.Observe(b.Name, what, b.Started, time.Duration(s.now)*time.Microsecond) {
+	if !h.verifier.Observe(b.Name, what, b.Started, time.Duration(s.now)*time.Microsecond) {
 		return
 	}
-	for _, n := range h.known {
+	for _, n := range h.knownNodes {
 		if string(n.ID) == b.Name {
-			h.inbox = append(h.inbox, &arrowwalk.NodeList{Kind: arrowwalk.ListDelta, Nodes: []arrowwalk.Node{s.doubted(h, n)}})
+			h.inbox = append(h.inbox, &arrowwalk.NodeList{Kind: arrowwalk.ListDelta, Nodes: []arrowwalk.Node{s.applyTrust(h, n)}})
 		}
 	}
 }
 
-// heard offers a list to a host's gate.
-func (s *Sim) heard(h *hostSim, l *list) {
+// offerList offers a list version to the host's gate and applies it if it is
+// accepted.
+func (s *Sim) offerList(h *hostSim, l *listVersion) {
 	answer, _ := h.gate.Decide(trust.Offer{Source: "list", Version: l.version, BrickCount: len(l.nodes), At: time.Duration(s.now) * time.Microsecond})
 	if answer == trust.Accept {
-		h.doubts = nil
-		s.take(h, arrowwalk.ListSnapshot, l)
+		h.verifier = nil
+		s.applyList(h, arrowwalk.ListSnapshot, l)
 	}
 }
 
-func (s *Sim) take(h *hostSim, kind arrowwalk.ListKind, l *list) {
+// applyList passes a node list to the host's scheduler, altered if the scenario
+// disables a guard.
+func (s *Sim) applyList(h *hostSim, kind arrowwalk.ListKind, l *listVersion) {
 	nodes := l.nodes
-	if s.s.Site.DisabledGuard == "cold" { // the host takes cold bricks for warm ones
+	if s.scenario.Site.DisabledGuard == "cold" { // the host treats cold bricks as warm
 		nodes = make([]arrowwalk.Node, len(l.nodes))
 		for i, n := range l.nodes {
 			n.Started = 0
 			nodes[i] = n
 		}
 	}
-	if s.s.Site.DisabledGuard == "drains" { // the host is not told that bricks drain
+	if s.scenario.Site.DisabledGuard == "drains" { // the host sees draining bricks as ready
 		nodes = make([]arrowwalk.Node, len(l.nodes))
 		for i, n := range l.nodes {
 			n.State = arrowwalk.Ready
@@ -218,14 +229,15 @@
 		}
 	}
 	h.inbox = append(h.inbox, &arrowwalk.NodeList{Kind: kind, Version: l.version, Nodes: nodes})
-	s.note(h, l.nodes)
-	h.known, h.knownAt = l.nodes, s.now
+	s.recordBrickStates(h, l.nodes)
+	h.knownNodes, h.knownAt = l.nodes, s.now
 }
 
-// note writes down since when a host knows that bricks drain or are gone.
-func (s *Sim) note(h *hostSim, nodes []arrowwalk.Node) {
+// recordBrickStates records in the trace since when the host knows that bricks
+// drain or are gone.
+func (s *Sim) recordBrickStates(h *hostSim, nodes []arrowwalk.Node) {
 	states := map[arrowwalk.NodeID]string{}
-	for _, n := range h.known {
+	for _, n := range h.knownNodes {
 		states[n.ID] = "gone"
 	}
 	for _, n := range nodes {
@@ -234,132 +246,137 @@
 	for _, b := range s.bricks {
 		id := arrowwalk.NodeID(b.Name)
 		state, ok := states[id]
-		i, open := h.told[id]
+		i, open := h.openTold[id]
 		if !ok || open && s.trace.Told[i].State == state {
 			continue
 		}
 		if open {
 			s.trace.Told[i].Until = s.now
-			delete(h.told, id)
+			delete(h.openTold, id)
 		}
 		if state != "ready" {
-			h.told[id] = len(s.trace.Told)
+			h.openTold[id] = len(s.trace.Told)
 			s.trace.Told = append(s.trace.Told, rules.Told{Host: h.id, At: s.now, Brick: b.Name, State: state})
 		}
 	}
 }
 
-// clock is the time on a host's clock.
-func (s *Sim) clock(h *hostSim) arrowwalk.Micros { return arrowwalk.Micros(s.now + h.skew) }
+// hostClock returns the time on the host's skewed clock.
+func (s *Sim) hostClock(h *hostSim) arrowwalk.Micros { return arrowwalk.Micros(s.now + h.skew) }
 
-// atHost handles what happens at a host: at once, or after its stall.
-func (s *Sim) atHost(e *event) {
-	h := s.hosts[e.who]
+// deliverToHost handles an event at a host, or holds it back while the host is
+// stalled. Events at a host that is down are dropped.
+func (s *Sim) deliverToHost(e *event) {
+	h := s.hosts[e.target]
 	switch {
 	case e.kind == evResume:
-		s.resume(h, e.n)
+		s.resumeHost(h, e.arg)
 	case !h.up:
-	case h.stalled > s.now:
-		h.held = append(h.held, heldEvent{*e, s.now})
+	case h.stalledUntil > s.now:
+		h.heldEvents = append(h.heldEvents, heldEvent{*e, s.now})
 	default:
-		if s.take1(h, e) {
-			s.step(h)
+		if s.handleHostEvent(h, e) {
+			s.stepHost(h)
 		}
 	}
 }
 
-// take1 makes events for the module of one thing that came; false: it is of no
-// interest any more.
-func (s *Sim) take1(h *hostSim, e *event) bool {
+// handleHostEvent translates an event into scheduler input. It returns false if
+// the event is stale and the scheduler need not run.
+func (s *Sim) handleHostEvent(h *hostSim, e *event) bool {
 	switch e.kind {
-	case evTry:
-		s.accept(h, e.rq)
-	case evGiveUp:
-		return s.abandoned(h, e.rq)
-	case evAnswer, evTimeout, evOutcome:
-		return s.ended(h, e)
-	case evWake:
-		if e.n != h.armed {
+	case evSendTry:
+		s.acceptRequest(h, e.request)
+	case evClientTimeout:
+		return s.abandonRequest(h, e.request)
+	case evAnswerArrival, evAttemptTimeout, evAttemptEnd:
+		return s.handleAttemptEnd(h, e)
+	case evTimer:
+		if e.arg != h.timerAt {
 			return false
 		}
-		h.armed = 0
-	case evList:
-		s.heard(h, &s.lists[e.n])
-	case evAsk:
-		if int(e.n) != h.run {
+		h.timerAt = 0
+	case evNodeList:
+		s.offerList(h, &s.listVersions[e.arg])
+	case evProbeBricks:
+		if int(e.arg) != h.runs {
 			return false
 		}
-		s.ask(h)
-	case evAsked:
-		s.asked(h, s.bricks[e.n])
-	case evUnblocked:
-		s.tell(h, len(s.lists)-1)
+		s.probeBricks(h)
+	case evProbeResult:
+		s.handleProbeResult(h, s.bricks[e.arg])
+	case evListReachable:
+		s.sendList(h, len(s.listVersions)-1)
 		return false
 	}
 	return true
 }
 
-// ended takes in the end of an attempt.
-func (s *Sim) ended(h *hostSim, e *event) bool {
-	at := e.at
-	if at.over || at.run != h.run {
+// handleAttemptEnd reports the outcome of an attempt to the scheduler. It
+// returns false if the outcome is already known or the host has restarted
+// since.
+func (s *Sim) handleAttemptEnd(h *hostSim, e *event) bool {
+	at := e.attempt
+	if at.ended || at.run != h.runs {
 		return false
 	}
-	at.over = true
+	at.ended = true
 	status := at.status
-	if e.kind == evTimeout {
+	if e.kind == evAttemptTimeout {
 		status = arrowwalk.TimedOut
-	} else if e.kind == evOutcome {
-		status = arrowwalk.Status(e.n)
+	} else if e.kind == evAttemptEnd {
+		status = arrowwalk.Status(e.arg)
 	}
-	r := at.rq
-	closed := status == arrowwalk.OK && !r.final
+	r := at.request
+	closed := status == arrowwalk.OK && !r.answered
 	unseen := int64(0)
-	if status != arrowwalk.OK && s.found == 0 && s.s.Site.KnowsBacklogAge() {
-		unseen = h.stood.Overlap(at.sent, s.now)
+	if status != arrowwalk.OK && s.backlogArrival == 0 && s.scenario.Site.KnowsBacklogAge() {
+		unseen = h.lastStall.Overlap(at.sentAt, s.now)
 	}
 	h.inbox = append(h.inbox, &arrowwalk.Outcome{
-		Attempt: arrowwalk.Attempt{Request: r.task, Number: at.number, Node: arrowwalk.NodeID(s.bricks[at.brick].Name)},
-		Status:  status, Latency: arrowwalk.Micros(s.came() - at.sent - unseen), Closed: closed, FleetUse: r.volume.told, OthersUnits: at.others})
+		Attempt: arrowwalk.Attempt{Request: r.taskID, Number: at.number, Node: arrowwalk.NodeID(s.bricks[at.brick].Name)},
+		Status:  status, Latency: arrowwalk.Micros(s.arrivalTime() - at.sentAt - unseen), Closed: closed, FleetUse: r.volume.reportedUsage, OthersUnits: at.othersUnits})
 	if r.running == at {
 		r.running = nil
 	}
 	if closed {
-		s.finalAnswer(h, r, 200)
+		s.answerClient(h, r, 200)
 	}
-	if r.final && r.running == nil {
-		delete(h.requests, r.task)
+	if r.answered && r.running == nil {
+		delete(h.requests, r.taskID)
 	}
 	return true
 }
 
-// step has the module decide on what has come, and does what it says.
-func (s *Sim) step(h *hostSim) {
-	actions := h.decider.Step(s.clock(h), h.inbox)
+// stepHost runs the scheduler on the pending input, executes its actions and
+// sets its timer.
+func (s *Sim) stepHost(h *hostSim) {
+	actions := h.scheduler.Step(s.hostClock(h), h.inbox)
 	h.inbox = h.inbox[:0]
 	for _, a := range actions {
-		s.carryOut(h, a)
+		s.execute(h, a)
 	}
-	if next, ok := h.decider.Next(); ok {
+	if next, ok := h.scheduler.Next(); ok {
 		at := max(int64(next)-h.skew, s.now+1)
-		if h.armed == 0 || at < h.armed {
-			h.armed = at
-			s.push(at, event{kind: evWake, who: int32(h.id), n: at})
+		if h.timerAt == 0 || at < h.timerAt {
+			h.timerAt = at
+			s.push(at, event{kind: evTimer, target: int32(h.id), arg: at})
 		}
 	}
 }
 
-func (s *Sim) carryOut(h *hostSim, a arrowwalk.Action) {
+// execute carries out one action of the scheduler.
+func (s *Sim) execute(h *hostSim, a arrowwalk.Action) {
 	r := h.requests[a.Request]
 	switch a.Kind {
 	case arrowwalk.Send:
 		if r == nil {
-			s.stop = fmt.Errorf("host %d sends request %d, which it does not have", h.id, a.Request)
+			s.err = fmt.Errorf("host %d sends request %d, which it does not have", h.id, a.Request)
 			return
 		}
-		s.send(h, r, a)
+		s.sendAttempt(h, r, a)
 	case arrowwalk.Refuse, arrowwalk.Fail:
-		if r == nil || r.final {
+		if r == nil || r.answered {
 			return
 		}
 		status := 503
@@ -367,106 +384,109 @@
 			status = 500
 		}
 		if at := r.running; at != nil {
-			s.push(s.now, event{kind: evOutcome, who: int32(h.id), n: int64(arrowwalk.Cancelled), at: at})
+			s.push(s.now, event{kind: evAttemptEnd, target: int32(h.id), arg: int64(arrowwalk.Cancelled), attempt: at})
 		} else {
 			delete(h.requests, a.Request)
 		}
-		s.finalAnswer(h, r, status)
+		s.answerClient(h, r, status)
 	case arrowwalk.Cancel:
 		if r != nil && r.running != nil && r.running.number == a.Attempt {
-			s.push(s.now, event{kind: evOutcome, who: int32(h.id), n: int64(arrowwalk.Cancelled), at: r.running})
+			s.push(s.now, event{kind: evAttemptEnd, target: int32(h.id), arg: int64(arrowwalk.Cancelled), attempt: r.running})
 		}
 	}
 }
 
-func (s *Sim) send(h *hostSim, r *request, a arrowwalk.Action) {
-	b := s.names[a.Node]
+// sendAttempt sends an attempt to the brick that the action names.
+func (s *Sim) sendAttempt(h *hostSim, r *request, a arrowwalk.Action) {
+	b := s.bricksByName[a.Node]
 	if b == nil {
-		s.stop = fmt.Errorf("host %d sends to %q, which is no brick", h.id, a.Node)
+		s.err = fmt.Errorf("host %d sends to %q, which is no brick", h.id, a.Node)
 		return
 	}
-	at := &attempt{rq: r, number: r.sent, run: h.run, brick: b.number, sent: s.now}
-	r.sent++
+	at := &attempt{request: r, number: r.attempts, run: h.runs, brick: b.number, sentAt: s.now}
+	r.attempts++
 	r.running = at
-	until := r.until
+	until := r.deadline
 	if a.Delay > 0 {
 		until = min(until, s.now+int64(a.Delay))
 	}
-	s.push(max(until, s.now+1), event{kind: evTimeout, who: int32(h.id), at: at})
-	wait := s.delay()
+	s.push(max(until, s.now+1), event{kind: evAttemptTimeout, target: int32(h.id), attempt: at})
+	wait := s.drawDelay()
 	switch {
-	case s.lost(h.id, b):
+	case s.isMessageLost(h.id, b):
 	case b.Dead && !b.mute:
-		s.push(s.now+2*wait, event{kind: evOutcome, who: int32(h.id), n: int64(arrowwalk.Unreachable), at: at})
+		s.push(s.now+2*wait, event{kind: evAttemptEnd, target: int32(h.id), arg: int64(arrowwalk.Unreachable), attempt: at})
 	default:
-		s.push(s.now+wait, event{kind: evArrive, who: int32(h.id), at: at})
+		s.push(s.now+wait, event{kind: evAttemptArrival, target: int32(h.id), attempt: at})
 	}
 }
 
-// stall has a host stand still for a span.
-func (s *Sim) stall(h *hostSim, span int64) {
-	if !h.up || h.stalled > s.now {
+// stallHost stops a host from processing events for span microseconds.
+func (s *Sim) stallHost(h *hostSim, span int64) {
+	if !h.up || h.stalledUntil > s.now {
 		return
 	}
-	h.stalled, h.stallFrom = s.now+span, s.now
-	s.trace.Stills = append(s.trace.Stills, rules.Still{Host: h.id, From: s.now, To: h.stalled})
-	s.push(h.stalled, event{kind: evResume, who: int32(h.id), n: int64(h.run)})
+	h.stalledUntil, h.stalledSince = s.now+span, s.now
+	s.trace.Stills = append(s.trace.Stills, rules.Still{Host: h.id, From: s.now, To: h.stalledUntil})
+	s.push(h.stalledUntil, event{kind: evResume, target: int32(h.id), arg: int64(h.runs)})
 }
 
-// resume has a host find all that came during its stall, at once.
-func (s *Sim) resume(h *hostSim, run int64) {
-	if !h.up || int64(h.run) != run {
+// resumeHost ends a host's stall: it processes all held events at once.
+func (s *Sim) resumeHost(h *hostSim, run int64) {
+	if !h.up || int64(h.runs) != run {
 		return
 	}
-	held := h.held
-	h.held, h.armed, h.stood, h.stalled = nil, 0, stall.Stall{Start: h.stallFrom, End: h.stalled}, 0
+	held := h.heldEvents
+	h.heldEvents, h.timerAt, h.lastStall, h.stalledUntil = nil, 0, stall.Stall{Start: h.stalledSince, End: h.stalledUntil}, 0
 	for i := range held {
-		s.found = held[i].at
-		s.take1(h, &held[i].event)
+		s.backlogArrival = held[i].arrivedAt
+		s.handleHostEvent(h, &held[i].event)
 	}
-	s.found = 0
-	s.step(h)
+	s.backlogArrival = 0
+	s.stepHost(h)
 }
 
-// came returns when what a host takes in has come, as far as it knows.
-func (s *Sim) came() int64 {
-	if s.found > 0 && s.s.Site.KnowsBacklogAge() {
-		return s.now - (s.now-s.found)/1000*1000 // the kernel tells milliseconds
+// arrivalTime returns when the event that a host handles has arrived, as far as
+// the host can tell.
+func (s *Sim) arrivalTime() int64 {
+	if s.backlogArrival > 0 && s.scenario.Site.KnowsBacklogAge() {
+		return s.now - (s.now-s.backlogArrival)/1000*1000 // the kernel reports ages in milliseconds
 	}
 	return s.now
 }
 
-// crash ends a host; it is back after a span.
-func (s *Sim) crash(h *hostSim, span int64) {
+// crashHost stops a host and starts it again after span microseconds.
+func (s *Sim) crashHost(h *hostSim, span int64) {
 	if !h.up {
 		return
 	}
-	h.up, h.stalled, h.doubts = false, 0, nil
-	h.down = append(h.down, outage{s.now, s.now + span})
+	h.up, h.stalledUntil, h.verifier = false, 0, nil
+	h.outages = append(h.outages, outage{s.now, s.now + span})
 	for _, r := range sortedRequests(h.requests) {
-		if !r.final {
-			s.cut(r)
+		if !r.answered {
+			s.breakTry(r)
 		}
 	}
-	for i := range h.held { // in the kernel's hands: their connections break too
-		if e := &h.held[i].event; e.kind == evTry && !e.rq.final {
-			s.cut(e.rq)
+	for i := range h.heldEvents { // requests still in the kernel's buffers: their connections break too
+		if e := &h.heldEvents[i].event; e.kind == evSendTry && !e.request.answered {
+			s.breakTry(e.request)
 		}
 	}
-	for id, i := range h.told {
+	for id, i := range h.openTold {
 		s.trace.Told[i].Until = s.now
-		delete(h.told, id)
+		delete(h.openTold, id)
 	}
-	s.push(s.now+span, event{kind: evTrouble, do: func() {
+	s.push(s.now+span, event{kind: evScheduled, run: func() {
 		if err := s.startHost(h); err != nil {
-			s.stop = err
+			s.err = err
 		}
 	}})
 }
 
-// downDuring tells whether a host was down in a span.
-func (h *hostSim) downDuring(from, to int64) bool {
-	for _, o := range h.down {
+// wasDownDuring reports whether the host was down at any time between from and
+// to.
+func (h *hostSim) wasDownDuring(from, to int64) bool {
+	for _, o := range h.outages {
 		if o.from <= to && from <= o.to {
 			return true
 		}
--- a/internal/emul/result.go
+++ b/internal/emul/result.go
@@ -12,9 +12,9 @@
 	"arrowwalk/internal/rules"
 )
 
-// SecondTotals is what became of the requests that were born in one second.
+// SecondTotals sums up the requests whose first try was sent in one second.
 type SecondTotals struct {
-	MaxWorth    float64 `json:"due"` // worth
+	MaxWorth    float64 `json:"due"` // worth if every request met its aim
 	EarnedWorth float64 `json:"got"`
 	Served      int     `json:"served"`
 	Refused     int     `json:"refused"`
@@ -22,32 +22,34 @@
 	Late        int     `json:"late"` // served after the aim
 }
 
-// Sample is a look at the bricks and at volumes' quadrants.
+// Sample is a snapshot of the load at each shard and of the volumes' quadrants
+// on the first eight hosts.
 type Sample struct {
-	At        float64        `json:"at"` // seconds
-	Queued    []int          `json:"queue"`
-	InFlight  []int          `json:"out"`
+	At        float64        `json:"at"`    // seconds since the start
+	Queued    []int          `json:"queue"` // requests waiting at the brick, by shard
+	InFlight  []int          `json:"out"`   // attempts in flight, by shard
 	Quadrants map[string]int `json:"quadrants,omitempty"`
 }
 
-// WorthTotals is what became of the requests of one class, plan or volume.
+// WorthTotals sums up the worth of the requests of one plan.
 type WorthTotals struct {
 	MaxWorth    float64 `json:"due"`
 	EarnedWorth float64 `json:"got"`
 }
 
-// Result is what came of a run. All but the trace is in the JSON.
+// Result is the outcome of a run. Trace and RuleVerdicts are not part of the
+// JSON.
 type Result struct {
 	Scenario        string                  `json:"scenario"`
 	Seed            uint64                  `json:"seed"`
 	Policy          string                  `json:"policy"`
-	Hash            string                  `json:"hash"` // of all sends and answers
+	Hash            string                  `json:"hash"` // over all attempts and client calls
 	Events          int64                   `json:"events"`
 	Figures         map[string]float64      `json:"figures"`
 	Plans           map[string]*WorthTotals `json:"plans"`
 	Seconds         []SecondTotals          `json:"seconds"`
 	Samples         []Sample                `json:"samples"`
-	Latency         [][2]float64            `json:"latency"` // milliseconds and part of the requests
+	Latency         [][2]float64            `json:"latency"` // milliseconds and fraction of the requests
 	Rules           []string                `json:"rules"`
 	Violations      []string                `json:"broken,omitempty"`
 	CollapsedBricks []string                `json:"fallen,omitempty"`
@@ -70,61 +72,64 @@
 	r.hist = hdrhistogram.New(1, 600_000_000, 3)
 }
 
-func (r *Result) second(at int64) *SecondTotals {
-	return &r.Seconds[min(int((at-base)/1_000_000), len(r.Seconds)-1)]
+func (r *Result) secondAt(at int64) *SecondTotals {
+	return &r.Seconds[min(int((at-startTime)/1_000_000), len(r.Seconds)-1)]
 }
 
-// worth is what a request is worth when it is answered within its aim.
-func (s *Sim) worth(q *request) float64 {
-	return s.class(q).Worth * s.s.Load.Plans[q.volume.plan].WorthFactor * q.units / s.s.MeanUnits()
+// requestWorth returns the worth of a request that is answered within its aim.
+func (s *Sim) requestWorth(q *request) float64 {
+	return s.requestClass(q).Worth * s.scenario.Load.Plans[q.volume.plan].WorthFactor * q.units / s.scenario.MeanUnits()
 }
 
-func (s *Sim) class(q *request) *scenario.Class {
+func (s *Sim) requestClass(q *request) *scenario.Class {
 	if q.class == classWrite {
-		return &s.s.Load.Write
+		return &s.scenario.Load.Write
 	}
-	return &s.s.Load.Read
+	return &s.scenario.Load.Read
 }
 
-// due counts a client's first try, into the second in which it was born.
-func (r *Result) due(s *Sim, q *request) {
-	w := s.worth(q)
-	r.second(q.born).MaxWorth += w
-	r.Plans[s.s.Load.Plans[q.volume.plan].Name].MaxWorth += w
-	q.volume.due += w
+// recordDue counts a client's first try in the second in which it was sent.
+func (r *Result) recordDue(s *Sim, q *request) {
+	w := s.requestWorth(q)
+	r.secondAt(q.createdAt).MaxWorth += w
+	r.Plans[s.scenario.Load.Plans[q.volume.plan].Name].MaxWorth += w
+	q.volume.dueWorth += w
 	r.all++
 }
 
-func (r *Result) served(s *Sim, q *request) {
-	took := s.now - q.born
-	w, sec := s.worth(q), r.second(q.born)
+// recordServed counts a served request in the second of its first try.
+func (r *Result) recordServed(s *Sim, q *request) {
+	took := s.now - q.createdAt
+	w, sec := s.requestWorth(q), r.secondAt(q.createdAt)
 	sec.Served++
 	r.hist.RecordValue(max(1, took))
-	if took > int64(s.class(q).AimMS)*1000 {
-		w *= s.class(q).LateWorth
+	if took > int64(s.requestClass(q).AimMS)*1000 {
+		w *= s.requestClass(q).LateWorth
 		sec.Late++
 	} else {
 		r.inTime++
 	}
 	sec.EarnedWorth += w
-	r.Plans[s.s.Load.Plans[q.volume.plan].Name].EarnedWorth += w
-	q.volume.got += w
+	r.Plans[s.scenario.Load.Plans[q.volume.plan].Name].EarnedWorth += w
+	q.volume.earnedWorth += w
 }
 
-func (r *Result) lost(s *Sim, q *request, status int) {
+// recordUnserved counts a refused or failed request in the second of its first
+// try.
+func (r *Result) recordUnserved(s *Sim, q *request, status int) {
 	if status == 503 {
-		r.second(q.born).Refused++
+		r.secondAt(q.createdAt).Refused++
 	} else {
-		r.second(q.born).Failed++
+		r.secondAt(q.createdAt).Failed++
 	}
 }
 
-// sample notes figures once a second.
-func (s *Sim) sample() {
-	one := Sample{At: float64(s.now-base) / 1e6, Quadrants: map[string]int{}}
-	for shard := range s.shards {
+// recordSample takes a sample and schedules the next one a second later.
+func (s *Sim) recordSample() {
+	one := Sample{At: float64(s.now-startTime) / 1e6, Quadrants: map[string]int{}}
+	for shard := range s.shardBricks {
 		queue, out := 0, 0
-		if i := s.shards[shard]; i >= 0 {
+		if i := s.shardBricks[shard]; i >= 0 {
 			queue = s.bricks[i].QueueLen()
 		}
 		one.Queued, one.InFlight = append(one.Queued, queue), append(one.InFlight, out)
@@ -135,7 +140,7 @@
 				one.InFlight[s.bricks[at.brick].Shard]++
 			}
 		}
-		viewer, ok := h.decider.(interface {
+		viewer, ok := h.scheduler.(interface {
 			View() ([]arrowwalk.NodeView, []arrowwalk.VolumeView)
 		})
 		if ok && h.up && h.id < 8 {
@@ -149,13 +154,13 @@
 	s.push(s.now+1_000_000, event{kind: evSample})
 }
 
-// finish works out the figures and checks the rules.
-func (s *Sim) finish() *Result {
+// buildResult computes the figures and checks the rules.
+func (s *Sim) buildResult() *Result {
 	r := &s.result
 	r.Hash = fmt.Sprintf("%016x", s.digest.Sum64())
 	r.Events = s.events
-	// What was born too late to have ended is left out.
-	patience := max(s.s.Load.Read.DeadlineMS, s.s.Load.Write.DeadlineMS)/1000 + 1
+	// Requests sent so late that they may not have ended are left out.
+	patience := max(s.scenario.Load.Read.DeadlineMS, s.scenario.Load.Write.DeadlineMS)/1000 + 1
 	r.Seconds = r.Seconds[:max(1, len(r.Seconds)-1-patience)]
 	f := map[string]float64{}
 	var due, got float64
@@ -169,9 +174,9 @@
 	f["in_time"] = float64(r.inTime) / float64(max(1, r.all))
 	f["p50_ms"], f["p99_ms"] = float64(r.hist.ValueAtQuantile(50))/1000, float64(r.hist.ValueAtQuantile(99))/1000
 	f["wasted"] = r.wasted / max(r.work, 1)
-	f["worst_10s"] = worst(r.Seconds, 10)
-	f["recover_s"] = s.recovery()
-	f["jain"] = jain(s.volumes)
+	f["worst_10s"] = worstService(r.Seconds, 10)
+	f["recover_s"] = s.recoverySeconds()
+	f["jain"] = jainIndex(s.volumes)
 	for _, b := range s.bricks {
 		if b.Collapsed {
 			r.CollapsedBricks = append(r.CollapsedBricks, b.Name)
@@ -182,13 +187,15 @@
 	for q := 0.5; q < 100; q += 0.5 {
 		r.Latency = append(r.Latency, [2]float64{float64(r.hist.ValueAtQuantile(q)) / 1000, q / 100})
 	}
-	s.check(r)
+	s.checkRules(r)
 	return r
 }
 
-func (s *Sim) check(r *Result) {
-	b := &s.s.Site.Brick
-	s.trace.Figures = rules.Figures{Slack: slack, DrainGrace: int64(s.s.Site.DrainGraceMS) * 1000, Window: int64(s.s.Site.DedupWindowMS) * 1000,
+// checkRules checks the trace against the rules and adds the verdicts to the
+// result.
+func (s *Sim) checkRules(r *Result) {
+	b := &s.scenario.Site.Brick
+	s.trace.Figures = rules.Figures{Slack: callSlack, DrainGrace: int64(s.scenario.Site.DrainGraceMS) * 1000, Window: int64(s.scenario.Site.DedupWindowMS) * 1000,
 		ColdFrom: b.ColdCapacity, WarmWithin: int64(b.WarmUpMS) * 1000, ColdMultiple: b.ColdMultiple, ColdSpan: 1_000_000, ColdUnits: b.ColdUnits}
 	r.Trace = &s.trace
 	r.RuleVerdicts = rules.Check(&s.trace)
@@ -198,16 +205,17 @@
 	}
 }
 
-// worst returns the service of the worst span of seconds.
-func worst(list []SecondTotals, span int) float64 {
+// worstService returns the lowest service of any span consecutive seconds.
+func worstService(list []SecondTotals, span int) float64 {
 	least := 1.0
 	for i := 0; i+span <= len(list); i++ {
-		least = min(least, service(list[i:i+span]))
+		least = min(least, serviceOf(list[i:i+span]))
 	}
 	return least
 }
 
-func service(list []SecondTotals) float64 {
+// serviceOf returns the earned fraction of the worth that was due.
+func serviceOf(list []SecondTotals) float64 {
 	var due, got float64
 	for _, sec := range list {
 		due, got = due+sec.MaxWorth, got+sec.EarnedWorth
@@ -218,31 +226,32 @@
 	return got / due
 }
 
-// recovery returns how many seconds after the last trouble's end service was
-// back, over three seconds, at nine tenths of what it was before the first; all
-// that is left of the day where it never was.
-func (s *Sim) recovery() float64 {
-	if s.settle == 0 {
+// recoverySeconds returns how many seconds after the end of the last trouble
+// the service, over three seconds, is again at 90% of what it was before the
+// first trouble. If it never is, the rest of the run counts.
+func (s *Sim) recoverySeconds() float64 {
+	if s.troublesEnd == 0 {
 		return 0
 	}
 	list := s.result.Seconds
-	first := int((s.first - base) / 1_000_000)
-	before := service(list[min(3, first):min(max(first, 4), len(list))])
-	from := int((s.settle - base + 999_999) / 1_000_000)
+	first := int((s.troublesStart - startTime) / 1_000_000)
+	before := serviceOf(list[min(3, first):min(max(first, 4), len(list))])
+	from := int((s.troublesEnd - startTime + 999_999) / 1_000_000)
 	for i := from; i+3 <= len(list); i++ {
-		if service(list[i:i+3]) >= 0.9*before {
+		if serviceOf(list[i:i+3]) >= 0.9*before {
 			return float64(i - from)
 		}
 	}
 	return float64(max(1, len(list)-from))
 }
 
-// jain is Jain's index of fairness over what volumes got of what was due.
-func jain(volumes []*volume) float64 {
+// jainIndex returns Jain's fairness index over the fraction of its due worth
+// that each volume earned.
+func jainIndex(volumes []*volume) float64 {
 	var sum, squares, n float64
 	for _, v := range volumes {
-		if v.due > 0 {
-			x := v.got / v.due
+		if v.dueWorth > 0 {
+			x := v.earnedWorth / v.dueWorth
 			sum, squares, n = sum+x, squares+x*x, n+1
 		}
 	}
@@ -252,13 +261,13 @@
 	return sum * sum / (n * squares)
 }
 
-// ClaimResult is a claim with what came of it.
+// ClaimResult tells whether a claim of the scenario holds.
 type ClaimResult struct {
 	Text  string
 	Holds bool
 }
 
-// CheckClaims judges the scenario's claims.
+// CheckClaims evaluates the scenario's claims.
 func (r *Result) CheckClaims(s *scenario.Scenario) []ClaimResult {
 	var out []ClaimResult
 	for _, c := range s.Claims {
@@ -286,7 +295,7 @@
 	return out
 }
 
-// ClaimsHold tells whether all claims hold.
+// ClaimsHold reports whether all claims hold.
 func (r *Result) ClaimsHold(s *scenario.Scenario) bool {
 	return !slices.ContainsFunc(r.CheckClaims(s), func(v ClaimResult) bool { return !v.Holds })
 }
