--- a/internal/emul/capture/record_test.go
+++ b/internal/emul/capture/capture_test.go
@@ -8,10 +8,10 @@
 	"arrowwalk/internal/emul/scenario"
 )
 
-// Each trouble that a host lived through is in the scenario, at its time, and
-// the scenario can be read again.
+// TestScenario checks that each trouble a host went through is in the scenario
+// at its time, and that the scenario can be parsed again.
 func TestScenario(t *testing.T) {
-	var looks []Sample
+	var samples []Sample
 	taken := uint64(0)
 	for i := range 60 {
 		l := Sample{At: time.Duration(i) * time.Second, RunID: "0-a"}
@@ -25,7 +25,7 @@
 		}
 		if i == 38 || i == 39 {
 			l.RunID = ""
-			looks = append(looks, l)
+			samples = append(samples, l)
 			continue
 		}
 		l.Accepted = taken
@@ -38,9 +38,9 @@
 			a.MedianLatency = 40 * time.Millisecond
 		}
 		l.Bricks = []BrickSample{a, b}
-		looks = append(looks, l)
+		samples = append(samples, l)
 	}
-	s, err := BuildScenario("day", looks)
+	s, err := BuildScenario("day", samples)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 	if s.Site.Bricks != 2 || s.Load.Utilization < 0.5 || s.Load.Utilization > 0.7 {
 		t.Errorf("site %+v, load %g", s.Site, s.Load.Utilization)
 	}
-	if _, err := BuildScenario("day", looks[:2]); err == nil {
-		t.Error("two looks made a day")
+	if _, err := BuildScenario("day", samples[:2]); err == nil {
+		t.Error("two samples made a scenario")
 	}
 }
--- a/internal/emul/clients.go
+++ b/internal/emul/clients.go
@@ -54,7 +54,7 @@
 	deadline    int64 // when the client stops waiting
 	giveUpAfter int64 // when an impatient client abandons the try, counted from its start; 0: at the deadline
 	tries       int
-	retriesLeft int // tries that are left
+	retriesLeft int
 	taskID      arrowwalk.RequestID
 	attempts    int // attempts sent for this try
 	running     *attempt
--- a/internal/emul/hosts.go
+++ b/internal/emul/hosts.go
@@ -19,7 +19,7 @@
 	skew         int64 // microseconds by which its clock is ahead
 	runs         int   // number of starts
 	up           bool
-	stalledUntil int64 // until
+	stalledUntil int64
 	stalledSince int64
 	lastStall    stall.Stall // the last stall that has ended
 	scheduler    policy.Scheduler
--- a/internal/emul/model/brick.go
+++ b/internal/emul/model/brick.go
@@ -1,185 +1,198 @@
-// Package model holds what the emulator makes of the world around a host:
-// bricks, links and clients. It is pure: times come in, what follows goes out.
+// Package model simulates the bricks of the emulated site. It is pure: callers
+// pass the time in microseconds and schedule what follows.
 package model
 
-// Params are what a kind of brick is like.
+// Params holds the parameters that all bricks share. Times are in microseconds.
 type Params struct {
 	Cores            int
-	MaxQueue         int     // requests that may wait
-	CacheItems       int     // of each shard, the last ones are quick
-	CacheSavings     float64 // part of the work that a cached item saves
-	DeferredFraction float64 // part of a write's work that is done later,
-	DeferredInterval int64   // in one go, so often; microseconds
-	ColdCapacity     float64
-	WarmUpTime       int64 // microseconds; 0: at once
-	OverloadFactor   float64
-	OverloadWindow   int64 // microseconds
-	MinOverloadUnits float64
-	UnitCost         float64 // microseconds of work of a unit, in the mean
-	DedupWindow      int64   // for which repeats of a key are dropped
+	MaxQueue         int     // maximum number of waiting requests
+	CacheItems       int     // number of cached items
+	CacheSavings     float64 // fraction of the work that a cached item saves
+	DeferredFraction float64 // fraction of a write's work that is deferred
+	DeferredInterval int64   // interval at which deferred work is done, all at once
+	ColdCapacity     float64 // fraction of its capacity that a brick has at its start
+	WarmUpTime       int64   // time until a brick has its full capacity; 0: at once
+	OverloadFactor   float64 // load that makes a cold brick collapse, as a multiple of its capacity
+	OverloadWindow   int64   // time over which this load is measured
+	MinOverloadUnits float64 // units in OverloadWindow that any cold brick can handle
+	UnitCost         float64 // mean work per unit
+	DedupWindow      int64   // how long repeats of a key are dropped
 }
 
-// Job is one request at a brick.
+// Job is a request at a brick, or the brick's own deferred work.
 type Job struct {
 	Units        float64
-	Work         float64 // microseconds of work of a core of speed 1
+	Work         float64 // microseconds on a core of speed 1
 	Write        bool
 	Item         uint64
-	Key          uint64 // of a keyed write; 0: none
-	FirstAttempt bool   // the first attempt: only that finds items cached
-	ID           int32  // the caller's
-	FinishAt     int64  // when it is done, while it runs
-	own          bool   // the brick's own work
+	Key          uint64 // idempotency key of a keyed write; 0: none
+	FirstAttempt bool   // only first attempts hit the cache
+	ID           int32  // set by the caller; -1: background work
+	FinishAt     int64  // when a running job finishes
+	background   bool
 }
 
-// Brick is a server with cores, a bounded queue in order of arrival, a small
-// cache, writes of which a part is put off, and a start that leaves it cold.
+// Brick is a server with cores, a bounded FIFO queue, a small cache, writes
+// whose work is partly deferred, and reduced capacity after a start. It is not
+// safe for concurrent use.
 type Brick struct {
 	Name        string
 	Zone        int
 	Shard       int
 	Started     int64
-	Speed       float64 // of a core, 1 is usual
-	Slowdown    float64 // how many times slower it runs just now, 1 at least
-	FailureRate float64 // part of the requests that fail at once
+	Speed       float64 // of a core; 1 is nominal
+	Slowdown    float64 // factor on all running times, at least 1
+	FailureRate float64 // fraction of the requests that fail at once
 	Dead        bool
-	Collapsed   bool
+	Collapsed   bool // overloaded while cold; it never answers again
 
-	f       *Params
-	still   int64 // nothing moves before
-	running []*Job
-	queue   []*Job
-	recent  []uint64
-	debt    float64 // put-off work
-	owed    int64   // when it is done next
-	window  []sent
-	sum     float64
-	busy    float64 // core microseconds, for util
-	from    int64
-	use     map[uint32]*use // by volume
-	keys    *DedupCache
+	params         *Params
+	pausedUntil    int64
+	running        []*Job
+	queue          []*Job
+	cachedItems    []uint64
+	deferredWork   float64 // microseconds on a core of speed 1
+	nextDeferredAt int64   // when deferred work is done next
+	recentArrivals []arrival
+	recentUnits    float64 // units in recentArrivals
+	busy           float64 // core microseconds
+	from           int64
+	usage          map[uint32]*volumeUsage // by volume
+	dedup          *DedupCache
 }
 
-type sent struct {
+// arrival is a request that reached a cold brick.
+type arrival struct {
 	at    int64
 	units float64
 }
 
-type use struct {
-	total float64
-	told  map[int32]float64 // by host: the total when it was last told, less its own since
+// volumeUsage counts the units served for one volume.
+type volumeUsage struct {
+	total         float64
+	totalAtReport map[int32]float64 // by host: total after its last request, which then learned of the others' units
 }
 
-// DedupCache are what a zone remembers of keyed writes. Bricks of a zone share it.
+// DedupCache remembers the keys of keyed writes. The bricks of a zone share
+// one.
 type DedupCache struct {
 	seen  map[uint64]int64
-	order []keyed
+	order []seenKey
 }
 
-type keyed struct {
+// seenKey is a key with the time at which it was first seen.
+type seenKey struct {
 	at  int64
 	key uint64
 }
 
-// NewDedupCache returns an empty memory.
+// NewDedupCache returns an empty cache.
 func NewDedupCache() *DedupCache { return &DedupCache{seen: map[uint64]int64{}} }
 
-// first tells whether a key is new within window, and remembers it.
-func (k *DedupCache) first(now int64, key uint64, window int64) bool {
+// addIfNew reports whether the key was not seen within window microseconds, and
+// remembers it.
+func (k *DedupCache) addIfNew(now int64, key uint64, window int64) bool {
 	for len(k.order) > 0 && now-k.order[0].at > window {
 		delete(k.seen, k.order[0].key)
 		k.order = k.order[1:]
 	}
-	if _, again := k.seen[key]; again {
+	if _, seen := k.seen[key]; seen {
 		return false
 	}
 	k.seen[key] = now
-	k.order = append(k.order, keyed{now, key})
+	k.order = append(k.order, seenKey{now, key})
 	return true
 }
 
-// NewBrick returns an idle brick of a kind. started 0: long ago.
-func NewBrick(name string, zone, shard int, speed float64, started int64, f *Params, keys *DedupCache) *Brick {
-	return &Brick{Name: name, Zone: zone, Shard: shard, Speed: speed, Started: started, Slowdown: 1, f: f, keys: keys,
-		use: map[uint32]*use{}, from: started, owed: started + f.DeferredInterval}
+// NewBrick returns an idle brick. If started is 0, it started long ago and is
+// warm.
+func NewBrick(name string, zone, shard int, speed float64, started int64, params *Params, dedup *DedupCache) *Brick {
+	return &Brick{Name: name, Zone: zone, Shard: shard, Speed: speed, Started: started, Slowdown: 1, params: params, dedup: dedup,
+		usage: map[uint32]*volumeUsage{}, from: started, nextDeferredAt: started + params.DeferredInterval}
 }
 
-// Capacity returns the units a second that it can do when warm.
-func (b *Brick) Capacity() float64 { return float64(b.f.Cores) * b.Speed * 1e6 / b.f.UnitCost }
+// Capacity returns the warm capacity in units per second.
+func (b *Brick) Capacity() float64 {
+	return float64(b.params.Cores) * b.Speed * 1e6 / b.params.UnitCost
+}
 
-// warmth returns the part of its capacity that it has at a time.
-func (b *Brick) warmth(now int64) float64 {
+// capacityFraction returns the fraction of its warm capacity that the brick has
+// at a time.
+func (b *Brick) capacityFraction(now int64) float64 {
 	age := now - b.Started
-	if b.Started == 0 || b.f.WarmUpTime == 0 || age >= b.f.WarmUpTime {
+	if b.Started == 0 || b.params.WarmUpTime == 0 || age >= b.params.WarmUpTime {
 		return 1
 	}
-	return b.f.ColdCapacity + (1-b.f.ColdCapacity)*float64(max(age, 0))/float64(b.f.WarmUpTime)
+	return b.params.ColdCapacity + (1-b.params.ColdCapacity)*float64(max(age, 0))/float64(b.params.WarmUpTime)
 }
 
-// Admission is what a brick does with a request.
+// Admission is the result of a request's arrival at a brick.
 type Admission int
 
 const (
-	// Accepted: it runs or waits.
+	// Accepted means that the request waits in the queue.
 	Accepted Admission = iota
-	// QueueFull: turned away unseen.
+	// QueueFull means that the brick rejected the request without processing it.
 	QueueFull
-	// Failed: answered with an error at once.
+	// Failed means that the brick answers with an error at once.
 	Failed
-	// Duplicate: a write that was dropped as a repeat, answered at once.
+	// Duplicate means that a keyed write was dropped as a repeat and is answered
+	// at once.
 	Duplicate
-	// NoAnswer: nothing comes, ever.
+	// NoAnswer means that the brick never answers.
 	NoAnswer
 )
 
-// Admit takes in a request. dice is a number in [0, 1). stored tells whether
-// it will change what is stored.
-func (b *Brick) Admit(now int64, j *Job, dice float64) Admission {
-	if b.Dead || b.pushedOver(now, j.Units) {
+// Admit handles the arrival of a request. random is a random number in [0, 1)
+// that decides on a failure.
+func (b *Brick) Admit(now int64, j *Job, random float64) Admission {
+	if b.Dead || b.collapsesUnder(now, j.Units) {
 		return NoAnswer
 	}
-	if dice < b.FailureRate {
+	if random < b.FailureRate {
 		return Failed
 	}
-	if len(b.queue) >= b.f.MaxQueue {
+	if len(b.queue) >= b.params.MaxQueue {
 		return QueueFull
 	}
-	if j.Key != 0 && !b.keys.first(now, j.Key, b.f.DedupWindow) {
+	if j.Key != 0 && !b.dedup.addIfNew(now, j.Key, b.params.DedupWindow) {
 		return Duplicate
 	}
 	b.queue = append(b.queue, j)
 	return Accepted
 }
 
-// pushedOver counts what a cold brick is sent: too much fells it for good.
-func (b *Brick) pushedOver(now int64, units float64) bool {
-	if b.Collapsed || b.Started == 0 || now-b.Started > b.f.WarmUpTime {
+// collapsesUnder adds an arrival to the load of a cold brick and reports
+// whether the brick has collapsed. A collapsed brick stays so.
+func (b *Brick) collapsesUnder(now int64, units float64) bool {
+	if b.Collapsed || b.Started == 0 || now-b.Started > b.params.WarmUpTime {
 		return b.Collapsed
 	}
-	b.window = append(b.window, sent{now, units})
-	b.sum += units
-	for now-b.window[0].at > b.f.OverloadWindow {
-		b.sum -= b.window[0].units
-		b.window = b.window[1:]
+	b.recentArrivals = append(b.recentArrivals, arrival{now, units})
+	b.recentUnits += units
+	for now-b.recentArrivals[0].at > b.params.OverloadWindow {
+		b.recentUnits -= b.recentArrivals[0].units
+		b.recentArrivals = b.recentArrivals[1:]
 	}
-	most := max(b.f.MinOverloadUnits, b.f.OverloadFactor*b.warmth(now)*b.Capacity()*float64(b.f.OverloadWindow)/1e6)
-	if b.sum > most {
+	maxUnits := max(b.params.MinOverloadUnits, b.params.OverloadFactor*b.capacityFraction(now)*b.Capacity()*float64(b.params.OverloadWindow)/1e6)
+	if b.recentUnits > maxUnits {
 		b.Collapsed = true
 		b.queue, b.running = nil, nil
 	}
 	return b.Collapsed
 }
 
-// StartNext starts the next job where a core is free, and returns it; nil: none.
+// StartNext starts the next job on an idle core and returns it, or nil if there
+// is no idle core or no job.
 func (b *Brick) StartNext(now int64) *Job {
-	if b.Dead || b.Collapsed || len(b.running) >= b.f.Cores {
+	if b.Dead || b.Collapsed || len(b.running) >= b.params.Cores {
 		return nil
 	}
 	var j *Job
 	switch {
-	case b.debt > 0 && now >= b.owed:
-		j = &Job{Work: b.debt, own: true, ID: -1}
-		b.debt, b.owed = 0, now+b.f.DeferredInterval
+	case b.deferredWork > 0 && now >= b.nextDeferredAt:
+		j = &Job{Work: b.deferredWork, background: true, ID: -1}
+		b.deferredWork, b.nextDeferredAt = 0, now+b.params.DeferredInterval
 	case len(b.queue) > 0:
 		j = b.queue[0]
 		b.queue[0] = nil
@@ -187,46 +200,49 @@
 	default:
 		return nil
 	}
-	took := b.cost(j) * b.Slowdown / (b.Speed * b.warmth(now))
-	b.busy += took
-	j.FinishAt = max(now, b.still) + max(1, int64(took))
+	duration := b.jobWork(j) * b.Slowdown / (b.Speed * b.capacityFraction(now))
+	b.busy += duration
+	j.FinishAt = max(now, b.pausedUntil) + max(1, int64(duration))
 	b.running = append(b.running, j)
 	return j
 }
 
-// cost is a job's work as the brick's state makes it.
-func (b *Brick) cost(j *Job) float64 {
-	cost := j.Work
-	if j.own {
-		return cost
+// jobWork returns the work of a job after cache hits and deferral, and updates
+// both.
+func (b *Brick) jobWork(j *Job) float64 {
+	work := j.Work
+	if j.background {
+		return work
 	}
-	if j.FirstAttempt && b.cached(j.Item) {
-		cost *= 1 - b.f.CacheSavings
+	if j.FirstAttempt && b.lookUpCache(j.Item) {
+		work *= 1 - b.params.CacheSavings
 	}
-	if j.Write && b.f.DeferredFraction > 0 {
-		b.debt += cost * b.f.DeferredFraction
-		cost *= 1 - b.f.DeferredFraction
+	if j.Write && b.params.DeferredFraction > 0 {
+		b.deferredWork += work * b.params.DeferredFraction
+		work *= 1 - b.params.DeferredFraction
 	}
-	return cost
+	return work
 }
 
-func (b *Brick) cached(item uint64) bool {
+// lookUpCache reports whether the item is cached, and adds it if it is not.
+func (b *Brick) lookUpCache(item uint64) bool {
 	hit := false
-	for _, it := range b.recent {
+	for _, it := range b.cachedItems {
 		hit = hit || it == item
 	}
-	if b.f.CacheItems > 0 && !hit {
-		b.recent = append(b.recent, item)
-		if len(b.recent) > b.f.CacheItems {
-			b.recent = append(b.recent[:0], b.recent[1:]...)
+	if b.params.CacheItems > 0 && !hit {
+		b.cachedItems = append(b.cachedItems, item)
+		if len(b.cachedItems) > b.params.CacheItems {
+			b.cachedItems = append(b.cachedItems[:0], b.cachedItems[1:]...)
 		}
 	}
 	return hit
 }
 
-// Finish takes a job off its core. again is when to look once more, where it was
-// held up meanwhile; gone: the brick lost it.
-func (b *Brick) Finish(now int64, j *Job) (again int64, gone bool) {
+// Finish takes a job off its core. If a pause has delayed the job, it stays,
+// and retryAt is when to call Finish again. lost means that the brick no longer
+// has the job.
+func (b *Brick) Finish(now int64, j *Job) (retryAt int64, lost bool) {
 	for i, r := range b.running {
 		if r != j {
 			continue
@@ -240,39 +256,41 @@
 	return 0, true
 }
 
-// IsBackground tells whether a job is the brick's own work, which nobody waits for.
-func (j *Job) IsBackground() bool { return j.own }
+// IsBackground reports whether the job is the brick's deferred work, which has
+// no client.
+func (j *Job) IsBackground() bool { return j.background }
 
-// Pause has the brick stand still for a span.
+// Pause stops the brick for span microseconds.
 func (b *Brick) Pause(now, span int64) {
-	b.still = max(b.still, now+span)
+	b.pausedUntil = max(b.pausedUntil, now+span)
 	for _, j := range b.running {
 		j.FinishAt += span
 	}
 }
 
-// Kill ends the brick: what it holds is lost.
+// Kill stops the brick for good and drops its jobs.
 func (b *Brick) Kill() {
 	b.Dead = true
 	b.queue, b.running = nil, nil
 }
 
-// QueueLen and Running return how many requests wait and run.
+// QueueLen returns the number of waiting requests.
 func (b *Brick) QueueLen() int { return len(b.queue) }
 
-// RunningJobs returns how many requests run.
+// RunningJobs returns the number of running jobs.
 func (b *Brick) RunningJobs() int { return len(b.running) }
 
-// RecordServed counts units served for a volume through a host, and returns what the
-// brick has served for it through other hosts since it last told this one.
+// RecordServed counts units served for a volume through a host. It returns the
+// units that the brick served for the volume through other hosts since the
+// host's previous request.
 func (b *Brick) RecordServed(volume uint32, host int32, units float64) float64 {
-	u := b.use[volume]
+	u := b.usage[volume]
 	if u == nil {
-		u = &use{told: map[int32]float64{}}
-		b.use[volume] = u
+		u = &volumeUsage{totalAtReport: map[int32]float64{}}
+		b.usage[volume] = u
 	}
-	others := u.total - u.told[host]
+	others := u.total - u.totalAtReport[host]
 	u.total += units
-	u.told[host] = u.total
+	u.totalAtReport[host] = u.total
 	return others
 }
--- a/internal/emul/model/brick_test.go
+++ b/internal/emul/model/brick_test.go
@@ -7,7 +7,8 @@
 		OverloadFactor: 4, OverloadWindow: 1_000_000, MinOverloadUnits: 3, UnitCost: 10_000, DedupWindow: 500}
 }
 
-// Each of a brick's ways is met once.
+// TestBrick covers each path of a brick once: queueing, caching, pauses,
+// repeats, deferred work, failures and its end.
 func TestBrick(t *testing.T) {
 	f, keys := figures(), NewDedupCache()
 	b := NewBrick("a", 0, 0, 1, 0, f, keys)
@@ -15,7 +16,7 @@
 	arrive := func(now int64, j *Job, want Admission) {
 		t.Helper()
 		if got := b.Admit(now, j, 0.5); got != want {
-			t.Fatalf("at %d: verdict %d, want %d", now, got, want)
+			t.Fatalf("at %d: admission %d, want %d", now, got, want)
 		}
 	}
 	one, two := job(1), job(1)
@@ -23,29 +24,29 @@
 	arrive(0, two, Accepted)
 	arrive(0, job(2), QueueFull)
 	if j := b.StartNext(0); j != one || j.FinishAt != 100 {
-		t.Fatalf("the first takes %+v", j)
+		t.Fatalf("first job: %+v", j)
 	}
-	if j := b.StartNext(0); j != two || j.FinishAt != 50 { // its item is cached by now
-		t.Fatalf("the second takes %+v", j)
+	if j := b.StartNext(0); j != two || j.FinishAt != 50 { // the first job has put its item into the cache
+		t.Fatalf("second job: %+v", j)
 	}
 	b.Pause(10, 1000)
 	if again, gone := b.Finish(50, two); again != 1050 || gone {
-		t.Fatalf("held up until %d, %v", again, gone)
+		t.Fatalf("finish again at %d, lost %v; want 1050, false", again, gone)
 	}
 	if again, gone := b.Finish(1050, two); again != 0 || gone {
-		t.Fatal("not done after the pause")
+		t.Fatal("job not finished after the pause")
 	}
 	w := &Job{Units: 1, Work: 100, Write: true, Item: 9, Key: 7, FirstAttempt: true}
 	arrive(2000, w, Accepted)
 	arrive(2001, &Job{Key: 7}, Duplicate)
-	arrive(2600, &Job{Key: 7, Work: 1}, Accepted) // its window is over
-	if j := b.StartNext(2600); !j.own && j.FinishAt != 2650 {
-		t.Fatalf("half of a write's work is put off: %+v", j)
+	arrive(2600, &Job{Key: 7, Work: 1}, Accepted) // the dedup window has passed
+	if j := b.StartNext(2600); !j.background && j.FinishAt != 2650 {
+		t.Fatalf("half of a write's work should be deferred: %+v", j)
 	}
 	b.Finish(9000, one)
 	b.Finish(9000, w)
 	if j := b.StartNext(9000); j == nil || !j.IsBackground() {
-		t.Fatalf("put-off work comes first: %+v", j)
+		t.Fatalf("deferred work should come first: %+v", j)
 	}
 	b.FailureRate = 0.6
 	arrive(9000, job(3), Failed)
@@ -53,20 +54,21 @@
 	b.Kill()
 	arrive(9000, job(3), NoAnswer)
 	if _, gone := b.Finish(9001, one); !gone {
-		t.Error("a dead brick finished its work")
+		t.Error("a dead brick finished a job")
 	}
 	b.RecordServed(1, 0, 2)
 	if got := b.RecordServed(1, 1, 3); got != 2 {
-		t.Errorf("others had %v units", got)
+		t.Errorf("other hosts had %v units, want 2", got)
 	}
 	if got := b.RecordServed(1, 0, 1); got != 3 {
-		t.Errorf("others had %v units since", got)
+		t.Errorf("other hosts had %v units since, want 3", got)
 	}
 }
 
-// A cold brick bears what its rule says, and no unit more; a warm one bears it.
+// TestPushedOver checks that a cold brick handles exactly the load of its
+// parameters and collapses under more, and that a warm one does not collapse.
 func TestPushedOver(t *testing.T) {
-	f := figures() // warm: 200 units a second; just started: 50, four times that in a second
+	f := figures() // warm: 200 units per second; just started: 50, of which it handles four times as much
 	for _, c := range []struct {
 		started, at int64
 		units       float64
@@ -75,7 +77,7 @@
 		b := NewBrick("a", 0, 0, 1, c.started, f, NewDedupCache())
 		v := b.Admit(c.at, &Job{Units: c.units}, 0.5)
 		if b.Collapsed != c.falls || (v == NoAnswer) != c.falls {
-			t.Errorf("%+v: fallen %v, verdict %d", c, b.Collapsed, v)
+			t.Errorf("%+v: collapsed %v, admission %d", c, b.Collapsed, v)
 		}
 	}
 }
