--- a/internal/emul/clients.go
+++ b/internal/emul/clients.go
@@ -121,8 +121,8 @@
 	s.push(s.now+s.drawGap(v), event{kind: evNewRequest, target: int32(v.number)})
 	l := &s.scenario.Load
 	v.seq++
-	if hot := int64(l.HotHostPeriodMS) * 1000; hot > 0 {
-		v.hotHost = int((s.now/hot + int64(v.number)) % int64(len(v.hosts)))
+	if period := int64(l.HotHostPeriodMS) * 1000; period > 0 {
+		v.hotHost = int((s.now/period + int64(v.number)) % int64(len(v.hosts)))
 	}
 	r := &request{id: v.seq<<20 | uint64(v.number), volume: v, units: float64(s.drawInt(v.random, l.Units)), createdAt: s.now, retriesLeft: l.Retries,
 		shard: v.shards[v.random.IntN(len(v.shards))], host: v.hosts[v.hotHost]}
@@ -212,8 +212,8 @@
 		return false
 	}
 	h.inbox = append(h.inbox, &arrowwalk.Abandoned{Request: r.taskID})
-	if at := r.running; at != nil {
-		s.push(s.now, event{kind: evAttemptEnd, target: int32(h.id), arg: int64(arrowwalk.Cancelled), attempt: at})
+	if att := r.running; att != nil {
+		s.push(s.now, event{kind: evAttemptEnd, target: int32(h.id), arg: int64(arrowwalk.Cancelled), attempt: att})
 	} else {
 		delete(h.requests, r.taskID)
 	}
@@ -238,17 +238,17 @@
 		s.result.recordUnserved(s, r, status)
 		return
 	}
-	n := *r
-	n.tries, n.retriesLeft, n.attempts, n.running, n.answered, n.unwanted, n.accepted = r.tries+1, r.retriesLeft-1, 0, nil, false, false, false
-	s.push(s.now+wait, event{kind: evSendTry, request: &n})
+	retry := *r
+	retry.tries, retry.retriesLeft, retry.attempts, retry.running, retry.answered, retry.unwanted, retry.accepted = r.tries+1, r.retriesLeft-1, 0, nil, false, false, false
+	s.push(s.now+wait, event{kind: evSendTry, request: &retry})
 }
 
 // recordCall adds the client's view of one try to the trace.
-func (s *Sim) recordCall(r *request, status int, left bool) {
+func (s *Sim) recordCall(r *request, status int, hungUp bool) {
 	s.hashEvent('c', int64(r.id), int64(r.tries), int64(status))
 	h := s.hosts[r.host]
 	c := rules.Call{Client: fmt.Sprint("v", r.volume.number), Host: r.host, Method: "GET", Key: r.name(), Write: r.class == classWrite, Sent: r.sentAt,
-		Waits: r.deadline - r.sentAt, Ended: s.now, Status: status, Whole: true, Left: left, RetryTold: true, Stopping: h.wasDownDuring(r.sentAt, s.now)}
+		Waits: r.deadline - r.sentAt, Ended: s.now, Status: status, Whole: true, Left: hungUp, RetryTold: true, Stopping: h.wasDownDuring(r.sentAt, s.now)}
 	if c.Write {
 		c.Method = "PUT"
 	}
--- a/internal/emul/hosts.go
+++ b/internal/emul/hosts.go
@@ -63,8 +63,8 @@
 
 // taskName returns the attempt's task ID as it appears in the trace, unique
 // over all hosts and starts.
-func (at *attempt) taskName() string {
-	return fmt.Sprintf("%d-%d-%d-%d", at.request.host, at.run, at.request.id<<8|uint64(at.request.tries), at.request.taskID)
+func (att *attempt) taskName() string {
+	return fmt.Sprintf("%d-%d-%d-%d", att.request.host, att.run, att.request.id<<8|uint64(att.request.tries), att.request.taskID)
 }
 
 // listVersion is one version of the node list.
@@ -100,11 +100,11 @@
 // startHost starts a host. A host that starts again uses its stored node list
 // until it receives the current one.
 func (s *Sim) startHost(h *hostSim) error {
-	set := s.scenario.GatewayConfig(h.id, s.planRates).Module()
-	set.MeanUnits, set.MostUnits = s.scenario.MeanUnits(), float64(s.scenario.Load.Units[1])
-	set.Seed = s.scenario.Seed<<16 + uint64(h.id)<<4 + uint64(h.runs)
+	settings := s.scenario.GatewayConfig(h.id, s.planRates).Module()
+	settings.MeanUnits, settings.MostUnits = s.scenario.MeanUnits(), float64(s.scenario.Load.Units[1])
+	settings.Seed = s.scenario.Seed<<16 + uint64(h.id)<<4 + uint64(h.runs)
 	var err error
-	if h.scheduler, err = policy.New(s.scenario.Policy, set, s.hostClock(h)); err != nil {
+	if h.scheduler, err = policy.New(s.scenario.Policy, settings, s.hostClock(h)); err != nil {
 		return err
 	}
 	h.runs++
@@ -183,14 +183,14 @@
 	if h.verifier == nil {
 		return
 	}
-	what := trust.Answered
+	result := trust.Answered
 	switch {
 	case b.mute || b.Collapsed || s.isMessageLost(h.id, b):
-		what = trust.TimedOut
+		result = trust.TimedOut
 	case b.Dead:
-		what = trust.ConnRefused
+		result = trust.ConnRefused
 	}
-	if !h.verifier.Observe(b.Name, what, b.Started, time.Duration(s.now)*time.Microsecond) {
+	if !h.verifier.Observe(b.Name, result, b.Started, time.Duration(s.now)*time.Microsecond) {
 		return
 	}
 	for _, n := range h.knownNodes {
@@ -316,27 +316,27 @@
 // returns false if the outcome is already known or the host has restarted
 // since.
 func (s *Sim) handleAttemptEnd(h *hostSim, e *event) bool {
-	at := e.attempt
-	if at.ended || at.run != h.runs {
+	att := e.attempt
+	if att.ended || att.run != h.runs {
 		return false
 	}
-	at.ended = true
-	status := at.status
+	att.ended = true
+	status := att.status
 	if e.kind == evAttemptTimeout {
 		status = arrowwalk.TimedOut
 	} else if e.kind == evAttemptEnd {
 		status = arrowwalk.Status(e.arg)
 	}
-	r := at.request
+	r := att.request
 	closed := status == arrowwalk.OK && !r.answered
 	unseen := int64(0)
 	if status != arrowwalk.OK && s.backlogArrival == 0 && s.scenario.Site.KnowsBacklogAge() {
-		unseen = h.lastStall.Overlap(at.sentAt, s.now)
+		unseen = h.lastStall.Overlap(att.sentAt, s.now)
 	}
 	h.inbox = append(h.inbox, &arrowwalk.Outcome{
-		Attempt: arrowwalk.Attempt{Request: r.taskID, Number: at.number, Node: arrowwalk.NodeID(s.bricks[at.brick].Name)},
-		Status:  status, Latency: arrowwalk.Micros(s.arrivalTime() - at.sentAt - unseen), Closed: closed, FleetUse: r.volume.reportedUsage, OthersUnits: at.othersUnits})
-	if r.running == at {
+		Attempt: arrowwalk.Attempt{Request: r.taskID, Number: att.number, Node: arrowwalk.NodeID(s.bricks[att.brick].Name)},
+		Status:  status, Latency: arrowwalk.Micros(s.arrivalTime() - att.sentAt - unseen), Closed: closed, FleetUse: r.volume.reportedUsage, OthersUnits: att.othersUnits})
+	if r.running == att {
 		r.running = nil
 	}
 	if closed {
@@ -383,8 +383,8 @@
 		if a.Kind == arrowwalk.Fail {
 			status = 500
 		}
-		if at := r.running; at != nil {
-			s.push(s.now, event{kind: evAttemptEnd, target: int32(h.id), arg: int64(arrowwalk.Cancelled), attempt: at})
+		if att := r.running; att != nil {
+			s.push(s.now, event{kind: evAttemptEnd, target: int32(h.id), arg: int64(arrowwalk.Cancelled), attempt: att})
 		} else {
 			delete(h.requests, a.Request)
 		}
@@ -403,21 +403,21 @@
 		s.err = fmt.Errorf("host %d sends to %q, which is no brick", h.id, a.Node)
 		return
 	}
-	at := &attempt{request: r, number: r.attempts, run: h.runs, brick: b.number, sentAt: s.now}
+	att := &attempt{request: r, number: r.attempts, run: h.runs, brick: b.number, sentAt: s.now}
 	r.attempts++
-	r.running = at
+	r.running = att
 	until := r.deadline
 	if a.Delay > 0 {
 		until = min(until, s.now+int64(a.Delay))
 	}
-	s.push(max(until, s.now+1), event{kind: evAttemptTimeout, target: int32(h.id), attempt: at})
+	s.push(max(until, s.now+1), event{kind: evAttemptTimeout, target: int32(h.id), attempt: att})
 	wait := s.drawDelay()
 	switch {
 	case s.isMessageLost(h.id, b):
 	case b.Dead && !b.mute:
-		s.push(s.now+2*wait, event{kind: evAttemptEnd, target: int32(h.id), arg: int64(arrowwalk.Unreachable), attempt: at})
+		s.push(s.now+2*wait, event{kind: evAttemptEnd, target: int32(h.id), arg: int64(arrowwalk.Unreachable), attempt: att})
 	default:
-		s.push(s.now+wait, event{kind: evAttemptArrival, target: int32(h.id), attempt: at})
+		s.push(s.now+wait, event{kind: evAttemptArrival, target: int32(h.id), attempt: att})
 	}
 }
 
--- a/internal/emul/radix/radix.go
+++ b/internal/emul/radix/radix.go
@@ -1,19 +1,19 @@
-// Package radix holds a simulation's pending events: a radix heap (Ahuja,
-// Mehlhorn, Orlin and Tarjan, "Faster algorithms for the shortest path
-// problem", 1990). Virtual time only advances, which is what it is good at: an
-// event moves to a lower bucket at most as often as its time has bits, and
-// nothing is compared on the way. Events of one time come out in the order in
-// which they went in, so that a run is the same every time.
+// Package radix implements the event queue of a simulation as a radix heap
+// (Ahuja, Mehlhorn, Orlin and Tarjan, "Faster algorithms for the shortest path
+// problem", 1990). It relies on virtual time that never goes back: a value
+// moves to a lower bucket at most once per bit of its time, without comparisons
+// between values. Values with the same time are popped in the order in which
+// they were pushed, so runs are reproducible.
 package radix
 
 import "math/bits"
 
-// Queue holds values by time. The zero Queue is empty and stands at time 0.
-// Not safe for concurrent use.
+// Queue is a priority queue of values by time. The zero Queue is empty and at
+// time 0. It is not safe for concurrent use.
 type Queue[T any] struct {
 	last   int64 // time of the last Pop
 	count  int
-	head   int // of bucket 0: what was popped already
+	head   int // index in bucket 0 of the next value to pop
 	bucket [65][]item[T]
 }
 
@@ -22,11 +22,11 @@
 	value T
 }
 
-// Len returns the number of values held.
+// Len returns the number of values in the queue.
 func (q *Queue[T]) Len() int { return q.count }
 
-// Push adds a value at a time in any unit; one before the last Pop's counts as
-// of that time.
+// Push adds a value. A time before the last popped one is replaced by that
+// time. Times may have any unit.
 func (q *Queue[T]) Push(at int64, v T) {
 	at = max(at, q.last)
 	b := bits.Len64(uint64(at ^ q.last))
@@ -34,40 +34,41 @@
 	q.count++
 }
 
-// Pop takes out the value with the least time; false: there is none.
+// Pop removes the value with the earliest time and returns it, or false if the
+// queue is empty.
 func (q *Queue[T]) Pop() (at int64, v T, ok bool) {
 	if q.count == 0 {
 		return q.last, v, false
 	}
 	if q.head == len(q.bucket[0]) {
-		q.settle()
+		q.refillFirstBucket()
 	}
-	it := &q.bucket[0][q.head]
-	at, v = it.at, it.value
-	var none T
-	it.value = none // what it refers to may be collected
+	first := &q.bucket[0][q.head]
+	at, v = first.at, first.value
+	var zero T
+	first.value = zero // let the garbage collector free what the value refers to
 	q.head++
 	q.count--
 	return at, v, true
 }
 
-// settle moves the lowest bucket's values down, those of the least time into
-// bucket 0.
-func (q *Queue[T]) settle() {
+// refillFirstBucket redistributes the lowest non-empty bucket; its earliest
+// values end up in bucket 0.
+func (q *Queue[T]) refillFirstBucket() {
 	q.bucket[0], q.head = q.bucket[0][:0], 0
 	b := 1
 	for len(q.bucket[b]) == 0 {
 		b++
 	}
-	list := q.bucket[b]
-	q.last = list[0].at
-	for i := range list {
-		q.last = min(q.last, list[i].at)
+	values := q.bucket[b]
+	q.last = values[0].at
+	for i := range values {
+		q.last = min(q.last, values[i].at)
 	}
-	for i := range list {
-		to := bits.Len64(uint64(list[i].at ^ q.last))
-		q.bucket[to] = append(q.bucket[to], list[i])
+	for i := range values {
+		to := bits.Len64(uint64(values[i].at ^ q.last))
+		q.bucket[to] = append(q.bucket[to], values[i])
 	}
-	clear(list)
-	q.bucket[b] = list[:0]
+	clear(values)
+	q.bucket[b] = values[:0]
 }
--- a/internal/emul/radix/radix_test.go
+++ b/internal/emul/radix/radix_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// plain is the heap that a Queue is measured against.
-type plain []entry
+// referenceHeap is the binary heap that a Queue is compared with.
+type referenceHeap []entry
 
 type entry struct {
 	at    int64
@@ -15,30 +15,31 @@
 	value [3]int64
 }
 
-func (h plain) Len() int { return len(h) }
-func (h plain) Less(i, j int) bool {
+func (h referenceHeap) Len() int { return len(h) }
+func (h referenceHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (h plain) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *plain) Push(x any)   { *h = append(*h, x.(entry)) }
-func (h *plain) Pop() any {
+func (h referenceHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *referenceHeap) Push(x any)   { *h = append(*h, x.(entry)) }
+func (h *referenceHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return e
 }
 
-// A Queue gives what a heap ordered by time and then by arrival gives.
+// TestAgainstHeap checks that a Queue pops the same values as a heap ordered by
+// time and then by insertion.
 func TestAgainstHeap(t *testing.T) {
 	for seed := range uint64(50) {
-		rnd := rand.New(rand.NewPCG(seed, 1))
+		random := rand.New(rand.NewPCG(seed, 1))
 		var q Queue[int]
-		h := &plain{}
+		h := &referenceHeap{}
 		now, seq := int64(0), 0
-		span := int64(1) << rnd.IntN(40)
+		span := int64(1) << random.IntN(40)
 		for range 3000 {
-			if rnd.IntN(5) < 3 {
-				at := now + rnd.Int64N(span)
+			if random.IntN(5) < 3 {
+				at := now + random.Int64N(span)
 				q.Push(at, seq)
 				heap.Push(h, entry{at: at, seq: seq})
 				seq++
@@ -60,13 +61,14 @@
 	}
 }
 
-// The work of a simulation: 20,000 pending events, each followed by one more.
+// BenchmarkHold measures the load of a simulation: 20,000 pending events, each
+// followed by another one.
 func BenchmarkHold(b *testing.B) {
 	const pending = 20_000
-	rnd := rand.New(rand.NewPCG(1, 1))
+	random := rand.New(rand.NewPCG(1, 1))
 	span := make([]int64, 4096)
 	for i := range span {
-		span[i] = 100 + rnd.Int64N(2_500_000)
+		span[i] = 100 + random.Int64N(2_500_000)
 	}
 	b.Run("radix", func(b *testing.B) {
 		var q Queue[[3]int64]
@@ -79,7 +81,7 @@
 		}
 	})
 	b.Run("heap", func(b *testing.B) {
-		h := &plain{}
+		h := &referenceHeap{}
 		for i := range pending {
 			heap.Push(h, entry{at: span[i%len(span)], seq: i})
 		}
--- a/internal/emul/result.go
+++ b/internal/emul/result.go
@@ -100,16 +100,16 @@
 // recordServed counts a served request in the second of its first try.
 func (r *Result) recordServed(s *Sim, q *request) {
 	took := s.now - q.createdAt
-	w, sec := s.requestWorth(q), r.secondAt(q.createdAt)
-	sec.Served++
+	w, second := s.requestWorth(q), r.secondAt(q.createdAt)
+	second.Served++
 	r.hist.RecordValue(max(1, took))
 	if took > int64(s.requestClass(q).AimMS)*1000 {
 		w *= s.requestClass(q).LateWorth
-		sec.Late++
+		second.Late++
 	} else {
 		r.inTime++
 	}
-	sec.EarnedWorth += w
+	second.EarnedWorth += w
 	r.Plans[s.scenario.Load.Plans[q.volume.plan].Name].EarnedWorth += w
 	q.volume.earnedWorth += w
 }
@@ -126,18 +126,18 @@
 
 // recordSample takes a sample and schedules the next one a second later.
 func (s *Sim) recordSample() {
-	one := Sample{At: float64(s.now-startTime) / 1e6, Quadrants: map[string]int{}}
+	sample := Sample{At: float64(s.now-startTime) / 1e6, Quadrants: map[string]int{}}
 	for shard := range s.shardBricks {
 		queue, out := 0, 0
 		if i := s.shardBricks[shard]; i >= 0 {
 			queue = s.bricks[i].QueueLen()
 		}
-		one.Queued, one.InFlight = append(one.Queued, queue), append(one.InFlight, out)
+		sample.Queued, sample.InFlight = append(sample.Queued, queue), append(sample.InFlight, out)
 	}
 	for _, h := range s.hosts {
 		for _, q := range h.requests {
-			if at := q.running; at != nil {
-				one.InFlight[s.bricks[at.brick].Shard]++
+			if att := q.running; att != nil {
+				sample.InFlight[s.bricks[att.brick].Shard]++
 			}
 		}
 		viewer, ok := h.scheduler.(interface {
@@ -146,11 +146,11 @@
 		if ok && h.up && h.id < 8 {
 			_, volumes := viewer.View()
 			for _, v := range volumes {
-				one.Quadrants[v.Quadrant]++
+				sample.Quadrants[v.Quadrant]++
 			}
 		}
 	}
-	s.result.Samples = append(s.result.Samples, one)
+	s.result.Samples = append(s.result.Samples, sample)
 	s.push(s.now+1_000_000, event{kind: evSample})
 }
 
@@ -160,14 +160,14 @@
 	r.Hash = fmt.Sprintf("%016x", s.digest.Sum64())
 	r.Events = s.events
 	// Requests sent so late that they may not have ended are left out.
-	patience := max(s.scenario.Load.Read.DeadlineMS, s.scenario.Load.Write.DeadlineMS)/1000 + 1
-	r.Seconds = r.Seconds[:max(1, len(r.Seconds)-1-patience)]
+	maxDeadlineSeconds := max(s.scenario.Load.Read.DeadlineMS, s.scenario.Load.Write.DeadlineMS)/1000 + 1
+	r.Seconds = r.Seconds[:max(1, len(r.Seconds)-1-maxDeadlineSeconds)]
 	f := map[string]float64{}
 	var due, got float64
 	var served, refused, failed int
-	for _, sec := range r.Seconds {
-		due, got = due+sec.MaxWorth, got+sec.EarnedWorth
-		served, refused, failed = served+sec.Served, refused+sec.Refused, failed+sec.Failed
+	for _, second := range r.Seconds {
+		due, got = due+second.MaxWorth, got+second.EarnedWorth
+		served, refused, failed = served+second.Served, refused+second.Refused, failed+second.Failed
 	}
 	all := float64(max(1, served+refused+failed))
 	f["service"], f["served"], f["refused"], f["failed"] = got/max(due, 1e-9), float64(served)/all, float64(refused)/all, float64(failed)/all
@@ -217,8 +217,8 @@
 // serviceOf returns the earned fraction of the worth that was due.
 func serviceOf(list []SecondTotals) float64 {
 	var due, got float64
-	for _, sec := range list {
-		due, got = due+sec.MaxWorth, got+sec.EarnedWorth
+	for _, second := range list {
+		due, got = due+second.MaxWorth, got+second.EarnedWorth
 	}
 	if due == 0 {
 		return 1
--- a/internal/emul/scenario/scenario.go
+++ b/internal/emul/scenario/scenario.go
@@ -1,5 +1,6 @@
-// Package scenario reads the days that the emulator plays: a site, its load, a
-// timeline of troubles and the claims that must hold, as JSON with a schema.
+// Package scenario reads the scenarios that the emulator runs: a site, its
+// load, a timeline of troubles and the claims that must hold, as JSON with a
+// schema.
 package scenario
 
 import (
@@ -20,47 +21,49 @@
 	"arrowwalk/internal/config"
 )
 
-// Scenario is one day.
+// Scenario describes one run of the emulator.
 type Scenario struct {
 	Name     string  `json:"name"`
 	About    string  `json:"about,omitempty"`
 	Seed     uint64  `json:"seed,omitempty"`
 	Seconds  float64 `json:"seconds"`
-	Policy   string  `json:"policy,omitempty"` // module, or a baseline
+	Policy   string  `json:"policy,omitempty"` // name of a policy of package policy
 	Site     Site    `json:"site"`
 	Load     Load    `json:"load"`
 	Timeline []Event `json:"timeline,omitempty"`
 	Claims   []Claim `json:"claims,omitempty"`
 }
 
-// Site is hosts, bricks and what is between them.
+// Site describes hosts, bricks and the network between them. Pairs are a
+// minimum and a maximum.
 type Site struct {
 	Hosts         int     `json:"hosts"`
 	Zones         int     `json:"zones"`
-	Bricks        int     `json:"bricks"` // one for each shard at first
+	Bricks        int     `json:"bricks"` // one per shard at the start
 	Brick         Brick   `json:"brick"`
-	DelayUS       [2]int  `json:"delay_us"`        // one way, from least to most
-	Loss          float64 `json:"loss,omitempty"`  // of messages: the attempt hears nothing
-	ListMS        [2]int  `json:"list_ms"`         // how late a host hears of the node list
-	SkewMS        int     `json:"skew_ms"`         // clocks of hosts are off by as much, either way
-	DedupWindowMS int     `json:"window_ms"`       // for which a zone drops repeats
-	DrainGraceMS  int     `json:"drain_grace_ms"`  // for sends after a drain was told
-	UsagePeriodMS int     `json:"meter_ms"`        // period of the figures of use in answers
-	BacklogAge    string  `json:"found,omitempty"` // for how old hosts take what they find after a stall
-	DisabledGuard string  `json:"guard,omitempty"` // a guard taken out, so that claims are seen to fail: cold or drains
+	DelayUS       [2]int  `json:"delay_us"`        // one-way delay of a message
+	Loss          float64 `json:"loss,omitempty"`  // fraction of the messages that get lost without a notice
+	ListMS        [2]int  `json:"list_ms"`         // delay of a node list on its way to a host
+	SkewMS        int     `json:"skew_ms"`         // maximum clock skew of a host in either direction
+	DedupWindowMS int     `json:"window_ms"`       // how long a zone drops repeats of a keyed write
+	DrainGraceMS  int     `json:"drain_grace_ms"`  // how long a host may send to a brick after it learned of its drain
+	UsagePeriodMS int     `json:"meter_ms"`        // period of the usage reports in answers
+	BacklogAge    string  `json:"found,omitempty"` // how old hosts assume the events to be that they find after a stall
+	DisabledGuard string  `json:"guard,omitempty"` // guard to disable so that claims can be seen to fail: cold or drains
 }
 
-// What Found may be.
+// Values of Site.BacklogAge.
 const (
-	BacklogAgeExact = "age"   // as old as it is, which the kernel tells; the same as ""
-	BacklogAgeHalf  = "half"  // half as old as the stall
-	BacklogAgeZero  = "fresh" // as if it had just come
+	BacklogAgeExact = "age"   // the true age, as reported by the kernel; the default
+	BacklogAgeHalf  = "half"  // half the length of the stall
+	BacklogAgeZero  = "fresh" // as if the events had just arrived
 )
 
-// KnowsBacklogAge tells whether hosts know how old what they find after a stall is.
+// KnowsBacklogAge reports whether hosts know the true age of the events that
+// they find after a stall.
 func (s *Site) KnowsBacklogAge() bool { return s.BacklogAge == "" || s.BacklogAge == BacklogAgeExact }
 
-// Brick is what bricks are like.
+// Brick holds the parameters of the bricks; model.Params explains them.
 type Brick struct {
 	Cores              int        `json:"cores"`
 	Speed              [2]float64 `json:"speed"`
@@ -75,84 +78,86 @@
 	ColdUnits          float64    `json:"cold_units"`
 }
 
-// Class is one of the two kinds of request.
+// Class holds the parameters of reads or writes.
 type Class struct {
 	Share      float64 `json:"share"`
-	WorkMS     float64 `json:"work_ms"` // of a request of mean size on a core of speed 1
+	WorkMS     float64 `json:"work_ms"` // for a request of mean size on a core of speed 1
 	AimMS      int     `json:"aim_ms"`
 	DeadlineMS int     `json:"deadline_ms"`
 	Worth      float64 `json:"worth"`
 	LateWorth  float64 `json:"late_worth"`
 }
 
-// Plan is a kind of volume.
+// Plan describes a kind of volume.
 type Plan struct {
 	Name         string  `json:"name"`
-	Share        float64 `json:"share"`   // of the volumes
-	Size         float64 `json:"size"`    // times the smallest rate
-	Reserve      float64 `json:"reserve"` // part of its rate
+	Share        float64 `json:"share"`   // fraction of the volumes
+	Size         float64 `json:"size"`    // rate relative to a plan of size 1
+	Reserve      float64 `json:"reserve"` // fraction of its rate
 	Weight       float64 `json:"weight"`
 	WorthFactor  float64 `json:"worth"`
 	Shards       [2]int  `json:"shards"`
 	Hosts        [2]int  `json:"hosts"`
-	GreedyShare  float64 `json:"greedy,omitempty"` // share of its volumes that ask for
-	GreedyFactor float64 `json:"greedy_by,omitempty"`
+	GreedyShare  float64 `json:"greedy,omitempty"`    // fraction of its volumes that exceed their rate
+	GreedyFactor float64 `json:"greedy_by,omitempty"` // factor by which they exceed it
 }
 
-// Load is what clients ask for.
+// Load describes the traffic of the clients.
 type Load struct {
-	Utilization     float64 `json:"of"` // of what warm bricks can do
+	Utilization     float64 `json:"of"` // fraction of the warm bricks' capacity
 	Volumes         int     `json:"volumes"`
 	Plans           []Plan  `json:"plans"`
 	Read            Class   `json:"read"`
 	Write           Class   `json:"write"`
-	Units           [2]int  `json:"units"` // of a request
+	Units           [2]int  `json:"units"` // per request
 	Retries         int     `json:"retries"`
 	RetryMS         [2]int  `json:"retry_ms"`
 	HotHostPeriodMS int     `json:"hot_ms"` // how often a volume's busiest host changes
 }
 
-// Event is a trouble that begins at a time.
+// Event is a trouble on the timeline. EventKinds explains which fields a kind
+// uses.
 type Event struct {
-	At         float64 `json:"at"`
-	Duration   float64 `json:"for,omitempty"`
+	At         float64 `json:"at"`            // seconds since the start
+	Duration   float64 `json:"for,omitempty"` // seconds
 	Kind       string  `json:"kind"`
-	Share      float64 `json:"share,omitempty"`    // of the bricks, hosts or volumes that it meets
-	Count      int     `json:"count,omitempty"`    // or how many
-	Factor     float64 `json:"by,omitempty"`       // how much
-	IntervalMS int     `json:"every_ms,omitempty"` // for what comes again and again
+	Share      float64 `json:"share,omitempty"`    // fraction of the bricks, hosts or clients affected
+	Count      int     `json:"count,omitempty"`    // number affected; takes precedence over Share
+	Factor     float64 `json:"by,omitempty"`       // BY in the descriptions of EventKinds
+	IntervalMS int     `json:"every_ms,omitempty"` // for kinds that repeat
 	LengthMS   int     `json:"ms,omitempty"`
-	Zone       int     `json:"zone,omitempty"` // for what meets one zone, from 0
+	Zone       int     `json:"zone,omitempty"` // for kinds that affect one zone, from 0
 	Plan       string  `json:"plan,omitempty"`
 }
 
-// Claim is what must hold of the day.
+// Claim is a condition on the result: that a rule is kept or that a figure is
+// within bounds.
 type Claim struct {
-	Rule   string   `json:"rule,omitempty"`   // a rule's name, or "all"
-	Figure string   `json:"figure,omitempty"` // a figure's name
+	Rule   string   `json:"rule,omitempty"`   // name of a rule, or "all"
+	Figure string   `json:"figure,omitempty"` // name of a figure
 	Min    *float64 `json:"least,omitempty"`
 	Max    *float64 `json:"most,omitempty"`
 }
 
-// EventKinds are the troubles that a timeline may have, with what they mean.
+// EventKinds describes the kinds of timeline events by name.
 var EventKinds = map[string]string{
 	"slow":         "bricks run BY times slower",
-	"still":        "bricks stand still for MS every EVERY_MS",
-	"fail":         "bricks fail the part BY of their requests at once",
-	"lose":         "the part BY of the answers of bricks gets lost",
-	"mute":         "bricks die and say nothing, listed as ready",
-	"replace":      "bricks are drained, dead 2 s later, replaced by cold ones after FOR",
-	"crash_hosts":  "hosts die and come back after MS with their last list",
-	"stall_hosts":  "hosts stand still for MS, every EVERY_MS where given",
+	"still":        "bricks pause for MS every EVERY_MS",
+	"fail":         "bricks fail the fraction BY of their requests at once",
+	"lose":         "the fraction BY of the bricks' answers gets lost",
+	"mute":         "bricks die without closing connections and stay listed as ready",
+	"replace":      "bricks are drained, stopped 2 s later and replaced by cold ones after FOR",
+	"crash_hosts":  "hosts crash and restart after MS with their stored list",
+	"stall_hosts":  "hosts stall for MS, every EVERY_MS if given",
 	"surge":        "all traffic is BY times as much",
-	"heavy":        "a few volumes add the part BY to all traffic",
-	"impatient":    "clients give up after a part of the aim, and repeat BY times at once",
-	"list_down":    "no host hears of the node list",
+	"heavy":        "a few volumes add the fraction BY to all traffic",
+	"impatient":    "clients give up after a fraction of the aim and retry BY times at once",
+	"list_down":    "no host receives the node list",
 	"list_half":    "half of the hosts do not",
-	"list_back":    "the list goes back to what it was at the start",
+	"list_back":    "the list reverts to its first version",
 	"cut_bricks":   "hosts of ZONE reach no brick of other zones",
-	"cut_list":     "hosts of ZONE do not hear of the node list",
-	"late_reports": "figures of use in answers come MS late",
+	"cut_list":     "hosts of ZONE do not receive the node list",
+	"late_reports": "usage reports in answers are MS late",
 }
 
 //go:embed schema.json
@@ -161,7 +166,8 @@
 //go:embed library/*.json
 var library embed.FS
 
-var compiled = sync.OnceValues(func() (*jsonschema.Schema, error) {
+// compileSchema compiles the schema on its first call.
+var compileSchema = sync.OnceValues(func() (*jsonschema.Schema, error) {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
 	if err != nil {
 		return nil, err
@@ -176,9 +182,11 @@
 // Schema returns the JSON schema of scenarios.
 func Schema() []byte { return schemaText }
 
-// Parse reads a scenario. Errors name the field at fault.
+// Parse parses and validates a scenario. Fields that are not set keep the
+// values of Default, except the timeline and the claims. Errors name the
+// invalid field.
 func Parse(text []byte) (*Scenario, error) {
-	schema, err := compiled()
+	schema, err := compileSchema()
 	if err != nil {
 		return nil, fmt.Errorf("scenario schema: %w", err)
 	}
@@ -187,18 +195,19 @@
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
 	if err := schema.Validate(value); err != nil {
-		return nil, fmt.Errorf("scenario: %w", fault(err))
+		return nil, fmt.Errorf("scenario: %w", firstViolation(err))
 	}
 	s := Default()
 	s.Timeline, s.Claims = nil, nil
 	if err := json.Unmarshal(text, s); err != nil {
 		return nil, fmt.Errorf("scenario: %w", err)
 	}
-	return s, s.check()
+	return s, s.validate()
 }
 
-// fault names the first field that the schema does not allow.
-func fault(err error) error {
+// firstViolation returns an error that names the first field that violates the
+// schema.
+func firstViolation(err error) error {
 	var v *jsonschema.ValidationError
 	if !errors.As(err, &v) {
 		return err
@@ -209,57 +218,57 @@
 	return fmt.Errorf("%s: %s", "/"+strings.Join(v.InstanceLocation, "/"), strings.ReplaceAll(v.Error(), "\n", " "))
 }
 
-// check finds what the schema cannot.
-func (s *Scenario) check() error {
-	bad := func(field string, value any, why string) error {
-		return fmt.Errorf("scenario %q: %s: %v %s", s.Name, field, value, why)
+// validate checks what the schema can't express.
+func (s *Scenario) validate() error {
+	invalid := func(field string, value any, problem string) error {
+		return fmt.Errorf("scenario %q: %s: %v %s", s.Name, field, value, problem)
 	}
 	for _, r := range []struct {
 		name string
 		of   [2]float64
-	}{{"site/brick/speed", s.Site.Brick.Speed}, {"site/delay_us", pair(s.Site.DelayUS)}, {"site/list_ms", pair(s.Site.ListMS)},
-		{"load/units", pair(s.Load.Units)}, {"load/retry_ms", pair(s.Load.RetryMS)}} {
+	}{{"site/brick/speed", s.Site.Brick.Speed}, {"site/delay_us", toFloats(s.Site.DelayUS)}, {"site/list_ms", toFloats(s.Site.ListMS)},
+		{"load/units", toFloats(s.Load.Units)}, {"load/retry_ms", toFloats(s.Load.RetryMS)}} {
 		if r.of[0] > r.of[1] {
-			return bad(r.name, r.of, "is not from least to most")
+			return invalid(r.name, r.of, "has a minimum above its maximum")
 		}
 	}
 	if sum := s.Load.Read.Share + s.Load.Write.Share; sum < 0.999 || sum > 1.001 {
-		return bad("load/read/share, load/write/share", sum, "is not 1 in all")
+		return invalid("load/read/share, load/write/share", sum, "must add up to 1")
 	}
 	for i, e := range s.Timeline {
 		field := fmt.Sprintf("timeline/%d", i)
 		if _, ok := EventKinds[e.Kind]; !ok {
-			return bad(field+"/kind", e.Kind, "is not known")
+			return invalid(field+"/kind", e.Kind, "is not a known kind")
 		}
 		if e.At > s.Seconds {
-			return bad(field+"/at", e.At, "is after the end")
+			return invalid(field+"/at", e.At, "is after the end of the run")
 		}
 		if e.Zone >= s.Site.Zones {
-			return bad(field+"/zone", e.Zone, "is no zone")
+			return invalid(field+"/zone", e.Zone, "is not a zone of the site")
 		}
 	}
 	for i, c := range s.Claims {
 		if (c.Rule == "") == (c.Figure == "") {
-			return bad(fmt.Sprintf("claims/%d", i), c, "must name a rule or a figure")
+			return invalid(fmt.Sprintf("claims/%d", i), c, "must name a rule or a figure")
 		}
 		if c.Figure != "" && !slices.Contains(FigureNames, c.Figure) {
-			return bad(fmt.Sprintf("claims/%d/figure", i), c.Figure, "is not known")
+			return invalid(fmt.Sprintf("claims/%d/figure", i), c.Figure, "is not a known figure")
 		}
 	}
 	return nil
 }
 
-func pair(p [2]int) [2]float64 { return [2]float64{float64(p[0]), float64(p[1])} }
+func toFloats(p [2]int) [2]float64 { return [2]float64{float64(p[0]), float64(p[1])} }
 
-// FigureNames are the names of the figures that a run has.
+// FigureNames lists the figures of a result.
 var FigureNames = []string{"service", "served", "refused", "failed", "in_time", "p50_ms", "p99_ms", "fallen", "wasted", "jain", "recover_s", "worst_10s"}
 
-// Load reads a scenario of the library by its name, or a file.
+// Find returns a scenario of the library by its name, or reads it from a file.
 func Find(name string) (*Scenario, error) {
 	text, err := library.ReadFile("library/" + name + ".json")
 	if errors.Is(err, fs.ErrNotExist) || strings.ContainsAny(name, "/.") {
 		if text, err = os.ReadFile(name); err != nil {
-			return nil, fmt.Errorf("scenario %q: neither in the library (%s) nor a file: %w", name, strings.Join(Names(), ", "), err)
+			return nil, fmt.Errorf("scenario %q: not in the library (%s) and not a readable file: %w", name, strings.Join(Names(), ", "), err)
 		}
 	}
 	if err != nil {
@@ -268,7 +277,7 @@
 	return Parse(text)
 }
 
-// Names lists the library.
+// Names lists the scenarios of the library.
 func Names() []string {
 	list, err := library.ReadDir("library")
 	if err != nil {
@@ -281,7 +290,7 @@
 	return out
 }
 
-// Default returns a small site on a quiet day.
+// Default returns a small site without troubles.
 func Default() *Scenario {
 	return &Scenario{Name: "quiet", Seed: 1, Seconds: 20, Policy: "module",
 		Site: Site{Hosts: 12, Zones: 3, Bricks: 6, DelayUS: [2]int{200, 1200}, ListMS: [2]int{20, 300}, DedupWindowMS: 4000, DrainGraceMS: 500, UsagePeriodMS: 1000,
@@ -297,17 +306,17 @@
 			}}}
 }
 
-// MeanUnits returns the mean size of a request.
+// MeanUnits returns the mean number of units per request.
 func (s *Scenario) MeanUnits() float64 { return float64(s.Load.Units[0]+s.Load.Units[1]) / 2 }
 
-// UnitCost returns the mean work of a unit in microseconds.
+// UnitCost returns the mean work per unit in microseconds.
 func (s *Scenario) UnitCost() float64 {
 	l := &s.Load
 	return (l.Read.Share*l.Read.WorkMS + l.Write.Share*l.Write.WorkMS) * 1000 / s.MeanUnits()
 }
 
-// GatewayConfig returns the settings of a gateway of the site, as the real host takes
-// them. rates are the plans' units a second, by plan.
+// GatewayConfig returns the settings of the site's gateway with the given host
+// number. rates holds the plans' rates in units per second.
 func (s *Scenario) GatewayConfig(host int, rates []float64) *config.Config {
 	c := config.Default()
 	c.Shards = s.Site.Bricks
@@ -320,10 +329,10 @@
 	for i, p := range s.Load.Plans {
 		c.Plans = append(c.Plans, config.Plan{Name: p.Name, Rate: rates[i], Reserve: p.Reserve * rates[i], Weight: p.Weight, WorthFactor: p.WorthFactor})
 	}
-	class := func(x Class) config.Class {
-		return config.Class{AimMS: x.AimMS, DeadlineMS: x.DeadlineMS, Worth: x.Worth, LateWorth: x.LateWorth}
+	classConfig := func(load Class) config.Class {
+		return config.Class{AimMS: load.AimMS, DeadlineMS: load.DeadlineMS, Worth: load.Worth, LateWorth: load.LateWorth}
 	}
-	c.Classes.Read, c.Classes.Write = class(s.Load.Read), class(s.Load.Write)
+	c.Classes.Read, c.Classes.Write = classConfig(s.Load.Read), classConfig(s.Load.Write)
 	c.Classes.Write.WindowMS = s.Site.DedupWindowMS
 	b := s.Site.Brick
 	c.Rules.DrainGraceMS, c.Rules.ColdFrom, c.Rules.WarmWithinMS = s.Site.DrainGraceMS, b.ColdCapacity, b.WarmUpMS
--- a/internal/emul/scenario/scenario_test.go
+++ b/internal/emul/scenario/scenario_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A bad scenario is refused, and the field named.
+// TestBadScenarios checks that an invalid scenario is rejected with an error
+// that names the field.
 func TestBadScenarios(t *testing.T) {
 	for text, want := range map[string]string{
 		`{`:                              "scenario",
@@ -25,11 +26,11 @@
 		}
 	}
 	if _, err := Find("no-such-day"); err == nil || !strings.Contains(err.Error(), "quiet") {
-		t.Errorf("an unknown name: %v", err)
+		t.Errorf("unknown scenario: error %v does not list the library", err)
 	}
 }
 
-// What is not said is as on a quiet day.
+// TestDefaults checks that fields that are not set keep their defaults.
 func TestDefaults(t *testing.T) {
 	s, err := Parse([]byte(`{"name":"x","seconds":5,"site":{"hosts":3}}`))
 	if err != nil || s.Site.Hosts != 3 || s.Site.Bricks != Default().Site.Bricks || s.Load.Read.AimMS != Default().Load.Read.AimMS {
@@ -48,7 +49,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := Parse(text)
 		if err == nil && (s.Seconds <= 0 || s.Site.Hosts < 1 || s.Site.Bricks < 1) {
-			t.Errorf("taken: %+v", s)
+			t.Errorf("accepted an invalid scenario: %+v", s)
 		}
 	})
 }
--- a/internal/emul/sim.go
+++ b/internal/emul/sim.go
@@ -145,7 +145,7 @@
 
 // newRand returns an independent random source for one use, named by the stream
 // number of.
-func newRand(seed uint64, of uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, of)) }
+func newRand(seed uint64, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
 // drawInt draws an integer between of[0] and of[1], both included.
 func (s *Sim) drawInt(r *rand.Rand, of [2]int) int64 {
@@ -217,9 +217,9 @@
 }
 
 // hashEvent adds an event to the run's hash.
-func (s *Sim) hashEvent(what byte, a, b, c int64) {
+func (s *Sim) hashEvent(tag byte, a, b, c int64) {
 	var buf [33]byte
-	buf[0] = what
+	buf[0] = tag
 	binary.LittleEndian.PutUint64(buf[1:], uint64(s.now))
 	binary.LittleEndian.PutUint64(buf[9:], uint64(a))
 	binary.LittleEndian.PutUint64(buf[17:], uint64(b))
@@ -232,35 +232,35 @@
 func (s *Sim) drawDelay() int64 { return s.drawInt(s.netRand, s.scenario.Site.DelayUS) }
 
 // arriveAtBrick delivers an attempt to its brick and adds it to the trace.
-func (s *Sim) arriveAtBrick(at *attempt) {
-	b, r := s.bricks[at.brick], at.request
-	s.hashEvent('a', int64(r.id), int64(at.number), int64(b.number))
-	at.arrivalIndex = int32(len(s.trace.Arrivals))
+func (s *Sim) arriveAtBrick(att *attempt) {
+	b, r := s.bricks[att.brick], att.request
+	s.hashEvent('a', int64(r.id), int64(att.number), int64(b.number))
+	att.arrivalIndex = int32(len(s.trace.Arrivals))
 	method, key := "GET", ""
 	if r.class == classWrite {
-		method, key = "PUT", at.taskName()
+		method, key = "PUT", att.taskName()
 	}
 	s.trace.Arrivals = append(s.trace.Arrivals, rules.Arrival{At: s.now, Ended: s.now, Brick: b.Name, Zone: fmt.Sprint("zone-", b.Zone), Started: b.Started,
-		Request: fmt.Sprintf("%s.%d", at.taskName(), at.number), Host: r.host, Method: method, Space: "objects", Name: r.name(), Volume: uint64(r.volume.number),
+		Request: fmt.Sprintf("%s.%d", att.taskName(), att.number), Host: r.host, Method: method, Space: "objects", Name: r.name(), Volume: uint64(r.volume.number),
 		Units: r.units, Key: key})
-	j := &model.Job{Units: r.units, Work: r.cost, Write: r.class == classWrite, Item: r.item, FirstAttempt: at.number == 0}
+	j := &model.Job{Units: r.units, Work: r.cost, Write: r.class == classWrite, Item: r.item, FirstAttempt: att.number == 0}
 	if j.Write {
 		j.Key = r.id<<8 | uint64(r.tries)
 	}
 	b.units += r.units
 	switch b.Admit(s.now, j, b.random.Float64()) {
 	case model.QueueFull:
-		s.sendAnswer(b, at, arrowwalk.Overloaded)
+		s.sendAnswer(b, att, arrowwalk.Overloaded)
 	case model.Failed:
-		s.sendAnswer(b, at, arrowwalk.Failed)
+		s.sendAnswer(b, att, arrowwalk.Failed)
 	case model.Duplicate:
-		s.trace.Arrivals[at.arrivalIndex].Repeat = true
-		s.sendAnswer(b, at, arrowwalk.OK)
+		s.trace.Arrivals[att.arrivalIndex].Repeat = true
+		s.sendAnswer(b, att, arrowwalk.OK)
 	case model.Accepted:
 		b.seq++
 		j.ID = b.seq
-		b.jobs[j.ID] = at
-		at.job = j
+		b.jobs[j.ID] = att
+		att.job = j
 		s.startJobs(b)
 	}
 }
@@ -278,28 +278,28 @@
 
 // finishJob takes a finished job off its core, sends its answer and starts
 // further jobs. A job that was delayed by a pause is scheduled again.
-func (s *Sim) finishJob(b *brickSim, ref int32, at *attempt) {
-	again, gone := b.Finish(s.now, at.job)
+func (s *Sim) finishJob(b *brickSim, ref int32, att *attempt) {
+	retryAt, lost := b.Finish(s.now, att.job)
 	switch {
-	case gone:
+	case lost:
 		return
-	case again > 0:
-		s.push(again, event{kind: evJobDone, target: int32(b.number), arg: int64(ref), attempt: at})
+	case retryAt > 0:
+		s.push(retryAt, event{kind: evJobDone, target: int32(b.number), arg: int64(ref), attempt: att})
 		return
 	}
 	if ref >= 0 {
 		delete(b.jobs, ref)
-		r := at.request
+		r := att.request
 		s.result.work += r.cost
 		if r.unwanted {
 			s.result.wasted += r.cost
 		}
-		if a := &s.trace.Arrivals[at.arrivalIndex]; r.class == classWrite {
+		if a := &s.trace.Arrivals[att.arrivalIndex]; r.class == classWrite {
 			a.Stored = true
 		}
 		r.volume.servedUnits += r.units
-		at.othersUnits = b.RecordServed(uint32(r.volume.number), int32(r.host), r.units)
-		s.sendAnswer(b, at, arrowwalk.OK)
+		att.othersUnits = b.RecordServed(uint32(r.volume.number), int32(r.host), r.units)
+		s.sendAnswer(b, att, arrowwalk.OK)
 	}
 	s.startJobs(b)
 }
@@ -315,15 +315,15 @@
 }
 
 // sendAnswer sends a brick's answer to the host, unless the answer gets lost.
-func (s *Sim) sendAnswer(b *brickSim, at *attempt, status arrowwalk.Status) {
-	a := &s.trace.Arrivals[at.arrivalIndex]
+func (s *Sim) sendAnswer(b *brickSim, att *attempt, status arrowwalk.Status) {
+	a := &s.trace.Arrivals[att.arrivalIndex]
 	a.Ended = s.now
 	a.Status = map[arrowwalk.Status]int{arrowwalk.OK: 200, arrowwalk.Overloaded: 503, arrowwalk.Failed: 500}[status]
-	at.status = status
-	if s.troubleRand.Float64() < s.answerLoss[b.number] || s.isMessageLost(at.request.host, b) {
+	att.status = status
+	if s.troubleRand.Float64() < s.answerLoss[b.number] || s.isMessageLost(att.request.host, b) {
 		return
 	}
-	s.push(s.now+s.drawDelay(), event{kind: evAnswerArrival, target: int32(at.request.host), attempt: at})
+	s.push(s.now+s.drawDelay(), event{kind: evAnswerArrival, target: int32(att.request.host), attempt: att})
 }
 
 // isMessageLost decides whether a message between a host and a brick gets lost.
--- a/internal/emul/troubles.go
+++ b/internal/emul/troubles.go
@@ -149,9 +149,9 @@
 	}
 	list := sampleIndexes(s.troubleRand, len(s.volumes), max(1, e.Count))
 	for _, i := range list {
-		v, more := s.volumes[i], e.Factor*total/float64(len(list))
-		v.extraRate += more
-		s.schedule(until, func() { v.extraRate -= more })
+		v, extra := s.volumes[i], e.Factor*total/float64(len(list))
+		v.extraRate += extra
+		s.schedule(until, func() { v.extraRate -= extra })
 	}
 }
 
--- a/internal/emul/worstcase/worstcase_test.go
+++ b/internal/emul/worstcase/worstcase_test.go
@@ -9,8 +9,8 @@
 	return Options{Seed: 3, Candidates: 3, Workers: 4, Hosts: [2]int{3, 5}, Bricks: [2]int{2, 3}, Utilization: [2]float64{0.4, 0.9}, EventCount: [2]int{2, 4}, DurationSeconds: 14, MaxFindings: 1}
 }
 
-// A hunt finds the same days however many workers play it, and what it keeps
-// is no longer than what it drew.
+// TestHunt checks that a search finds the same scenarios with any number of
+// workers, and that shrinking adds no events.
 func TestHunt(t *testing.T) {
 	opt := options()
 	a, err := Search(opt)
@@ -23,33 +23,34 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(a, b) {
-		t.Errorf("four workers found %+v, one found %+v", a, b)
+		t.Errorf("four workers found %+v, one worker found %+v", a, b)
 	}
-	whole := Generate(a[0].Seed, &opt)
-	if len(a) != 1 || len(a[0].Scenario.Timeline) > len(whole.Timeline) || a[0].ShrinkRuns == 0 {
-		t.Errorf("kept %+v", a)
+	unshrunk := Generate(a[0].Seed, &opt)
+	if len(a) != 1 || len(a[0].Scenario.Timeline) > len(unshrunk.Timeline) || a[0].ShrinkRuns == 0 {
+		t.Errorf("findings: %+v", a)
 	}
 	if len(a[0].Violations) > 0 {
-		t.Errorf("a rule is broken on seed %d: %v", a[0].Seed, a[0].Violations)
+		t.Errorf("rule violations with seed %d: %v", a[0].Seed, a[0].Violations)
 	}
 }
 
-// With a guard out a hunt finds a day that breaks the rule, and shrinks it to
-// one that still does.
+// TestHuntSeesABrokenRule checks that, with a guard disabled, a search finds a
+// scenario that violates the guard's rule, and that the shrunk scenario still
+// holds the event that it takes.
 func TestHuntSeesABrokenRule(t *testing.T) {
 	opt := options()
 	opt.DisabledGuard, opt.Candidates, opt.EventCount = "drains", 6, [2]int{4, 5}
-	days, err := Search(opt)
+	findings, err := Search(opt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(days) == 0 || len(days[0].Violations) == 0 {
-		t.Fatal("nothing was found")
+	if len(findings) == 0 || len(findings[0].Violations) == 0 {
+		t.Fatal("no violation found")
 	}
-	for _, e := range days[0].Scenario.Timeline {
+	for _, e := range findings[0].Scenario.Timeline {
 		if e.Kind == "replace" {
 			return
 		}
 	}
-	t.Errorf("shrunk to a day without a drain: %+v", days[0].Scenario.Timeline)
+	t.Errorf("shrunk to a scenario without a drain: %+v", findings[0].Scenario.Timeline)
 }
