--- a/internal/lab/charts/charts.go
+++ b/internal/lab/charts/charts.go
@@ -1,4 +1,4 @@
-// Package charts draws what runs and experiments showed, as SVG.
+// Package charts draws results of simulation runs and experiments as SVG files.
 package charts
 
 import (
@@ -14,46 +14,53 @@
 	"arrowwalk/internal/emul"
 )
 
-// Series is a named series of points.
+// Series is a named line of a chart.
 type Series struct {
 	Name   string
 	Points plotter.XYs
 }
 
+// colors are the colors of the series. A chart with more series repeats them
+// with dashed lines.
 var colors = []color.RGBA{
 	{0x1b, 0x6c, 0xa8, 0xff}, {0xd9, 0x5f, 0x02, 0xff}, {0x2c, 0x8c, 0x4b, 0xff}, {0x8e, 0x44, 0x9c, 0xff},
 	{0xa0, 0x82, 0x2c, 0xff}, {0x55, 0x55, 0x55, 0xff}, {0xc0, 0x39, 0x5b, 0xff}, {0x20, 0x9a, 0x9a, 0xff},
 }
 
-// Draw writes lines into an SVG file.
-func Draw(path, title, x, y string, lines []Series) error {
+// maxLegendEntries is the largest number of series for which a chart has a
+// legend.
+const maxLegendEntries = 12
+
+// Draw writes a line chart to an SVG file. Empty series are left out.
+func Draw(path, title, x, y string, series []Series) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
-	for i, l := range lines {
-		if len(l.Points) == 0 {
+	for i, s := range series {
+		if len(s.Points) == 0 {
 			continue
 		}
-		line, err := plotter.NewLine(l.Points)
+		line, err := plotter.NewLine(s.Points)
 		if err != nil {
-			return fmt.Errorf("chart %s: %w", title, err)
+			return fmt.Errorf("chart %q: %w", title, err)
 		}
 		line.Color, line.Width = colors[i%len(colors)], vg.Points(1.2)
 		if i >= len(colors) {
 			line.Dashes = []vg.Length{vg.Points(4), vg.Points(2)}
 		}
 		p.Add(line)
-		if len(lines) <= 12 {
-			p.Legend.Add(l.Name, line)
+		if len(series) <= maxLegendEntries {
+			p.Legend.Add(s.Name, line)
 		}
 	}
 	if err := p.Save(7*vg.Inch, 3.2*vg.Inch, path); err != nil {
-		return fmt.Errorf("chart %s: %w", title, err)
+		return fmt.Errorf("chart %q: %w", title, err)
 	}
 	return nil
 }
 
+// points returns n points computed by at.
 func points(n int, at func(int) (x, y float64)) plotter.XYs {
 	out := make(plotter.XYs, n)
 	for i := range out {
@@ -62,39 +69,40 @@
 	return out
 }
 
-// DrawRun draws the charts of a run into a directory, and returns their names.
+// DrawRun draws the charts of a simulation result into dir and returns their
+// file names.
 func DrawRun(dir string, r *emul.Result) ([]string, error) {
-	sec := func(name string, of func(*emul.SecondTotals) float64) Series {
-		return Series{name, points(len(r.Seconds), func(i int) (float64, float64) { return float64(i), of(&r.Seconds[i]) })}
+	perSecond := func(name string, value func(*emul.SecondTotals) float64) Series {
+		return Series{name, points(len(r.Seconds), func(i int) (float64, float64) { return float64(i), value(&r.Seconds[i]) })}
 	}
-	var queues, outs []Series
+	var queues, inFlight []Series
 	if len(r.Samples) > 0 {
 		for b := range r.Samples[0].Queued {
 			queues = append(queues, Series{fmt.Sprint("shard ", b), points(len(r.Samples), func(i int) (float64, float64) { return r.Samples[i].At, float64(r.Samples[i].Queued[b]) })})
-			outs = append(outs, Series{fmt.Sprint("shard ", b), points(len(r.Samples), func(i int) (float64, float64) { return r.Samples[i].At, float64(r.Samples[i].InFlight[b]) })})
+			inFlight = append(inFlight, Series{fmt.Sprint("shard ", b), points(len(r.Samples), func(i int) (float64, float64) { return r.Samples[i].At, float64(r.Samples[i].InFlight[b]) })})
 		}
 	}
-	list := []struct {
+	all := []struct {
 		name, title, x, y string
-		lines             []Series
+		series            []Series
 	}{
 		{"answers", "answers, by the second of the first try", "s", "requests", []Series{
-			sec("served", func(s *emul.SecondTotals) float64 { return float64(s.Served) }),
-			sec("late", func(s *emul.SecondTotals) float64 { return float64(s.Late) }),
-			sec("refused", func(s *emul.SecondTotals) float64 { return float64(s.Refused) }),
-			sec("failed", func(s *emul.SecondTotals) float64 { return float64(s.Failed) })}},
+			perSecond("served", func(s *emul.SecondTotals) float64 { return float64(s.Served) }),
+			perSecond("late", func(s *emul.SecondTotals) float64 { return float64(s.Late) }),
+			perSecond("refused", func(s *emul.SecondTotals) float64 { return float64(s.Refused) }),
+			perSecond("failed", func(s *emul.SecondTotals) float64 { return float64(s.Failed) })}},
 		{"worth", "worth", "s", "worth", []Series{
-			sec("due", func(s *emul.SecondTotals) float64 { return s.MaxWorth }), sec("got", func(s *emul.SecondTotals) float64 { return s.EarnedWorth })}},
+			perSecond("due", func(s *emul.SecondTotals) float64 { return s.MaxWorth }), perSecond("got", func(s *emul.SecondTotals) float64 { return s.EarnedWorth })}},
 		{"queues", "requests that wait at each shard's brick", "s", "requests", queues},
-		{"out", "requests out at each shard's brick", "s", "requests", outs},
-		{"quadrants", "volumes of eight hosts, by quadrant", "s", "volumes", quadrants(r)},
+		{"out", "requests out at each shard's brick", "s", "requests", inFlight},
+		{"quadrants", "volumes of eight hosts, by quadrant", "s", "volumes", quadrantSeries(r)},
 		{"latency", "latency from the first try", "ms", "part of those served", []Series{
 			{"", points(len(r.Latency), func(i int) (float64, float64) { return r.Latency[i][0], r.Latency[i][1] })}}},
 	}
 	var names []string
-	for _, c := range list {
+	for _, c := range all {
 		name := c.name + ".svg"
-		if err := Draw(filepath.Join(dir, name), c.title, c.x, c.y, c.lines); err != nil {
+		if err := Draw(filepath.Join(dir, name), c.title, c.x, c.y, c.series); err != nil {
 			return nil, err
 		}
 		names = append(names, name)
@@ -102,7 +110,8 @@
 	return names, nil
 }
 
-func quadrants(r *emul.Result) []Series {
+// quadrantSeries returns the number of volumes in each quadrant over time.
+func quadrantSeries(r *emul.Result) []Series {
 	seen := map[string]bool{}
 	for _, s := range r.Samples {
 		for name := range s.Quadrants {
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,6 +1,7 @@
-// Package experiment plays a grid of settings and seeds over the emulator on
-// all cores, keeps each result as it comes, goes on where a killed run ended,
-// and reports what can be told from it.
+// Package experiment runs a grid of scenarios, variants and seeds on the
+// emulator, in parallel on all cores, or on real gateways. It stores each
+// result when its run ends, resumes an interrupted experiment, and reports the
+// differences that the results support.
 package experiment
 
 import (
@@ -22,191 +23,197 @@
 	"arrowwalk/internal/emul/scenario"
 )
 
-// Spec is an experiment as it is written down.
+// Spec is an experiment as written in its JSON file.
 type Spec struct {
 	Name      string    `json:"name"`
 	About     string    `json:"about,omitempty"`
-	Scenarios []string  `json:"scenarios,omitempty"` // names of the library, or files
-	Seeds     int       `json:"seeds"`               // 1 to so many
-	Variants  []Variant `json:"variants"`            // compared with the first
-	Figures   []string  `json:"figures"`             // what is compared; the first decides
-	Workers   int       `json:"workers,omitempty"`
-	Live      *Live     `json:"live,omitempty"` // in place of scenarios
+	Scenarios []string  `json:"scenarios,omitempty"` // names of library scenarios, or files
+	Seeds     int       `json:"seeds"`               // seeds 1 to Seeds are run
+	Variants  []Variant `json:"variants"`            // each is compared with the first one
+	Figures   []string  `json:"figures"`             // figures to compare; the first is the main one
+	Workers   int       `json:"workers,omitempty"`   // concurrent runs; 0: one per core
+	Live      *Live     `json:"live,omitempty"`      // replaces Scenarios
 }
 
-// Variant is one setting of the grid: fields of the scenario that differ.
+// Variant is one configuration of the grid.
 type Variant struct {
 	Name      string          `json:"name"`
-	Overrides json.RawMessage `json:"set,omitempty"` // merged into the scenario, object by object
+	Overrides json.RawMessage `json:"set,omitempty"` // merged into the scenario, or for live experiments into the settings, object by object
 }
 
-// Parse reads an experiment. Errors name the field at fault.
+// Parse parses and validates an experiment. Errors name the invalid field.
 func Parse(text []byte) (*Spec, error) {
-	f := &Spec{}
+	s := &Spec{}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
-	if err := d.Decode(f); err != nil {
+	if err := d.Decode(s); err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
 	}
-	bad := func(field string, why string) error { return fmt.Errorf("experiment %q: %s: %s", f.Name, field, why) }
+	invalid := func(field string, problem string) error {
+		return fmt.Errorf("experiment %q: %s: %s", s.Name, field, problem)
+	}
 	switch {
-	case f.Name == "" || strings.ContainsAny(f.Name, "/\\"):
-		return nil, bad("name", "must be a plain name")
-	case (len(f.Scenarios) == 0) == (f.Live == nil):
-		return nil, bad("scenarios, live", "must have one of the two")
-	case f.Seeds < 1 || f.Seeds > 10_000:
-		return nil, bad("seeds", "must be 1 to 10000")
-	case len(f.Variants) == 0:
-		return nil, bad("variants", "must have one at least")
-	case len(f.Figures) == 0:
-		return nil, bad("figures", "must name one at least")
+	case s.Name == "" || strings.ContainsAny(s.Name, "/\\"):
+		return nil, invalid("name", "must be a plain name")
+	case (len(s.Scenarios) == 0) == (s.Live == nil):
+		return nil, invalid("scenarios, live", "must have exactly one of them")
+	case s.Seeds < 1 || s.Seeds > 10_000:
+		return nil, invalid("seeds", "must be 1 to 10000")
+	case len(s.Variants) == 0:
+		return nil, invalid("variants", "must have at least one")
+	case len(s.Figures) == 0:
+		return nil, invalid("figures", "must name at least one")
 	}
 	known := scenario.FigureNames
-	if f.Live != nil {
-		known = liveFigures
+	if s.Live != nil {
+		known = liveFigureNames
 	}
-	for i, name := range f.Figures {
+	for i, name := range s.Figures {
 		if !slices.Contains(known, name) {
-			return nil, bad(fmt.Sprintf("figures/%d", i), fmt.Sprintf("%q is not known: %v", name, known))
+			return nil, invalid(fmt.Sprintf("figures/%d", i), fmt.Sprintf("unknown figure %q, must be one of %v", name, known))
 		}
 	}
-	if f.Live != nil {
-		return f, f.checkLive()
+	if s.Live != nil {
+		return s, s.validateLive()
 	}
-	for _, name := range f.Scenarios {
-		for i := range f.Variants {
-			if _, err := f.variant(name, i); err != nil {
-				return nil, fmt.Errorf("experiment %q: variants/%d: %w", f.Name, i, err)
+	for _, name := range s.Scenarios {
+		for i := range s.Variants {
+			if _, err := s.buildScenario(name, i); err != nil {
+				return nil, fmt.Errorf("experiment %q: variants/%d: %w", s.Name, i, err)
 			}
 		}
 	}
-	return f, nil
+	return s, nil
 }
 
-// checkLive finds what is wrong with an experiment on real gateways.
-func (f *Spec) checkLive() error {
-	f.Scenarios, f.Workers = []string{liveScenario}, 1
-	if err := f.Live.check(); err != nil {
-		return fmt.Errorf("experiment %q: %w", f.Name, err)
+// validateLive validates an experiment on real gateways.
+func (s *Spec) validateLive() error {
+	s.Scenarios, s.Workers = []string{liveScenarioName}, 1
+	if err := s.Live.validate(); err != nil {
+		return fmt.Errorf("experiment %q: %w", s.Name, err)
 	}
-	for i := range f.Variants {
-		if _, err := f.settings(i); err != nil {
-			return fmt.Errorf("experiment %q: variants/%d: %w", f.Name, i, err)
+	for i := range s.Variants {
+		if _, err := s.buildConfig(i); err != nil {
+			return fmt.Errorf("experiment %q: variants/%d: %w", s.Name, i, err)
 		}
 	}
 	return nil
 }
 
-// variant returns a scenario with a variant's fields.
-func (f *Spec) variant(name string, i int) (*scenario.Scenario, error) {
+// buildScenario returns the named scenario with the overrides of variant i.
+func (s *Spec) buildScenario(name string, i int) (*scenario.Scenario, error) {
 	sc, err := scenario.Find(name)
 	if err != nil {
 		return nil, err
 	}
-	if len(f.Variants[i].Overrides) == 0 {
+	if len(s.Variants[i].Overrides) == 0 {
 		return sc, nil
 	}
-	text, err := merged(sc, f.Variants[i].Overrides)
+	text, err := mergeJSON(sc, s.Variants[i].Overrides)
 	if err != nil {
 		return nil, err
 	}
 	return scenario.Parse(text)
 }
 
-// merged returns base as JSON with the fields of set in place of its own.
-func merged(base any, set json.RawMessage) ([]byte, error) {
+// mergeJSON returns base as JSON with the fields of set replacing its own.
+func mergeJSON(base any, set json.RawMessage) ([]byte, error) {
 	text, err := json.Marshal(base)
 	if err != nil {
 		return nil, err
 	}
-	var whole, part map[string]any
-	if err := json.Unmarshal(text, &whole); err != nil {
+	var baseFields, setFields map[string]any
+	if err := json.Unmarshal(text, &baseFields); err != nil {
 		return nil, err
 	}
-	if err := json.Unmarshal(set, &part); err != nil {
+	if err := json.Unmarshal(set, &setFields); err != nil {
 		return nil, fmt.Errorf("set: %w", err)
 	}
-	merge(whole, part)
-	return json.Marshal(whole)
+	mergeObjects(baseFields, setFields)
+	return json.Marshal(baseFields)
 }
 
-func merge(into, from map[string]any) {
-	for k, v := range from {
-		a, ok1 := into[k].(map[string]any)
-		b, ok2 := v.(map[string]any)
-		if ok1 && ok2 {
-			merge(a, b)
+// mergeObjects merges src into dst recursively.
+func mergeObjects(dst, src map[string]any) {
+	for k, v := range src {
+		dstObject, dstOK := dst[k].(map[string]any)
+		srcObject, srcOK := v.(map[string]any)
+		if dstOK && srcOK {
+			mergeObjects(dstObject, srcObject)
 		} else {
-			into[k] = v
+			dst[k] = v
 		}
 	}
 }
 
-// Row is what one run showed.
+// Row is the result of one run.
 type Row struct {
 	Scenario        string             `json:"scenario"`
 	Variant         string             `json:"variant"`
 	Seed            uint64             `json:"seed"`
 	Hash            string             `json:"hash"`
-	Violations      int                `json:"broken"`
+	Violations      int                `json:"broken"` // number of rule violations
 	Figures         map[string]float64 `json:"figures"`
 	DurationSeconds float64            `json:"took_s"`
 	Events          int64              `json:"events"`
 }
 
-// cell is one run of the grid.
-type cell struct {
+// gridRun identifies one run of the grid.
+type gridRun struct {
 	scenario string
 	variant  int
 	seed     uint64
 }
 
+// bucketName is the name of the database bucket that holds the rows.
 var bucketName = []byte("rows")
 
-// Run plays what of the grid is not in the store yet, and returns all rows in
-// the order of the grid. progress is told of each row.
-func Run(f *Spec, dir string, progress func(done, all int, row *Row)) ([]Row, error) {
+// Run runs the part of the grid that is not stored yet, and returns all rows in
+// the order of the grid. progress, if not nil, is called after each run.
+// Results are stored in a database in dir.
+func Run(s *Spec, dir string, progress func(done, total int, row *Row)) ([]Row, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	db, err := bolt.Open(filepath.Join(dir, f.Name+".db"), 0o644, &bolt.Options{Timeout: time.Second})
+	db, err := bolt.Open(filepath.Join(dir, s.Name+".db"), 0o644, &bolt.Options{Timeout: time.Second})
 	if err != nil {
-		return nil, fmt.Errorf("experiment %s: %w", f.Name, err)
+		return nil, fmt.Errorf("experiment %s: %w", s.Name, err)
 	}
 	defer db.Close()
-	kept, err := rows(db)
+	rows, err := loadRows(db)
 	if err != nil {
 		return nil, err
 	}
-	var grid, open []cell
-	for _, name := range f.Scenarios {
-		for v := range f.Variants {
-			for seed := range f.Seeds {
-				c := cell{name, v, uint64(seed + 1)}
-				grid = append(grid, c)
-				if _, ok := kept[f.key(c)]; !ok {
-					open = append(open, c)
+	var grid, pending []gridRun
+	for _, name := range s.Scenarios {
+		for v := range s.Variants {
+			for seed := range s.Seeds {
+				run := gridRun{name, v, uint64(seed + 1)}
+				grid = append(grid, run)
+				if _, ok := rows[s.key(run)]; !ok {
+					pending = append(pending, run)
 				}
 			}
 		}
 	}
-	if err := f.playAll(db, open, kept, len(grid), progress); err != nil {
+	if err := s.runAll(db, pending, rows, len(grid), progress); err != nil {
 		return nil, err
 	}
 	out := make([]Row, 0, len(grid))
-	for _, c := range grid {
-		out = append(out, kept[f.key(c)])
+	for _, run := range grid {
+		out = append(out, rows[s.key(run)])
 	}
 	return out, nil
 }
 
-// key names a run: with what its variant sets, so that a changed one is played
-// again.
-func (f *Spec) key(c cell) string {
-	return fmt.Sprintf("%s|%s|%s|%d", c.scenario, f.Variants[c.variant].Name, f.Variants[c.variant].Overrides, c.seed)
+// key returns the key of a run in the database. It includes the variant's
+// overrides, so a changed variant is run again.
+func (s *Spec) key(run gridRun) string {
+	return fmt.Sprintf("%s|%s|%s|%d", run.scenario, s.Variants[run.variant].Name, s.Variants[run.variant].Overrides, run.seed)
 }
 
-func rows(db *bolt.DB) (map[string]Row, error) {
+// loadRows returns all stored rows by key.
+func loadRows(db *bolt.DB) (map[string]Row, error) {
 	out := map[string]Row{}
 	err := db.Update(func(tx *bolt.Tx) error {
 		b, err := tx.CreateBucketIfNotExists(bucketName)
@@ -225,34 +232,36 @@
 	return out, err
 }
 
-func (f *Spec) playAll(db *bolt.DB, open []cell, kept map[string]Row, all int, progress func(done, all int, row *Row)) error {
-	workers := f.Workers
+// runAll runs the pending part of the grid with a pool of workers, and stores
+// each row in the database and in rows. It stops at the first error.
+func (s *Spec) runAll(db *bolt.DB, pending []gridRun, rows map[string]Row, total int, progress func(done, total int, row *Row)) error {
+	workers := s.Workers
 	if workers <= 0 {
 		workers = runtime.NumCPU()
 	}
-	type answer struct {
-		cell cell
-		row  Row
-		err  error
+	type result struct {
+		run gridRun
+		row Row
+		err error
 	}
-	todo, answers := make(chan cell), make(chan answer)
+	jobs, results := make(chan gridRun), make(chan result)
 	var wg sync.WaitGroup
 	for range workers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for c := range todo {
-				row, err := f.play(c)
-				answers <- answer{c, row, err}
+			for run := range jobs {
+				row, err := s.runOnce(run)
+				results <- result{run, row, err}
 			}
 		}()
 	}
 	stop := make(chan struct{})
 	go func() {
-		defer close(todo)
-		for _, c := range open {
+		defer close(jobs)
+		for _, run := range pending {
 			select {
-			case todo <- c:
+			case jobs <- run:
 			case <-stop:
 				return
 			}
@@ -260,29 +269,30 @@
 	}()
 	go func() {
 		wg.Wait()
-		close(answers)
+		close(results)
 	}()
-	var failed error
-	for a := range answers {
-		if a.err == nil {
-			a.err = keep(db, f.key(a.cell), &a.row)
+	var firstErr error
+	for res := range results {
+		if res.err == nil {
+			res.err = saveRow(db, s.key(res.run), &res.row)
 		}
-		if a.err != nil {
-			if failed == nil {
-				failed = a.err
+		if res.err != nil {
+			if firstErr == nil {
+				firstErr = res.err
 				close(stop)
 			}
 			continue
 		}
-		kept[f.key(a.cell)] = a.row
+		rows[s.key(res.run)] = res.row
 		if progress != nil {
-			progress(len(kept), all, &a.row)
+			progress(len(rows), total, &res.row)
 		}
 	}
-	return failed
+	return firstErr
 }
 
-func keep(db *bolt.DB, key string, r *Row) error {
+// saveRow stores a row in the database.
+func saveRow(db *bolt.DB, key string, r *Row) error {
 	text, err := json.Marshal(r)
 	if err != nil {
 		return err
@@ -290,25 +300,27 @@
 	return db.Update(func(tx *bolt.Tx) error { return tx.Bucket(bucketName).Put([]byte(key), text) })
 }
 
-func (f *Spec) play(c cell) (Row, error) {
-	if f.Live != nil {
-		return f.playLive(c)
+// runOnce runs one element of the grid.
+func (s *Spec) runOnce(run gridRun) (Row, error) {
+	if s.Live != nil {
+		return s.runLive(run)
 	}
-	sc, err := f.variant(c.scenario, c.variant)
+	sc, err := s.buildScenario(run.scenario, run.variant)
 	if err != nil {
 		return Row{}, err
 	}
 	began := time.Now()
-	sim, err := emul.New(sc, c.seed)
+	sim, err := emul.New(sc, run.seed)
 	if err != nil {
 		return Row{}, err
 	}
 	r, err := sim.Run()
 	if err != nil {
-		return Row{}, fmt.Errorf("%s, seed %d: %w", c.scenario, c.seed, err)
+		return Row{}, fmt.Errorf("%s, seed %d: %w", run.scenario, run.seed, err)
 	}
-	return Row{Scenario: c.scenario, Variant: f.Variants[c.variant].Name, Seed: c.seed, Hash: r.Hash, Violations: len(r.Violations),
+	return Row{Scenario: run.scenario, Variant: s.Variants[run.variant].Name, Seed: run.seed, Hash: r.Hash, Violations: len(r.Violations),
 		Figures: r.Figures, DurationSeconds: time.Since(began).Seconds(), Events: r.Events}, nil
 }
 
+// errNoRows is returned for a report without rows.
 var errNoRows = errors.New("experiment: no rows")
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -10,8 +10,9 @@
 const text = `{"name":"two","about":"The module and a baseline.","scenarios":["quiet"],"seeds":6,"figures":["service","p99_ms"],
  "variants":[{"name":"module","set":{"seconds":8}},{"name":"even","set":{"policy":"even","seconds":8}}]}`
 
-// A grid that is stopped goes on where it was, and its report says what it
-// compared.
+// TestGoesOn checks that an interrupted experiment resumes with the missing
+// runs only, that it gives the same rows as an uninterrupted one, and that its
+// report holds the table and the chart.
 func TestGoesOn(t *testing.T) {
 	f, err := Parse([]byte(text))
 	if err != nil {
@@ -31,7 +32,7 @@
 		}
 	})
 	if err != nil || played != 8 || len(rows) != 12 {
-		t.Fatalf("played %d, %d rows, %v", played, len(rows), err)
+		t.Fatalf("%d runs, %d rows, error %v", played, len(rows), err)
 	}
 	again, err := Run(f, t.TempDir(), nil)
 	if err != nil {
@@ -39,7 +40,7 @@
 	}
 	for i := range rows {
 		if rows[i].Hash != again[i].Hash || rows[i].Seed != again[i].Seed {
-			t.Errorf("row %d differs in another run", i)
+			t.Errorf("row %d differs from that of an uninterrupted run", i)
 		}
 	}
 	page, err := WriteReport(f, rows, filepath.Join(dir, "report"))
@@ -51,24 +52,25 @@
 		t.Errorf("%s, %v", out, err)
 	}
 	if svg, err := os.ReadFile(filepath.Join(dir, "report", "two-service.svg")); err != nil || !strings.Contains(string(svg), "<svg") {
-		t.Errorf("no chart: %v", err)
+		t.Errorf("no chart, error %v", err)
 	}
 }
 
-// What is wrong with an experiment is named.
+// TestBadFiles checks that an invalid experiment is rejected.
 func TestBadFiles(t *testing.T) {
 	for from, to := range map[string]string{
 		`"seeds":6`: `"seeds":0`, `"quiet"`: `"no-such-day"`, `"service"`: `"luck"`, `"policy":"even"`: `"polici":"even"`, `"name":"two"`: `"name":"../two"`, `"about"`: `"abaut"`,
 	} {
 		if _, err := Parse([]byte(strings.Replace(text, from, to, 1))); err == nil {
-			t.Errorf("%s was taken", to)
+			t.Errorf("%s was accepted", to)
 		} else {
 			t.Log(err)
 		}
 	}
 }
 
-// An experiment on real gateways starts one for each run.
+// TestLive checks that a live experiment starts a gateway for each run, and
+// that invalid live parameters and settings are rejected.
 func TestLive(t *testing.T) {
 	f, err := Parse([]byte(`{"name":"live","seeds":1,"figures":["served","p99_ms"],"live":{"rate":80,"seconds":0.5,"sizes":[1000],"writes":0.3,"keys":3},
 		"variants":[{"name":"default"},{"name":"small pieces","set":{"piece_bytes":65536}}]}`))
@@ -87,10 +89,10 @@
 	for _, bad := range []string{`"rate":0`, `"sizes":[]`, `"keys":0`, `"writes":2`} {
 		text := `{"name":"live","seeds":1,"figures":["served"],"variants":[{"name":"a"}],"live":{"rate":80,"seconds":1,"sizes":[1],"writes":0,"keys":3,` + bad + `}}`
 		if _, err := Parse([]byte(text)); err == nil {
-			t.Errorf("%s was taken", bad)
+			t.Errorf("%s was accepted", bad)
 		}
 	}
 	if _, err := Parse([]byte(`{"name":"live","seeds":1,"figures":["served"],"live":{"rate":80,"seconds":1,"sizes":[1],"keys":3},"variants":[{"name":"a","set":{"piece_bites":1}}]}`)); err == nil || !strings.Contains(err.Error(), "variants/0") {
-		t.Errorf("a setting that is not there: %v", err)
+		t.Errorf("unknown setting: error %v does not name variants/0", err)
 	}
 }
--- a/internal/lab/experiment/live.go
+++ b/internal/lab/experiment/live.go
@@ -16,56 +16,57 @@
 	"arrowwalk/internal/load/arrivals"
 )
 
-// Live has an experiment play the load tool against real gateways in place of
-// scenarios: each run starts one with embedded bricks, with the settings that
-// its variant sets, and loads it. Figures are served, refused, failed, p50_ms
-// and p99_ms; runs go one after the other.
+// Live replaces the scenarios of an experiment with load on real gateways: each
+// run starts a gateway with embedded bricks and the settings of its variant,
+// and sends it the load. Its figures are served, refused, failed, p50_ms and
+// p99_ms. Runs are sequential.
 type Live struct {
-	Rate          float64 `json:"rate"`
+	Rate          float64 `json:"rate"` // requests per second
 	Seconds       float64 `json:"seconds"`
-	BurstFactor   float64 `json:"burst,omitempty"` // times the rate for half a second of each three
-	Sizes         []int   `json:"sizes"`
-	WriteFraction float64 `json:"writes"` // part of the requests
-	Keys          int     `json:"keys"`
+	BurstFactor   float64 `json:"burst,omitempty"` // factor on the rate for half a second in every three; 0: no bursts
+	Sizes         []int   `json:"sizes"`           // object sizes in bytes
+	WriteFraction float64 `json:"writes"`          // fraction of the requests that are writes
+	Keys          int     `json:"keys"`            // number of objects to read
 }
 
-// liveScenario stands in rows for the load.
-const liveScenario = "load"
+// liveScenarioName is the scenario name in the rows of live experiments.
+const liveScenarioName = "load"
 
-// liveFigures are the figures that a load has.
-var liveFigures = []string{"served", "refused", "failed", "p50_ms", "p99_ms"}
+// liveFigureNames lists the figures of live experiments.
+var liveFigureNames = []string{"served", "refused", "failed", "p50_ms", "p99_ms"}
 
-func (l *Live) check() error {
+// validate returns an error that names the first invalid field.
+func (l *Live) validate() error {
 	switch {
 	case l.Rate <= 0 || l.Rate > 100_000:
-		return errors.New("live/rate: must be over 0, 100000 at most")
+		return errors.New("live/rate: must be above 0 and at most 100000")
 	case l.Seconds <= 0 || l.Seconds > 600:
-		return errors.New("live/seconds: must be over 0, 600 at most")
+		return errors.New("live/seconds: must be above 0 and at most 600")
 	case len(l.Sizes) == 0:
-		return errors.New("live/sizes: must name one at least")
+		return errors.New("live/sizes: must have at least one")
 	case l.WriteFraction < 0 || l.WriteFraction > 1:
 		return errors.New("live/writes: must be 0 to 1")
 	case l.Keys < 1:
-		return errors.New("live/keys: must be 1 at least")
+		return errors.New("live/keys: must be at least 1")
 	}
 	return nil
 }
 
-// settings returns a gateway's settings with what a variant sets.
-func (f *Spec) settings(i int) (*config.Config, error) {
-	if len(f.Variants[i].Overrides) == 0 {
+// buildConfig returns the default settings with the overrides of variant i.
+func (s *Spec) buildConfig(i int) (*config.Config, error) {
+	if len(s.Variants[i].Overrides) == 0 {
 		return config.Default(), nil
 	}
-	text, err := merged(config.Default(), f.Variants[i].Overrides)
+	text, err := mergeJSON(config.Default(), s.Variants[i].Overrides)
 	if err != nil {
 		return nil, err
 	}
 	return config.Parse(text)
 }
 
-// playLive starts a gateway, loads it and stops it.
-func (f *Spec) playLive(c cell) (Row, error) {
-	cfg, err := f.settings(c.variant)
+// runLive starts a gateway, sends it the load and stops it.
+func (s *Spec) runLive(run gridRun) (Row, error) {
+	cfg, err := s.buildConfig(run.variant)
 	if err != nil {
 		return Row{}, err
 	}
@@ -84,32 +85,33 @@
 		defer cancel()
 		g.Stop(ctx)
 	}()
-	l := f.Live
+	l := s.Live
 	span := time.Duration(l.Seconds * float64(time.Second))
-	var source arrivals.Source = arrivals.NewPoisson(l.Rate, span, c.seed)
+	var source arrivals.Source = arrivals.NewPoisson(l.Rate, span, run.seed)
 	if l.BurstFactor > 0 {
-		if source, err = arrivals.NewBursts(l.Rate, l.BurstFactor, 500*time.Millisecond, 3*time.Second, span, c.seed); err != nil {
+		if source, err = arrivals.NewBursts(l.Rate, l.BurstFactor, 500*time.Millisecond, 3*time.Second, span, run.seed); err != nil {
 			return Row{}, err
 		}
 	}
 	began := time.Now()
 	r, err := load.Run(context.Background(), &load.Options{Endpoint: g.Endpoint(), AccessKey: "LOAD", SecretKey: "load-secret", Region: cfg.Region, Buckets: []string{"live"},
 		Mix: []load.MixEntry{{Op: load.Get, Weight: 1 - l.WriteFraction}, {Op: load.Put, Weight: l.WriteFraction}}, Sizes: l.Sizes, ObjectsPerBucket: l.Keys, Arrivals: source,
-		RequestTimeout: 10 * time.Second, MaxInFlight: 512, Seed: c.seed, Progress: io.Discard})
+		RequestTimeout: 10 * time.Second, MaxInFlight: 512, Seed: run.seed, Progress: io.Discard})
 	if err != nil {
 		return Row{}, err
 	}
 	if r.HasCorruption() {
-		return Row{}, errors.New("bytes came back that were not stored")
+		return Row{}, errors.New("objects were read with wrong content")
 	}
-	row := Row{Scenario: liveScenario, Variant: f.Variants[c.variant].Name, Seed: c.seed, DurationSeconds: time.Since(began).Seconds(), Figures: liveResult(r)}
+	row := Row{Scenario: liveScenarioName, Variant: s.Variants[run.variant].Name, Seed: run.seed, DurationSeconds: time.Since(began).Seconds(), Figures: liveFigures(r)}
 	for _, t := range r.Ops {
 		row.Events += t.Sent
 	}
 	return row, nil
 }
 
-func liveResult(r *load.Report) map[string]float64 {
+// liveFigures computes the figures of a load report.
+func liveFigures(r *load.Report) map[string]float64 {
 	all := hdrhistogram.New(1, 600_000_000, 3)
 	var sent, served, refused, failed float64
 	for _, t := range r.Ops {
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -12,53 +12,55 @@
 	"arrowwalk/internal/lab/stats"
 )
 
-// WriteReport writes NAME.md with tables and verdicts, and a chart for each figure,
-// into a directory. It returns the page's path.
-func WriteReport(f *Spec, rows []Row, dir string) (string, error) {
+// WriteReport writes a Markdown page with tables and verdicts, and a chart per
+// figure, into dir. It returns the path of the page.
+func WriteReport(s *Spec, rows []Row, dir string) (string, error) {
 	if len(rows) == 0 {
 		return "", errNoRows
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", err
 	}
-	var b strings.Builder
-	fmt.Fprintf(&b, "# %s\n\n%s\n\n%s, %d seeds a cell; medians with 95%% intervals by bootstrap. Each variant is compared\n"+
+	var page strings.Builder
+	fmt.Fprintf(&page, "# %s\n\n%s\n\n%s, %d seeds a cell; medians with 95%% intervals by bootstrap. Each variant is compared\n"+
 		"with %q, seed by seed: a verdict needs the interval of the median difference to leave out 0\nand a sign test at 1 in 20.\n",
-		f.Name, f.About, f.kind(), f.Seeds, f.Variants[0].Name)
-	for _, figure := range f.Figures {
-		fmt.Fprintf(&b, "\n## %s\n\n| scenario | variant | median | difference | verdict |\n| --- | --- | --- | --- | --- |\n", figure)
-		for _, sc := range f.Scenarios {
-			f.table(&b, rows, sc, figure)
+		s.Name, s.About, s.title(), s.Seeds, s.Variants[0].Name)
+	for _, figure := range s.Figures {
+		fmt.Fprintf(&page, "\n## %s\n\n| scenario | variant | median | difference | verdict |\n| --- | --- | --- | --- | --- |\n", figure)
+		for _, sc := range s.Scenarios {
+			s.writeTable(&page, rows, sc, figure)
 		}
-		name := f.Name + "-" + figure + ".svg"
-		if err := f.chart(filepath.Join(dir, name), rows, figure); err != nil {
+		name := s.Name + "-" + figure + ".svg"
+		if err := s.drawChart(filepath.Join(dir, name), rows, figure); err != nil {
 			return "", err
 		}
-		fmt.Fprintf(&b, "\n![%s](%s)\n", figure, name)
+		fmt.Fprintf(&page, "\n![%s](%s)\n", figure, name)
 	}
 	broken, events, took := 0, int64(0), 0.0
 	for _, r := range rows {
 		broken, events, took = broken+r.Violations, events+r.Events, took+r.DurationSeconds
 	}
-	fmt.Fprintf(&b, "\n%d runs, %d events; %d places where a rule is broken", len(rows), events, broken)
+	fmt.Fprintf(&page, "\n%d runs, %d events; %d places where a rule is broken", len(rows), events, broken)
 	for _, r := range rows {
 		if r.Violations > 0 {
-			fmt.Fprintf(&b, "\n- %s, %s, seed %d: %d", r.Scenario, r.Variant, r.Seed, r.Violations)
+			fmt.Fprintf(&page, "\n- %s, %s, seed %d: %d", r.Scenario, r.Variant, r.Seed, r.Violations)
 		}
 	}
-	b.WriteString("\n")
-	path := filepath.Join(dir, f.Name+".md")
-	return path, os.WriteFile(path, []byte(b.String()), 0o644)
+	page.WriteString("\n")
+	path := filepath.Join(dir, s.Name+".md")
+	return path, os.WriteFile(path, []byte(page.String()), 0o644)
 }
 
-func (f *Spec) kind() string {
-	if f.Live != nil {
+// title describes where the runs took place.
+func (s *Spec) title() string {
+	if s.Live != nil {
 		return "Real gateways on loopback"
 	}
 	return "Emulated"
 }
 
-// values are a figure's values of a scenario and variant, by seed.
+// values returns a figure of all runs of a scenario and variant, in the order
+// of their seeds.
 func values(rows []Row, sc, variant, figure string) []float64 {
 	var out []float64
 	for _, r := range rows {
@@ -69,30 +71,32 @@
 	return out
 }
 
-func (f *Spec) table(b *strings.Builder, rows []Row, sc, figure string) {
-	first := values(rows, sc, f.Variants[0].Name, figure)
-	for i, v := range f.Variants {
-		own := values(rows, sc, v.Name, figure)
+// writeTable writes the rows of a table for one scenario.
+func (s *Spec) writeTable(page *strings.Builder, rows []Row, sc, figure string) {
+	baseline := values(rows, sc, s.Variants[0].Name, figure)
+	for i, v := range s.Variants {
+		current := values(rows, sc, v.Name, figure)
 		difference, verdict := "", ""
 		if i > 0 {
-			c := stats.Compare(first, own, 1)
+			c := stats.Compare(baseline, current, 1)
 			difference, verdict = c.Difference.String(), string(c.Verdict)
 		}
-		fmt.Fprintf(b, "| %s | %s | %s | %s | %s |\n", sc, v.Name, stats.BootstrapMedian(own, 1), difference, verdict)
+		fmt.Fprintf(page, "| %s | %s | %s | %s | %s |\n", sc, v.Name, stats.BootstrapMedian(current, 1), difference, verdict)
 	}
 }
 
-// chart draws a figure's distribution over scenarios and seeds.
-func (f *Spec) chart(path string, rows []Row, figure string) error {
+// drawChart draws the distribution of a figure over all scenarios and seeds, by
+// variant.
+func (s *Spec) drawChart(path string, rows []Row, figure string) error {
 	var lines []charts.Series
-	for _, v := range f.Variants {
-		var all []float64
-		for _, sc := range f.Scenarios {
-			all = append(all, values(rows, sc, v.Name, figure)...)
+	for _, v := range s.Variants {
+		var figures []float64
+		for _, sc := range s.Scenarios {
+			figures = append(figures, values(rows, sc, v.Name, figure)...)
 		}
 		points := make(plotter.XYs, 0, 101)
-		for q := 0; q <= 100; q++ {
-			points = append(points, plotter.XY{X: stats.Quantile(all, float64(q)/100), Y: float64(q) / 100})
+		for percent := 0; percent <= 100; percent++ {
+			points = append(points, plotter.XY{X: stats.Quantile(figures, float64(percent)/100), Y: float64(percent) / 100})
 		}
 		lines = append(lines, charts.Series{Name: v.Name, Points: points})
 	}
--- a/internal/lab/stats/stats.go
+++ b/internal/lab/stats/stats.go
@@ -1,5 +1,6 @@
-// Package stats has what experiments are judged by: medians with intervals by
-// bootstrap, and paired comparisons. It is pure; its dice are seeded.
+// Package stats provides the statistics that experiments report: medians with
+// bootstrap intervals, and paired comparisons. It is pure; its random sources
+// are seeded by the caller.
 package stats
 
 import (
@@ -9,53 +10,55 @@
 	"slices"
 )
 
-// Interval is an estimate with the interval that holds it, with 95% confidence
-// as far as resampling can tell.
+// Interval is an estimated median with its 95% confidence interval.
 type Interval struct {
 	Median, Low, High float64
-	N                 int
+	N                 int // number of values
 }
 
-// String gives the estimate and its interval.
+// String returns the median and its interval.
 func (i Interval) String() string { return fmt.Sprintf("%.3f [%.3f, %.3f]", i.Median, i.Low, i.High) }
 
+// resamples is the number of bootstrap resamples.
 const resamples = 2000
 
-// Median returns the median of the values, which need not be in order.
+// Median returns the median of the values, in any order, or NaN if there are
+// none.
 func Median(values []float64) float64 {
 	if len(values) == 0 {
 		return math.NaN()
 	}
-	list := slices.Clone(values)
-	slices.Sort(list)
-	n := len(list)
-	return (list[(n-1)/2] + list[n/2]) / 2
+	sorted := slices.Clone(values)
+	slices.Sort(sorted)
+	n := len(sorted)
+	return (sorted[(n-1)/2] + sorted[n/2]) / 2
 }
 
-// BootstrapMedian returns the median with a 95% percentile interval (Efron, 1979).
+// BootstrapMedian returns the median with its 95% bootstrap percentile interval
+// (Efron, 1979).
 func BootstrapMedian(values []float64, seed uint64) Interval {
-	out := Interval{Median: Median(values), N: len(values)}
+	interval := Interval{Median: Median(values), N: len(values)}
 	if len(values) == 0 {
-		out.Low, out.High = math.NaN(), math.NaN()
-		return out
+		interval.Low, interval.High = math.NaN(), math.NaN()
+		return interval
 	}
-	rnd := rand.New(rand.NewPCG(seed, 77))
-	mids, one := make([]float64, resamples), make([]float64, len(values))
-	for i := range mids {
-		for j := range one {
-			one[j] = values[rnd.IntN(len(values))]
+	random := rand.New(rand.NewPCG(seed, 77))
+	medians, resample := make([]float64, resamples), make([]float64, len(values))
+	for i := range medians {
+		for j := range resample {
+			resample[j] = values[random.IntN(len(values))]
 		}
-		mids[i] = Median(one)
+		medians[i] = Median(resample)
 	}
-	slices.Sort(mids)
-	out.Low, out.High = mids[resamples*25/1000], mids[resamples*975/1000-1]
-	return out
+	slices.Sort(medians)
+	interval.Low, interval.High = medians[resamples*25/1000], medians[resamples*975/1000-1]
+	return interval
 }
 
-// Verdict is what a paired comparison says.
+// Verdict is the conclusion of a paired comparison.
 type Verdict string
 
-// The verdicts.
+// Verdicts of a comparison of b with a.
 const (
 	More         Verdict = "more"
 	Less         Verdict = "less"
@@ -63,38 +66,41 @@
 	TooFewPairs  Verdict = "too few pairs"
 )
 
-// leastPairs is how many pairs a verdict needs: with five, all on one side, a
-// sign test says 1 in 16.
-const leastPairs = 6
+// minPairs is the number of pairs that a verdict requires. Five pairs can't be
+// significant at 0.05: even if all differ in the same direction, the sign test
+// gives p = 1/16.
+const minPairs = 6
 
-// Comparison is of pairs (a, b) of like runs: b less a.
+// Comparison is the result of comparing pairs (a, b) by their differences b -
+// a.
 type Comparison struct {
 	Difference Interval
-	Wins       int     // pairs in which b is more
-	Losses     int     // and less
-	PValue     float64 // of a two-sided sign test
+	Wins       int     // pairs in which b is larger
+	Losses     int     // pairs in which b is smaller
+	PValue     float64 // of the two-sided sign test
 	Verdict    Verdict
 }
 
-// Compare compares pairs. A difference is shown where the interval of the
-// median difference leaves out 0 and the sign test agrees at 1 in 20.
+// Compare compares the pairs (a[i], b[i]). It reports a difference only if the
+// interval of the median difference excludes 0 and the sign test is significant
+// at 0.05.
 func Compare(a, b []float64, seed uint64) Comparison {
 	n := min(len(a), len(b))
-	diff := make([]float64, n)
+	differences := make([]float64, n)
 	c := Comparison{Verdict: NoDifference}
 	for i := range n {
-		diff[i] = b[i] - a[i]
+		differences[i] = b[i] - a[i]
 		switch {
-		case diff[i] > 0:
+		case differences[i] > 0:
 			c.Wins++
-		case diff[i] < 0:
+		case differences[i] < 0:
 			c.Losses++
 		}
 	}
-	c.Difference = BootstrapMedian(diff, seed)
+	c.Difference = BootstrapMedian(differences, seed)
 	c.PValue = signTest(c.Wins, c.Losses)
 	switch {
-	case n < leastPairs:
+	case n < minPairs:
 		c.Verdict = TooFewPairs
 	case c.PValue >= 0.05:
 	case c.Difference.Low > 0:
@@ -105,26 +111,27 @@
 	return c
 }
 
-// signTest returns the chance of so uneven a split of fair coins.
+// signTest returns the two-sided p-value of the sign test.
 func signTest(wins, losses int) float64 {
-	n, k := wins+losses, min(wins, losses)
-	if n == 0 {
+	total, rarer := wins+losses, min(wins, losses)
+	if total == 0 {
 		return 1
 	}
-	p, term := 0.0, math.Pow(0.5, float64(n))
-	for i := 0; i <= k; i++ {
+	p, term := 0.0, math.Pow(0.5, float64(total))
+	for i := 0; i <= rarer; i++ {
 		p += term
-		term *= float64(n-i) / float64(i+1)
+		term *= float64(total-i) / float64(i+1)
 	}
 	return min(1, 2*p)
 }
 
-// Quantile returns the value below which the part q of the values lies.
+// Quantile returns the q-quantile of the values, in any order, or NaN if there
+// are none.
 func Quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return math.NaN()
 	}
-	list := slices.Clone(values)
-	slices.Sort(list)
-	return list[min(len(list)-1, int(q*float64(len(list))))]
+	sorted := slices.Clone(values)
+	slices.Sort(sorted)
+	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
