--- a/internal/load/arrivals/arrivals.go
+++ b/internal/load/arrivals/arrivals.go
@@ -1,6 +1,6 @@
-// Package arrivals makes the times at which an open-loop load sends: whatever
-// became of what was sent before, the next comes when it is due. It is pure;
-// its dice are seeded.
+// Package arrivals generates the send times of an open-loop load, in which
+// requests are sent when they are due whatever became of earlier ones. It is
+// pure; its random sources are seeded by the caller.
 package arrivals
 
 import (
@@ -13,69 +13,74 @@
 	"time"
 )
 
-// Source gives times since the start, in order; false: no more come.
+// Source generates arrival times. Sources are not safe for concurrent use.
 type Source interface {
+	// Next returns the next time since the start, in ascending order, or false if
+	// there are no more.
 	Next() (time.Duration, bool)
 }
 
-// Poisson comes at a mean rate without memory.
+// Poisson is a Poisson process of constant rate.
 type Poisson struct {
-	rate float64
-	end  time.Duration
-	at   float64
-	rnd  *rand.Rand
+	rate   float64 // arrivals per second
+	end    time.Duration
+	at     float64
+	random *rand.Rand
 }
 
-// NewPoisson returns arrivals at rate a second until end.
+// NewPoisson returns arrivals at rate per second until end.
 func NewPoisson(rate float64, end time.Duration, seed uint64) *Poisson {
-	return &Poisson{rate: rate, end: end, rnd: rand.New(rand.NewPCG(seed, 21))}
+	return &Poisson{rate: rate, end: end, random: rand.New(rand.NewPCG(seed, 21))}
 }
 
-// Next returns the next time.
+// Next returns the next arrival time, or false after the end.
 func (p *Poisson) Next() (time.Duration, bool) {
-	p.at += p.rnd.ExpFloat64() / p.rate
+	p.at += p.random.ExpFloat64() / p.rate
 	at := time.Duration(p.at * float64(time.Second))
 	return at, at < p.end
 }
 
-// Bursts are Poisson arrivals whose rate is factor times as much for on in
-// each period, and as much less in the rest that the mean rate is kept.
+// Bursts is a Poisson process with a high rate at the start of each period and
+// a low rate in the rest of it.
 type Bursts struct {
-	high, low  float64
-	on, period float64
-	end        time.Duration
-	at         float64
-	rnd        *rand.Rand
+	highRate, lowRate float64
+	burst, period     float64
+	end               time.Duration
+	at                float64
+	random            *rand.Rand
 }
 
-// NewBursts returns arrivals of a mean rate until end. factor times on must not
-// be more than period.
-func NewBursts(rate, factor float64, on, period, end time.Duration, seed uint64) (*Bursts, error) {
-	b := &Bursts{high: rate * factor, on: on.Seconds(), period: period.Seconds(), end: end, rnd: rand.New(rand.NewPCG(seed, 22))}
-	if factor < 1 || on <= 0 || on >= period || factor*b.on > b.period {
-		return nil, fmt.Errorf("bursts: %g times the rate for %s of each %s is more than the mean allows", factor, on, period)
+// NewBursts returns arrivals with a mean of rate per second until end. The rate
+// is factor times the mean for the first burst of each period, and is lowered
+// in the rest of the period to keep the mean. factor must be at least 1, and
+// factor times burst must not exceed period.
+func NewBursts(rate, factor float64, burst, period, end time.Duration, seed uint64) (*Bursts, error) {
+	b := &Bursts{highRate: rate * factor, burst: burst.Seconds(), period: period.Seconds(), end: end, random: rand.New(rand.NewPCG(seed, 22))}
+	if factor < 1 || burst <= 0 || burst >= period || factor*b.burst > b.period {
+		return nil, fmt.Errorf("bursts: %g times the rate for %s of every %s exceeds the mean rate", factor, burst, period)
 	}
-	b.low = (rate*b.period - b.high*b.on) / (b.period - b.on)
+	b.lowRate = (rate*b.period - b.highRate*b.burst) / (b.period - b.burst)
 	return b, nil
 }
 
-// Next returns the next time: a Poisson process of changing rate, by spending
-// an exponential amount of it.
+// Next returns the next arrival time, or false after the end. It draws an
+// exponentially distributed amount of intensity and advances until the rate has
+// used it up.
 func (b *Bursts) Next() (time.Duration, bool) {
-	left := b.rnd.ExpFloat64()
+	intensity := b.random.ExpFloat64()
 	for {
-		in := b.at - float64(int(b.at/b.period))*b.period
-		rate, until := b.high, b.on
-		if in >= b.on {
-			rate, until = b.low, b.period
+		offset := b.at - float64(int(b.at/b.period))*b.period
+		rate, phaseEnd := b.highRate, b.burst
+		if offset >= b.burst {
+			rate, phaseEnd = b.lowRate, b.period
 		}
-		room := until - in
-		if rate > 0 && left <= rate*room {
-			b.at += left / rate
+		remaining := phaseEnd - offset
+		if rate > 0 && intensity <= rate*remaining {
+			b.at += intensity / rate
 			break
 		}
-		left -= rate * room
-		b.at += room + 1e-9
+		intensity -= rate * remaining
+		b.at += remaining + 1e-9
 		if b.at > b.end.Seconds() {
 			break
 		}
@@ -84,41 +89,43 @@
 	return at, at < b.end
 }
 
-// Trace is recorded arrivals: a line each, milliseconds since the start.
+// Trace is a list of recorded arrivals.
 type Trace struct {
 	times []time.Duration
 	next  int
 }
 
-// traceMost is how many arrivals a trace may have.
-const traceMost = 10_000_000
+// maxTraceArrivals is the largest number of arrivals in a trace.
+const maxTraceArrivals = 10_000_000
 
-// ReadTrace reads a trace; errors name the line.
+// ReadTrace reads a trace, with one time per line in milliseconds since the
+// start. Empty lines and lines that begin with # are ignored. Errors name the
+// line.
 func ReadTrace(r io.Reader) (*Trace, error) {
 	t := &Trace{}
-	in := bufio.NewScanner(r)
-	for n := 1; in.Scan(); n++ {
-		text := strings.TrimSpace(in.Text())
+	lines := bufio.NewScanner(r)
+	for line := 1; lines.Scan(); line++ {
+		text := strings.TrimSpace(lines.Text())
 		if text == "" || text[0] == '#' {
 			continue
 		}
 		ms, err := strconv.ParseFloat(text, 64)
 		switch {
 		case err != nil || !(ms >= 0) || ms > 1e12:
-			return nil, fmt.Errorf("trace: line %d: %q is no time in milliseconds", n, text)
-		case len(t.times) == traceMost:
-			return nil, fmt.Errorf("trace: line %d: more than %d arrivals", n, traceMost)
+			return nil, fmt.Errorf("trace: line %d: %q is not a time in milliseconds", line, text)
+		case len(t.times) == maxTraceArrivals:
+			return nil, fmt.Errorf("trace: line %d: more than %d arrivals", line, maxTraceArrivals)
 		}
 		at := time.Duration(ms * float64(time.Millisecond))
 		if len(t.times) > 0 && at < t.times[len(t.times)-1] {
-			return nil, fmt.Errorf("trace: line %d: %q is before the line above", n, text)
+			return nil, fmt.Errorf("trace: line %d: %q is earlier than the line before it", line, text)
 		}
 		t.times = append(t.times, at)
 	}
-	return t, in.Err()
+	return t, lines.Err()
 }
 
-// Next returns the next time.
+// Next returns the next arrival time, or false after the last one.
 func (t *Trace) Next() (time.Duration, bool) {
 	if t.next == len(t.times) {
 		return 0, false
--- a/internal/load/arrivals/arrivals_test.go
+++ b/internal/load/arrivals/arrivals_test.go
@@ -7,11 +7,14 @@
 	"time"
 )
 
-func drain(s Source) (n int, last time.Duration, in func(from, to time.Duration, period time.Duration) int) {
+// collect reads all arrivals of a source. It returns their number, the last
+// one, and a function that counts those whose offset in the period is in [from,
+// to).
+func collect(s Source) (n int, last time.Duration, in func(from, to time.Duration, period time.Duration) int) {
 	var all []time.Duration
 	for at, ok := s.Next(); ok; at, ok = s.Next() {
 		if at < last {
-			panic("back in time")
+			panic("arrivals are not in ascending order")
 		}
 		last = at
 		all = append(all, at)
@@ -26,10 +29,11 @@
 	}
 }
 
-// Rates are as asked for, within what chance allows, and bursts are where they
-// should be.
+// TestRates checks that the number of arrivals is within five standard
+// deviations of the mean, overall and within bursts, and that bursts above the
+// mean rate are rejected.
 func TestRates(t *testing.T) {
-	n, last, _ := drain(NewPoisson(1000, 20*time.Second, 1))
+	n, last, _ := collect(NewPoisson(1000, 20*time.Second, 1))
 	if math.Abs(float64(n)-20_000) > 5*math.Sqrt(20_000) || last >= 20*time.Second {
 		t.Errorf("%d arrivals until %s", n, last)
 	}
@@ -37,23 +41,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, _, in := drain(b)
+	n, _, in := collect(b)
 	high := in(0, 200*time.Millisecond, time.Second)
 	if math.Abs(float64(n)-20_000) > 5*math.Sqrt(20_000) || math.Abs(float64(high)-16_000) > 5*math.Sqrt(16_000) {
 		t.Errorf("%d arrivals, %d in bursts", n, high)
 	}
 	if _, err := NewBursts(1000, 6, 200*time.Millisecond, time.Second, time.Second, 1); err == nil {
-		t.Error("bursts of more than the mean were taken")
+		t.Error("bursts that exceed the mean rate were accepted")
 	}
 }
 
-// Traces are read as they are, and what is wrong with one is named.
+// TestTrace checks that a trace is read with its comments, and that an error
+// names the invalid line.
 func TestTrace(t *testing.T) {
 	tr, err := ReadTrace(strings.NewReader("# ms\n0\n1.5\n\n1.5\n20\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n, last, _ := drain(tr); n != 4 || last != 20*time.Millisecond {
+	if n, last, _ := collect(tr); n != 4 || last != 20*time.Millisecond {
 		t.Errorf("%d arrivals until %s", n, last)
 	}
 	for text, want := range map[string]string{"1\n0.5\n": "line 2", "x\n": "line 1", "NaN\n": "line 1", "-1\n": "line 1"} {
@@ -68,7 +73,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		tr, err := ReadTrace(strings.NewReader(text))
 		if err == nil {
-			drain(tr)
+			collect(tr)
 		}
 	})
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,7 +1,7 @@
-// Package load sends an open-loop load to an object API with a stock S3 client
-// and checks each byte that comes back. Latencies count from the time at which
-// a request was due, so that a server that stalls cannot hide it by holding
-// back the sender (coordinated omission).
+// Package load sends an open-loop load to an S3-compatible API with the AWS
+// SDK's client and verifies all bytes that it reads. Latencies are measured
+// from the time at which a request was due, so that a stalled server can't hide
+// its stall by delaying the sender (coordinated omission).
 package load
 
 import (
@@ -32,7 +32,7 @@
 // Op is a kind of request.
 type Op string
 
-// The kinds.
+// Kinds of requests.
 const (
 	Get   Op = "get"
 	Range Op = "range"
@@ -40,16 +40,16 @@
 	Head  Op = "head"
 )
 
-// Ops are all kinds.
+// Ops lists all kinds of requests.
 var Ops = []Op{Get, Range, Put, Head}
 
-// MixEntry is a part of the mix.
+// MixEntry is a kind of request and its weight in the mix.
 type MixEntry struct {
 	Op     Op
 	Weight float64
 }
 
-// Options of a load.
+// Options configures a load.
 type Options struct {
 	Endpoint         string
 	AccessKey        string
@@ -57,144 +57,151 @@
 	Region           string
 	Buckets          []string
 	Mix              []MixEntry
-	Sizes            []int // bytes; each as often
-	ObjectsPerBucket int   // objects of each bucket that are there to be read
+	Sizes            []int // object sizes in bytes, drawn uniformly
+	ObjectsPerBucket int   // objects stored in each bucket before the load starts, to be read
 	Arrivals         arrivals.Source
 	RequestTimeout   time.Duration // of one request
-	MaxInFlight      int           // more are not sent, and counted as failed
+	MaxInFlight      int           // requests beyond it are not sent and count as failed
 	Seed             uint64
-	Progress         io.Writer
-	ProgressInterval time.Duration // between lines of progress; 0: none
+	Progress         io.Writer     // destination of progress lines; nil: none
+	ProgressInterval time.Duration // 0: no progress lines
 }
 
-// OpStats is what became of the requests of one kind.
+// OpStats sums up the requests of one kind.
 type OpStats struct {
 	Op          Op
 	Sent        int64
 	Served      int64
-	Refused     int64 // 503 and 429
-	Failed      int64
-	Corrupt     int64 // served with bytes that are not those that were stored
-	Skipped     int64 // too many were in flight
-	Bytes       int64
-	Latency     *hdrhistogram.Histogram // of those served: since they were due, microseconds
-	SendLatency *hdrhistogram.Histogram // and since they were sent
-	Errors      map[string]int64
+	Refused     int64                   // status 503 or 429
+	Failed      int64                   // other errors, including skipped requests
+	Corrupt     int64                   // answered with bytes or a length other than those stored
+	Skipped     int64                   // not sent because MaxInFlight was reached
+	Bytes       int64                   // content bytes of served requests
+	Latency     *hdrhistogram.Histogram // microseconds from when a served request was due
+	SendLatency *hdrhistogram.Histogram // microseconds from when it was sent
+	Errors      map[string]int64        // number of errors by status or cause
 }
 
-// Report is what a load showed.
+// Report is the result of a load.
 type Report struct {
 	Duration    time.Duration
 	Ops         []*OpStats
-	MaxLateness time.Duration // by which the sender itself was late, at most
+	MaxLateness time.Duration // largest delay of the sender itself
 }
 
-// HasCorruption tells whether bytes were wrong.
+// HasCorruption reports whether any answer differed from what was stored.
 func (r *Report) HasCorruption() bool {
 	return slices.ContainsFunc(r.Ops, func(t *OpStats) bool { return t.Corrupt > 0 })
 }
 
-// content is what an object of a name has: its name and size tell every byte.
-func content(name string, size int) []byte {
+// objectContent returns the content of an object, which is determined by its
+// name and size.
+func objectContent(name string, size int) []byte {
 	var seed uint64
 	for _, c := range []byte(name) {
 		seed = seed*1099511628211 ^ uint64(c)
 	}
-	rnd := rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8), byte(seed >> 16), byte(seed >> 24), byte(seed >> 32), byte(size), byte(size >> 8), byte(size >> 16)})
+	random := rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8), byte(seed >> 16), byte(seed >> 24), byte(seed >> 32), byte(size), byte(size >> 8), byte(size >> 16)})
 	b := make([]byte, size)
-	rnd.Read(b)
+	random.Read(b)
 	return b
 }
 
-// object names the n-th object of a kind; its size is in its name.
-func object(kind string, n, size int) string { return fmt.Sprintf("load/%s-%d-%d", kind, n, size) }
+// objectName returns the name of the n-th object of a kind. The name ends with
+// the size.
+func objectName(kind string, n, size int) string { return fmt.Sprintf("load/%s-%d-%d", kind, n, size) }
 
-func sizeOf(name string) int {
+// objectSize returns the size that an object's name tells.
+func objectSize(name string) int {
 	size, _ := strconv.Atoi(name[strings.LastIndexByte(name, '-')+1:])
 	return size
 }
 
+// loader sends one load.
 type loader struct {
-	opt    *Options
-	client *s3.Client
-	conns  *http.Transport
-	rnd    *rand.Rand
-	keys   []string
+	opt       *Options
+	client    *s3.Client
+	transport *http.Transport
+	random    *rand.Rand
+	keys      []string // names of the objects to read, the same in each bucket
 
-	mu      sync.Mutex
-	tallies map[Op]*OpStats
-	out     int
-	wg      sync.WaitGroup
+	mu       sync.Mutex
+	stats    map[Op]*OpStats // guarded by mu, as is inFlight
+	inFlight int
+	wg       sync.WaitGroup
 }
 
-// Run stores what is to be read, sends the load and returns what it showed.
-// It ends by itself when the arrivals do and all answers are in.
+// Run stores the objects to read, sends the load and returns its results. It
+// returns when the arrivals end and all requests have completed. If ctx is
+// cancelled, it returns early with the results so far and the error of ctx.
 func Run(ctx context.Context, opt *Options) (*Report, error) {
 	l, err := newLoader(opt)
 	if err != nil {
 		return nil, err
 	}
-	defer l.conns.CloseIdleConnections()
-	if err := l.prepare(ctx); err != nil {
+	defer l.transport.CloseIdleConnections()
+	if err := l.storeObjects(ctx); err != nil {
 		return nil, err
 	}
 	began := time.Now()
-	stop := l.progress(began)
-	late := l.send(ctx, began)
+	stop := l.startProgress(began)
+	maxLateness := l.sendRequests(ctx, began)
 	l.wg.Wait()
 	stop()
-	r := &Report{Duration: time.Since(began), MaxLateness: late}
+	r := &Report{Duration: time.Since(began), MaxLateness: maxLateness}
 	for _, op := range Ops {
-		if t := l.tallies[op]; t != nil {
+		if t := l.stats[op]; t != nil {
 			r.Ops = append(r.Ops, t)
 		}
 	}
 	return r, ctx.Err()
 }
 
+// newLoader validates the options and creates the client.
 func newLoader(opt *Options) (*loader, error) {
 	switch {
 	case len(opt.Buckets) == 0:
-		return nil, errors.New("load: no bucket is named")
+		return nil, errors.New("load: no buckets")
 	case len(opt.Mix) == 0:
 		return nil, errors.New("load: the mix is empty")
 	case len(opt.Sizes) == 0:
-		return nil, errors.New("load: no size is given")
+		return nil, errors.New("load: no sizes")
 	case opt.MaxInFlight < 1 || opt.ObjectsPerBucket < 1:
-		return nil, errors.New("load: in flight and keys must be 1 at least")
+		return nil, errors.New("load: in flight and keys must be at least 1")
 	}
-	l := &loader{opt: opt, rnd: rand.New(rand.NewPCG(opt.Seed, 31)), tallies: map[Op]*OpStats{}}
+	l := &loader{opt: opt, random: rand.New(rand.NewPCG(opt.Seed, 31)), stats: map[Op]*OpStats{}}
 	for _, p := range opt.Mix {
 		if !slices.Contains(Ops, p.Op) || p.Weight < 0 {
-			return nil, fmt.Errorf("load: mix: %s=%g: must be one of %v with a weight", p.Op, p.Weight, Ops)
+			return nil, fmt.Errorf("load: mix: %s=%g: must be one of %v with a weight of at least 0", p.Op, p.Weight, Ops)
 		}
-		l.tallies[p.Op] = &OpStats{Op: p.Op, Latency: histogram(), SendLatency: histogram(), Errors: map[string]int64{}}
+		l.stats[p.Op] = &OpStats{Op: p.Op, Latency: newHistogram(), SendLatency: newHistogram(), Errors: map[string]int64{}}
 	}
-	l.conns = &http.Transport{MaxIdleConnsPerHost: opt.MaxInFlight, MaxConnsPerHost: opt.MaxInFlight, DisableCompression: true}
+	l.transport = &http.Transport{MaxIdleConnsPerHost: opt.MaxInFlight, MaxConnsPerHost: opt.MaxInFlight, DisableCompression: true}
 	l.client = s3.New(s3.Options{BaseEndpoint: aws.String(opt.Endpoint), Region: opt.Region, UsePathStyle: true, RetryMaxAttempts: 1,
 		Credentials: credentials.NewStaticCredentialsProvider(opt.AccessKey, opt.SecretKey, ""),
-		HTTPClient:  &http.Client{Transport: l.conns}})
+		HTTPClient:  &http.Client{Transport: l.transport}})
 	return l, nil
 }
 
-// histogram counts microseconds up to ten minutes with three digits.
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
+// newHistogram returns a histogram of microseconds, up to ten minutes with
+// three significant digits.
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
 
-// prepare stores what will be read.
-func (l *loader) prepare(ctx context.Context) error {
+// storeObjects creates the buckets and stores the objects to read.
+func (l *loader) storeObjects(ctx context.Context) error {
 	for _, bucket := range l.opt.Buckets {
 		if _, err := l.client.CreateBucket(ctx, &s3.CreateBucketInput{Bucket: &bucket}); err != nil {
 			var api smithy.APIError
 			if !errors.As(err, &api) || !strings.HasPrefix(api.ErrorCode(), "BucketAlready") {
-				return fmt.Errorf("load: bucket %s: %w", bucket, err)
+				return fmt.Errorf("load: create bucket %q: %w", bucket, err)
 			}
 		}
 		for n := range l.opt.ObjectsPerBucket {
-			name := object("read", n, l.opt.Sizes[n%len(l.opt.Sizes)])
+			name := objectName("read", n, l.opt.Sizes[n%len(l.opt.Sizes)])
 			if len(l.keys) < l.opt.ObjectsPerBucket {
 				l.keys = append(l.keys, name)
 			}
-			if err := l.store(ctx, bucket, name); err != nil {
+			if err := l.storeWithRetries(ctx, bucket, name); err != nil {
 				return fmt.Errorf("load: store %s/%s: %w", bucket, name, err)
 			}
 		}
@@ -202,117 +209,124 @@
 	return nil
 }
 
-// store stores an object; refusals are tried again, this is no measurement.
-func (l *loader) store(ctx context.Context, bucket, name string) error {
-	for tries := 0; ; tries++ {
-		err := l.put(ctx, bucket, name)
-		if kind, _ := sort(err); kind != "refused" || tries == 50 {
+// maxStoreRetries is how often storing an object is retried after a refusal.
+const maxStoreRetries = 50
+
+// storeWithRetries stores an object and retries refusals. It is not part of the
+// measurement.
+func (l *loader) storeWithRetries(ctx context.Context, bucket, name string) error {
+	for attempts := 0; ; attempts++ {
+		err := l.putObject(ctx, bucket, name)
+		if kind, _ := classifyError(err); kind != "refused" || attempts == maxStoreRetries {
 			return err
 		}
-		t := time.NewTimer(100 * time.Millisecond)
+		timer := time.NewTimer(100 * time.Millisecond)
 		select {
-		case <-t.C:
+		case <-timer.C:
 		case <-ctx.Done():
-			t.Stop()
+			timer.Stop()
 			return ctx.Err()
 		}
 	}
 }
 
-func (l *loader) put(ctx context.Context, bucket, name string) error {
-	_, err := l.client.PutObject(ctx, &s3.PutObjectInput{Bucket: &bucket, Key: &name, Body: bytes.NewReader(content(name, sizeOf(name)))})
+// putObject stores the object whose content its name determines.
+func (l *loader) putObject(ctx context.Context, bucket, name string) error {
+	_, err := l.client.PutObject(ctx, &s3.PutObjectInput{Bucket: &bucket, Key: &name, Body: bytes.NewReader(objectContent(name, objectSize(name)))})
 	return err
 }
 
-// send sends requests when they are due, and returns by how much it was late.
-func (l *loader) send(ctx context.Context, began time.Time) (late time.Duration) {
+// sendRequests sends the requests when they are due, and returns the largest
+// delay of the sender.
+func (l *loader) sendRequests(ctx context.Context, began time.Time) (maxLateness time.Duration) {
 	for n := 0; ; n++ {
 		at, ok := l.opt.Arrivals.Next()
 		if !ok {
-			return late
+			return maxLateness
 		}
 		due := began.Add(at)
-		if ahead := time.Until(due); ahead > 0 {
-			t := time.NewTimer(ahead)
+		if wait := time.Until(due); wait > 0 {
+			timer := time.NewTimer(wait)
 			select {
-			case <-t.C:
+			case <-timer.C:
 			case <-ctx.Done():
-				t.Stop()
-				return late
+				timer.Stop()
+				return maxLateness
 			}
 		} else {
-			late = max(late, -ahead)
+			maxLateness = max(maxLateness, -wait)
 		}
 		if ctx.Err() != nil {
-			return late
+			return maxLateness
 		}
-		l.start(ctx, n, due)
+		l.startRequest(ctx, n, due)
 	}
 }
 
-// start draws a request and sends it beside those that are out.
-func (l *loader) start(ctx context.Context, n int, due time.Time) {
-	op := l.draw()
-	bucket, name := l.opt.Buckets[l.rnd.IntN(len(l.opt.Buckets))], l.keys[l.rnd.IntN(len(l.keys))]
+// startRequest draws the n-th request and sends it in a new goroutine.
+func (l *loader) startRequest(ctx context.Context, n int, due time.Time) {
+	op := l.drawOp()
+	bucket, name := l.opt.Buckets[l.random.IntN(len(l.opt.Buckets))], l.keys[l.random.IntN(len(l.keys))]
 	if op == Put {
-		name = object(fmt.Sprintf("write-%d", l.opt.Seed), n, l.opt.Sizes[l.rnd.IntN(len(l.opt.Sizes))])
+		name = objectName(fmt.Sprintf("write-%d", l.opt.Seed), n, l.opt.Sizes[l.random.IntN(len(l.opt.Sizes))])
 	}
-	from, to := 0, 0
-	if size := sizeOf(name); op == Range && size > 0 {
-		from = l.rnd.IntN(size)
-		to = from + l.rnd.IntN(size-from)
+	first, last := 0, 0
+	if size := objectSize(name); op == Range && size > 0 {
+		first = l.random.IntN(size)
+		last = first + l.random.IntN(size-first)
 	}
 	l.mu.Lock()
-	t := l.tallies[op]
+	t := l.stats[op]
 	t.Sent++
-	if l.out >= l.opt.MaxInFlight {
+	if l.inFlight >= l.opt.MaxInFlight {
 		t.Skipped++
 		t.Failed++
 		l.mu.Unlock()
 		return
 	}
-	l.out++
+	l.inFlight++
 	l.mu.Unlock()
 	l.wg.Add(1)
 	go func() {
 		defer l.wg.Done()
 		began := time.Now()
-		c, cancel := context.WithTimeout(ctx, l.opt.RequestTimeout)
-		moved, wrong, err := l.one(c, op, bucket, name, from, to)
+		reqCtx, cancel := context.WithTimeout(ctx, l.opt.RequestTimeout)
+		transferred, corrupt, err := l.doRequest(reqCtx, op, bucket, name, first, last)
 		cancel()
-		l.count(t, due, began, moved, wrong, err)
+		l.recordResult(t, due, began, transferred, corrupt, err)
 	}()
 }
 
-func (l *loader) draw() Op {
+// drawOp draws a kind of request by its weight.
+func (l *loader) drawOp() Op {
 	sum := 0.0
 	for _, p := range l.opt.Mix {
 		sum += p.Weight
 	}
-	x := l.rnd.Float64() * sum
+	draw := l.random.Float64() * sum
 	for _, p := range l.opt.Mix {
-		if x -= p.Weight; x < 0 {
+		if draw -= p.Weight; draw < 0 {
 			return p.Op
 		}
 	}
 	return l.opt.Mix[0].Op
 }
 
-// one makes a request and checks what it brought.
-func (l *loader) one(ctx context.Context, op Op, bucket, name string, from, to int) (moved int, wrong bool, err error) {
-	size := sizeOf(name)
+// doRequest sends a request and verifies the answer.
+func (l *loader) doRequest(ctx context.Context, op Op, bucket, name string, first, last int) (transferred int, corrupt bool, err error) {
+	size := objectSize(name)
 	switch op {
 	case Put:
-		return size, false, l.put(ctx, bucket, name)
+		return size, false, l.putObject(ctx, bucket, name)
 	case Head:
 		out, err := l.client.HeadObject(ctx, &s3.HeadObjectInput{Bucket: &bucket, Key: &name})
 		return 0, err == nil && aws.ToInt64(out.ContentLength) != int64(size), err
 	}
-	want := content(name, size)
+	want := objectContent(name, size)
 	in := &s3.GetObjectInput{Bucket: &bucket, Key: &name}
 	if op == Range && size > 0 {
-		in.Range = aws.String(fmt.Sprintf("bytes=%d-%d", from, to))
-		want = want[from : to+1]
+		in.Range = aws.String(fmt.Sprintf("bytes=%d-%d", first, last))
+		want = want[first : last+1]
 	}
 	out, err := l.client.GetObject(ctx, in)
 	if err != nil {
@@ -323,14 +337,15 @@
 	return len(got), err == nil && !bytes.Equal(got, want), err
 }
 
-// sort names what an error is: refused, failed or "".
-func sort(err error) (kind, text string) {
+// classifyError returns the class of an error, "refused" or "failed", and a
+// short text for the statistics. Both are empty for nil.
+func classifyError(err error) (kind, text string) {
 	if err == nil {
 		return "", ""
 	}
-	var answer *smithyhttp.ResponseError
-	if errors.As(err, &answer) {
-		if code := answer.HTTPStatusCode(); code == 503 || code == 429 {
+	var response *smithyhttp.ResponseError
+	if errors.As(err, &response) {
+		if code := response.HTTPStatusCode(); code == 503 || code == 429 {
 			return "refused", strconv.Itoa(code)
 		} else if code > 0 {
 			return "failed", strconv.Itoa(code)
@@ -342,22 +357,23 @@
 	return "failed", "connection"
 }
 
-func (l *loader) count(t *OpStats, due, began time.Time, moved int, wrong bool, err error) {
+// recordResult counts the result of a request.
+func (l *loader) recordResult(t *OpStats, due, began time.Time, transferred int, corrupt bool, err error) {
 	now := time.Now()
-	kind, text := sort(err)
+	kind, text := classifyError(err)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.out--
+	l.inFlight--
 	switch {
 	case kind == "refused":
 		t.Refused++
 	case kind == "failed":
 		t.Failed++
-	case wrong:
+	case corrupt:
 		t.Corrupt++
 	default:
 		t.Served++
-		t.Bytes += int64(moved)
+		t.Bytes += int64(transferred)
 		t.Latency.RecordValue(max(1, now.Sub(due).Microseconds()))
 		t.SendLatency.RecordValue(max(1, now.Sub(began).Microseconds()))
 	}
@@ -366,39 +382,39 @@
 	}
 }
 
-// progress prints a line now and again until the result is called.
-func (l *loader) progress(began time.Time) (stop func()) {
+// startProgress prints a progress line at each interval until stop is called.
+func (l *loader) startProgress(began time.Time) (stop func()) {
 	if l.opt.ProgressInterval <= 0 || l.opt.Progress == nil {
 		return func() {}
 	}
-	quit, ended := make(chan struct{}), make(chan struct{})
+	quit, done := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(ended)
-		tick := time.NewTicker(l.opt.ProgressInterval)
-		defer tick.Stop()
+		defer close(done)
+		ticker := time.NewTicker(l.opt.ProgressInterval)
+		defer ticker.Stop()
 		for {
 			select {
 			case <-quit:
 				return
-			case <-tick.C:
+			case <-ticker.C:
 			}
 			var sent, served, refused, failed int64
 			l.mu.Lock()
-			for _, t := range l.tallies {
+			for _, t := range l.stats {
 				sent, served, refused, failed = sent+t.Sent, served+t.Served, refused+t.Refused, failed+t.Failed+t.Corrupt
 			}
-			out := l.out
+			inFlight := l.inFlight
 			l.mu.Unlock()
-			fmt.Fprintf(l.opt.Progress, "%5.0f s  sent %d  served %d  refused %d  failed %d  in flight %d\n", time.Since(began).Seconds(), sent, served, refused, failed, out)
+			fmt.Fprintf(l.opt.Progress, "%5.0f s  sent %d  served %d  refused %d  failed %d  in flight %d\n", time.Since(began).Seconds(), sent, served, refused, failed, inFlight)
 		}
 	}()
 	return func() {
 		close(quit)
-		<-ended
+		<-done
 	}
 }
 
-// Write prints the report as a table.
+// Write writes the report as a table.
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "%.1f s; the sender was late by %s at most\n", r.Duration.Seconds(), r.MaxLateness.Round(time.Microsecond))
 	fmt.Fprintf(w, "%-6s %8s %8s %8s %8s %6s %9s %9s %9s %9s %9s  %s\n", "", "sent", "served", "refused", "failed", "wrong", "MiB/s", "p50 ms", "p99 ms", "p99.9 ms", "max ms", "p99 from the send")
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -27,14 +27,15 @@
 		Arrivals: arrivals.NewPoisson(rate, time.Second, 1), RequestTimeout: 5 * time.Second, MaxInFlight: 64, Seed: 1}
 }
 
-func total(r *Report, of func(*OpStats) int64) (n int64) {
+func total(r *Report, value func(*OpStats) int64) (n int64) {
 	for _, t := range r.Ops {
-		n += of(t)
+		n += value(t)
 	}
 	return n
 }
 
-// A load against a gateway ends by itself, and every byte is as it was stored.
+// TestAgainstGateway checks that a load on a gateway ends by itself, and that
+// all requests are served with the stored bytes.
 func TestAgainstGateway(t *testing.T) {
 	cfg := config.Default()
 	cfg.Listen, cfg.Keys = "127.0.0.1:0", []config.Key{{Access: "LOAD", Secret: "load-secret"}}
@@ -56,34 +57,34 @@
 	r.Write(&text)
 	t.Log(text.String())
 	if r.HasCorruption() || total(r, func(t *OpStats) int64 { return t.Failed }) > 0 || total(r, func(t *OpStats) int64 { return t.Served }) < 50 {
-		t.Error("not all was served as it was stored")
+		t.Error("requests failed, or were served with wrong content")
 	}
 }
 
-// plain is an object store that does what a test has it do.
-type plain struct {
-	mu      sync.Mutex
-	objects map[string][]byte
-	flip    atomic.Bool  // a bit of what is read
-	hold    atomic.Int64 // all answers until then, nanoseconds since 1970
-	refuse  atomic.Bool
+// fakeStore is an object store with switchable faults.
+type fakeStore struct {
+	mu           sync.Mutex
+	objects      map[string][]byte
+	corruptReads atomic.Bool  // flip one bit of each object read
+	stallUntil   atomic.Int64 // delay answers until then, in nanoseconds since 1970
+	refuseAll    atomic.Bool  // answer 503 to all object requests
 }
 
-func (p *plain) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if wait := time.Until(time.Unix(0, p.hold.Load())); wait > 0 {
-		time.Sleep(wait) // the script's own pause
+func (p *fakeStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if wait := time.Until(time.Unix(0, p.stallUntil.Load())); wait > 0 {
+		time.Sleep(wait) // the stall that the test asked for
 	}
 	name := strings.TrimPrefix(r.URL.Path, "/")
 	switch {
 	case !strings.Contains(name, "/"):
-	case p.refuse.Load():
+	case p.refuseAll.Load():
 		w.WriteHeader(503)
 	case r.Method == "PUT":
 		w.WriteHeader(200)
 	default:
 		key := name[strings.IndexByte(name, '/')+1:]
-		body := content(key, sizeOf(key))
-		if p.flip.Load() && len(body) > 0 {
+		body := objectContent(key, objectSize(key))
+		if p.corruptReads.Load() && len(body) > 0 {
 			body[len(body)/2] ^= 1
 		}
 		w.Header().Set("Content-Length", fmt.Sprint(len(body)))
@@ -91,13 +92,14 @@
 	}
 }
 
-// A flipped bit is seen; a stall is not hidden by what is sent late; refusals
-// are told apart.
+// TestSeesWhatIsWrong checks that a flipped bit is detected, that a stall of
+// the server shows as requests that could not be sent, and that refusals are
+// counted as such.
 func TestSeesWhatIsWrong(t *testing.T) {
-	p := &plain{}
+	p := &fakeStore{}
 	server := httptest.NewServer(p)
 	defer server.Close()
-	run := func(mix []MixEntry, change func()) *Report {
+	run := func(mix []MixEntry, prepare func()) *Report {
 		t.Helper()
 		opt := options(server.URL, 200)
 		opt.Mix, opt.MaxInFlight = mix, 4
@@ -106,40 +108,40 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.conns.CloseIdleConnections()
-		if err := l.prepare(context.Background()); err != nil {
+		defer l.transport.CloseIdleConnections()
+		if err := l.storeObjects(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		change()
-		l.send(context.Background(), time.Now())
+		prepare()
+		l.sendRequests(context.Background(), time.Now())
 		l.wg.Wait()
 		r := &Report{Duration: time.Second}
-		for _, tally := range l.tallies {
-			r.Ops = append(r.Ops, tally)
+		for _, stats := range l.stats {
+			r.Ops = append(r.Ops, stats)
 		}
 		return r
 	}
-	if r := run([]MixEntry{{Get, 1}}, func() { p.flip.Store(true) }); !r.HasCorruption() {
-		t.Error("a flipped bit was not seen")
+	if r := run([]MixEntry{{Get, 1}}, func() { p.corruptReads.Store(true) }); !r.HasCorruption() {
+		t.Error("a flipped bit was not detected")
 	}
-	p.flip.Store(false)
-	r := run([]MixEntry{{Get, 1}}, func() { p.hold.Store(time.Now().Add(400 * time.Millisecond).UnixNano()) })
+	p.corruptReads.Store(false)
+	r := run([]MixEntry{{Get, 1}}, func() { p.stallUntil.Store(time.Now().Add(400 * time.Millisecond).UnixNano()) })
 	if unsent := r.Ops[0].Skipped; unsent < 20 || r.Ops[0].Failed < unsent {
-		t.Errorf("a stall of 400 ms at 200 a second with 4 in flight: %d not sent, %d failed", unsent, r.Ops[0].Failed)
+		t.Errorf("stall of 400 ms at 200 requests/s with 4 in flight: %d not sent, %d failed", unsent, r.Ops[0].Failed)
 	}
-	if r := run([]MixEntry{{Put, 1}}, func() { p.refuse.Store(true) }); r.Ops[0].Refused == 0 || r.Ops[0].Failed > r.Ops[0].Skipped {
+	if r := run([]MixEntry{{Put, 1}}, func() { p.refuseAll.Store(true) }); r.Ops[0].Refused == 0 || r.Ops[0].Failed > r.Ops[0].Skipped {
 		t.Errorf("refusals: %+v", r.Ops[0])
 	}
 }
 
-// Options that make no sense are named.
+// TestBadOptions checks that an error names the invalid option.
 func TestBadOptions(t *testing.T) {
-	for want, change := range map[string]func(*Options){
+	for want, prepare := range map[string]func(*Options){
 		"bucket": func(o *Options) { o.Buckets = nil }, "mix": func(o *Options) { o.Mix = []MixEntry{{"copy", 1}} },
 		"size": func(o *Options) { o.Sizes = nil }, "in flight": func(o *Options) { o.MaxInFlight = 0 },
 	} {
 		opt := options("http://127.0.0.1:1", 1)
-		change(opt)
+		prepare(opt)
 		if _, err := Run(context.Background(), opt); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
