--- a/internal/emul/result.go
+++ b/internal/emul/result.go
@@ -43,7 +43,7 @@
 	Scenario        string                  `json:"scenario"`
 	Seed            uint64                  `json:"seed"`
 	Policy          string                  `json:"policy"`
-	Hash            string                  `json:"hash"` // over all attempts and client calls
+	Hash            string                  `json:"hash"` // over all attempts that reached a brick and all client calls
 	Events          int64                   `json:"events"`
 	Figures         map[string]float64      `json:"figures"`
 	Plans           map[string]*WorthTotals `json:"plans"`
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -186,8 +186,8 @@
 	return n, nil
 }
 
-// againFlag is the bit in a QUERY line's flags that marks a client's retry.
-const againFlag = 2
+// retryFlag is the bit in a QUERY line's flags that marks a client's retry.
+const retryFlag = 2
 
 // parseRequest parses the values of a QUERY line after the instance.
 func parseRequest(f *fieldReader) *arrowwalk.Request {
@@ -204,7 +204,7 @@
 		req.Shard = int(f.parseFloat(text))
 	}
 	req.Volume.Hosts = int(f.float())
-	req.IsRetry = f.unsigned()&againFlag != 0
+	req.IsRetry = f.unsigned()&retryFlag != 0
 	return req
 }
 
--- a/scheduler.go
+++ b/scheduler.go
@@ -225,7 +225,7 @@
 
 // handleNodeList applies a snapshot or a delta of the node list. After a
 // failed call it requests the list again with exponential backoff and jitter;
-// the longest wait is half of Rules.AskEvery, but at least a second.
+// the longest wait is half of Rules.MaxListInterval, but at least a second.
 func (s *Scheduler) handleNodeList(list *NodeList) {
 	if list.Kind == ListFailed {
 		s.logf("node list request failed, retrying in %d ms", s.listBackoff/1000)
@@ -300,7 +300,7 @@
 	r.aimAt = s.now + s.aimSpan(r)
 	if req.IsRetry { // the aim counts from the client's first try
 		r.aimAt -= max(0, r.class.Deadline-req.TimeLeft)
-	} else { // the aim counts from the arrival; if a stall delayed the event, Left tells by how much
+	} else { // the aim counts from the arrival; if a stall delayed the event, TimeLeft tells by how much
 		s.clientTimeout[req.Class] = max(s.clientTimeout[req.Class], req.TimeLeft)
 		r.aimAt -= min(s.stall, s.clientTimeout[req.Class]-req.TimeLeft)
 	}
