--- a/internal/emul/emul_test.go
+++ b/internal/emul/emul_test.go
@@ -7,7 +7,7 @@
 	"arrowwalk/internal/emul/scenario"
 )
 
-func play(t *testing.T, sc *scenario.Scenario, seed uint64) *Result {
+func runScenario(t *testing.T, sc *scenario.Scenario, seed uint64) *Result {
 	t.Helper()
 	s, err := New(sc, seed)
 	if err != nil {
@@ -20,7 +20,7 @@
 	return r
 }
 
-func find(t *testing.T, name string) *scenario.Scenario {
+func loadScenario(t *testing.T, name string) *scenario.Scenario {
 	t.Helper()
 	sc, err := scenario.Find(name)
 	if err != nil {
@@ -32,8 +32,8 @@
 // TestSameSeedSameRun checks that a scenario and seed determine the run, and
 // that another seed gives another run.
 func TestSameSeedSameRun(t *testing.T) {
-	sc := find(t, "host-crashes")
-	a, b, c := play(t, sc, 5), play(t, sc, 5), play(t, sc, 6)
+	sc := loadScenario(t, "host-crashes")
+	a, b, c := runScenario(t, sc, 5), runScenario(t, sc, 5), runScenario(t, sc, 6)
 	if a.Hash != b.Hash || a.Events != b.Events {
 		t.Errorf("same seed, different hashes: %s and %s", a.Hash, b.Hash)
 	}
@@ -42,8 +42,8 @@
 	}
 }
 
-// always lists the scenarios that are also run with the race detector.
-var always = []string{"cold-box", "stalled-host", "retry-storm", "waves"}
+// alwaysRun lists the scenarios that are also run with the race detector.
+var alwaysRun = []string{"cold-box", "stalled-host", "retry-storm", "waves"}
 
 // TestLibrary checks that the claims of each scenario in the library hold with
 // the scenario's own seed.
@@ -51,15 +51,15 @@
 	for _, name := range scenario.Names() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			sc := find(t, name)
-			if raceBuild && !slices.Contains(always, name) {
+			sc := loadScenario(t, name)
+			if raceBuild && !slices.Contains(alwaysRun, name) {
 				t.Skip("without the race detector, or by arrowwalk rehearse --all")
 			}
-			r := play(t, sc, 0)
+			r := runScenario(t, sc, 0)
 			for _, v := range r.CheckClaims(sc) {
 				t.Log(v.Text)
 				if !v.Holds {
-					t.Errorf("broken: %s", v.Text)
+					t.Errorf("claim does not hold: %s", v.Text)
 				}
 			}
 			for _, b := range r.Violations {
@@ -78,7 +78,7 @@
 		{"cold-box", "", "everything", "cold bricks spared"},
 		{"stalled-host", "drains", "", "drains kept"},
 	} {
-		sc := find(t, c.name)
+		sc := loadScenario(t, c.name)
 		sc.Site.DisabledGuard, sc.Policy = c.guard, c.policy
 		if c.name == "cold-box" { // a smaller site with the same load per brick
 			sc.Site.Hosts, sc.Site.Bricks, sc.Load.Volumes, sc.Seconds = 60, 10, 60, 35
@@ -87,19 +87,19 @@
 		if c.policy == "" { // with the guard, the same scenario keeps its claims
 			guard := sc.Site.DisabledGuard
 			sc.Site.DisabledGuard = ""
-			if r := play(t, sc, 0); !r.ClaimsHold(sc) {
+			if r := runScenario(t, sc, 0); !r.ClaimsHold(sc) {
 				t.Errorf("%s with its guard: %v %v", c.name, r.Rules, r.Figures)
 			}
 			sc.Site.DisabledGuard = guard
 		}
-		r := play(t, sc, 0)
-		broken := 0
+		r := runScenario(t, sc, 0)
+		violations := 0
 		for _, v := range r.RuleVerdicts {
 			if v.Rule == c.rule {
-				broken = v.Count
+				violations = v.Count
 			}
 		}
-		if broken == 0 || r.ClaimsHold(sc) {
+		if violations == 0 || r.ClaimsHold(sc) {
 			t.Errorf("%+v: no violation found: %v", c, r.Rules)
 		}
 	}
@@ -108,13 +108,13 @@
 // TestStormEnds checks that the scheduler recovers from a retry storm during
 // host crashes, and serves more than a policy that sends everything at once.
 func TestStormEnds(t *testing.T) {
-	sc := find(t, "retry-storm")
-	module := play(t, sc, 0)
+	sc := loadScenario(t, "retry-storm")
+	module := runScenario(t, sc, 0)
 	sc.Policy = "everything"
-	plain := play(t, sc, 0)
+	everything := runScenario(t, sc, 0)
 	t.Logf("module: %v", module.Figures)
-	t.Logf("everything: %v", plain.Figures)
-	if module.Figures["service"] <= plain.Figures["service"] {
-		t.Errorf("service %.3f, sending everything %.3f", module.Figures["service"], plain.Figures["service"])
+	t.Logf("everything: %v", everything.Figures)
+	if module.Figures["service"] <= everything.Figures["service"] {
+		t.Errorf("service %.3f, sending everything %.3f", module.Figures["service"], everything.Figures["service"])
 	}
 }
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -14,36 +14,36 @@
 // runs only, that it gives the same rows as an uninterrupted one, and that its
 // report holds the table and the chart.
 func TestGoesOn(t *testing.T) {
-	f, err := Parse([]byte(text))
+	spec, err := Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	half := *f
+	half := *spec
 	half.Seeds = 2
 	if _, err := Run(&half, dir, nil); err != nil {
 		t.Fatal(err)
 	}
-	played := 0
-	rows, err := Run(f, dir, func(done, all int, r *Row) {
-		played++
-		if all != 12 || done < 5 {
-			t.Errorf("%d of %d", done, all)
+	newRuns := 0
+	rows, err := Run(spec, dir, func(done, total int, r *Row) {
+		newRuns++
+		if total != 12 || done < 5 {
+			t.Errorf("%d of %d", done, total)
 		}
 	})
-	if err != nil || played != 8 || len(rows) != 12 {
-		t.Fatalf("%d runs, %d rows, error %v", played, len(rows), err)
+	if err != nil || newRuns != 8 || len(rows) != 12 {
+		t.Fatalf("%d runs, %d rows, error %v", newRuns, len(rows), err)
 	}
-	again, err := Run(f, t.TempDir(), nil)
+	uninterrupted, err := Run(spec, t.TempDir(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range rows {
-		if rows[i].Hash != again[i].Hash || rows[i].Seed != again[i].Seed {
+		if rows[i].Hash != uninterrupted[i].Hash || rows[i].Seed != uninterrupted[i].Seed {
 			t.Errorf("row %d differs from that of an uninterrupted run", i)
 		}
 	}
-	page, err := WriteReport(f, rows, filepath.Join(dir, "report"))
+	page, err := WriteReport(spec, rows, filepath.Join(dir, "report"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,12 +72,12 @@
 // TestLive checks that a live experiment starts a gateway for each run, and
 // that invalid live parameters and settings are rejected.
 func TestLive(t *testing.T) {
-	f, err := Parse([]byte(`{"name":"live","seeds":1,"figures":["served","p99_ms"],"live":{"rate":80,"seconds":0.5,"sizes":[1000],"writes":0.3,"keys":3},
+	spec, err := Parse([]byte(`{"name":"live","seeds":1,"figures":["served","p99_ms"],"live":{"rate":80,"seconds":0.5,"sizes":[1000],"writes":0.3,"keys":3},
 		"variants":[{"name":"default"},{"name":"small pieces","set":{"piece_bytes":65536}}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	rows, err := Run(f, t.TempDir(), nil)
+	rows, err := Run(spec, t.TempDir(), nil)
 	if err != nil || len(rows) != 2 {
 		t.Fatalf("%d rows, %v", len(rows), err)
 	}
--- a/internal/load/arrivals/arrivals_test.go
+++ b/internal/load/arrivals/arrivals_test.go
@@ -10,7 +10,7 @@
 // collect reads all arrivals of a source. It returns their number, the last
 // one, and a function that counts those whose offset in the period is in [from,
 // to).
-func collect(s Source) (n int, last time.Duration, in func(from, to time.Duration, period time.Duration) int) {
+func collect(s Source) (n int, last time.Duration, countIn func(from, to time.Duration, period time.Duration) int) {
 	var all []time.Duration
 	for at, ok := s.Next(); ok; at, ok = s.Next() {
 		if at < last {
@@ -41,8 +41,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, _, in := collect(b)
-	high := in(0, 200*time.Millisecond, time.Second)
+	n, _, countIn := collect(b)
+	high := countIn(0, 200*time.Millisecond, time.Second)
 	if math.Abs(float64(n)-20_000) > 5*math.Sqrt(20_000) || math.Abs(float64(high)-16_000) > 5*math.Sqrt(16_000) {
 		t.Errorf("%d arrivals, %d in bursts", n, high)
 	}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -70,21 +70,21 @@
 	refuseAll    atomic.Bool  // answer 503 to all object requests
 }
 
-func (p *fakeStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if wait := time.Until(time.Unix(0, p.stallUntil.Load())); wait > 0 {
+func (f *fakeStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if wait := time.Until(time.Unix(0, f.stallUntil.Load())); wait > 0 {
 		time.Sleep(wait) // the stall that the test asked for
 	}
 	name := strings.TrimPrefix(r.URL.Path, "/")
 	switch {
 	case !strings.Contains(name, "/"):
-	case p.refuseAll.Load():
+	case f.refuseAll.Load():
 		w.WriteHeader(503)
 	case r.Method == "PUT":
 		w.WriteHeader(200)
 	default:
 		key := name[strings.IndexByte(name, '/')+1:]
 		body := objectContent(key, objectSize(key))
-		if p.corruptReads.Load() && len(body) > 0 {
+		if f.corruptReads.Load() && len(body) > 0 {
 			body[len(body)/2] ^= 1
 		}
 		w.Header().Set("Content-Length", fmt.Sprint(len(body)))
@@ -96,8 +96,8 @@
 // the server shows as requests that could not be sent, and that refusals are
 // counted as such.
 func TestSeesWhatIsWrong(t *testing.T) {
-	p := &fakeStore{}
-	server := httptest.NewServer(p)
+	store := &fakeStore{}
+	server := httptest.NewServer(store)
 	defer server.Close()
 	run := func(mix []MixEntry, prepare func()) *Report {
 		t.Helper()
@@ -121,15 +121,15 @@
 		}
 		return r
 	}
-	if r := run([]MixEntry{{Get, 1}}, func() { p.corruptReads.Store(true) }); !r.HasCorruption() {
+	if r := run([]MixEntry{{Get, 1}}, func() { store.corruptReads.Store(true) }); !r.HasCorruption() {
 		t.Error("a flipped bit was not detected")
 	}
-	p.corruptReads.Store(false)
-	r := run([]MixEntry{{Get, 1}}, func() { p.stallUntil.Store(time.Now().Add(400 * time.Millisecond).UnixNano()) })
-	if unsent := r.Ops[0].Skipped; unsent < 20 || r.Ops[0].Failed < unsent {
-		t.Errorf("stall of 400 ms at 200 requests/s with 4 in flight: %d not sent, %d failed", unsent, r.Ops[0].Failed)
+	store.corruptReads.Store(false)
+	r := run([]MixEntry{{Get, 1}}, func() { store.stallUntil.Store(time.Now().Add(400 * time.Millisecond).UnixNano()) })
+	if skipped := r.Ops[0].Skipped; skipped < 20 || r.Ops[0].Failed < skipped {
+		t.Errorf("stall of 400 ms at 200 requests/s with 4 in flight: %d not sent, %d failed", skipped, r.Ops[0].Failed)
 	}
-	if r := run([]MixEntry{{Put, 1}}, func() { p.refuseAll.Store(true) }); r.Ops[0].Refused == 0 || r.Ops[0].Failed > r.Ops[0].Skipped {
+	if r := run([]MixEntry{{Put, 1}}, func() { store.refuseAll.Store(true) }); r.Ops[0].Refused == 0 || r.Ops[0].Failed > r.Ops[0].Skipped {
 		t.Errorf("refusals: %+v", r.Ops[0])
 	}
 }
