--- a/internal/emul/policy/policy.go
+++ b/internal/emul/policy/policy.go
@@ -70,7 +70,7 @@
 	shard    int
 	class    int
 	deadline arrowwalk.Micros
-	sent     bool
+	inFlight bool
 	closed   bool
 }
 
@@ -83,23 +83,23 @@
 }
 
 // shardQueue returns the queue of a shard and creates it if needed.
-func (p *baseline) shardQueue(shard int) *shardQueue {
-	l := p.shards[shard]
-	if l == nil {
-		l = &shardQueue{maxInFlight: p.initialMaxInFlight()}
-		p.shards[shard] = l
-		p.shardOrder = append(p.shardOrder, shard)
-		slices.Sort(p.shardOrder)
-	}
-	return l
+func (b *baseline) shardQueue(shard int) *shardQueue {
+	q := b.shards[shard]
+	if q == nil {
+		q = &shardQueue{maxInFlight: b.initialMaxInFlight()}
+		b.shards[shard] = q
+		b.shardOrder = append(b.shardOrder, shard)
+		slices.Sort(b.shardOrder)
+	}
+	return q
 }
 
 // initialMaxInFlight returns the policy's maximum number of requests in flight
 // at a node. aimd changes it later.
-func (p *baseline) initialMaxInFlight() float64 {
-	switch p.name {
+func (b *baseline) initialMaxInFlight() float64 {
+	switch b.name {
 	case "even":
-		return max(1, 64/float64(p.settings.Hosts)/max(1, p.settings.MeanUnits)*4)
+		return max(1, 64/float64(b.settings.Hosts)/max(1, b.settings.MeanUnits)*4)
 	case "least", "aimd":
 		return 4
 	}
@@ -107,91 +107,91 @@
 }
 
 // Next returns the earliest deadline of an unanswered request.
-func (p *baseline) Next() (arrowwalk.Micros, bool) {
-	for len(p.byDeadline) > 0 && p.byDeadline[0].closed {
-		p.byDeadline = p.byDeadline[1:]
+func (b *baseline) Next() (arrowwalk.Micros, bool) {
+	for len(b.byDeadline) > 0 && b.byDeadline[0].closed {
+		b.byDeadline = b.byDeadline[1:]
 	}
-	if len(p.byDeadline) == 0 {
+	if len(b.byDeadline) == 0 {
 		return 0, false
 	}
-	return p.byDeadline[0].deadline, true
+	return b.byDeadline[0].deadline, true
 }
 
 // Step processes events and sends as many requests as the maxima allow.
-func (p *baseline) Step(now arrowwalk.Micros, events []arrowwalk.Event) []arrowwalk.Action {
-	p.now, p.actions = now, p.actions[:0]
-	if !p.subscribed {
-		p.subscribed = true
-		p.actions = append(p.actions, arrowwalk.Action{Kind: arrowwalk.Subscribe})
+func (b *baseline) Step(now arrowwalk.Micros, events []arrowwalk.Event) []arrowwalk.Action {
+	b.now, b.actions = now, b.actions[:0]
+	if !b.subscribed {
+		b.subscribed = true
+		b.actions = append(b.actions, arrowwalk.Action{Kind: arrowwalk.Subscribe})
 	}
 	for _, e := range events {
 		switch e := e.(type) {
 		case *arrowwalk.NodeList:
-			p.updateNodes(e)
+			b.updateNodes(e)
 		case *arrowwalk.Request:
 			j := &job{id: e.ID, shard: e.Shard, class: e.Class, deadline: now + e.TimeLeft - answerMargin}
-			p.requests[e.ID] = j
-			i, _ := slices.BinarySearchFunc(p.byDeadline, j, func(a, b *job) int { return int(a.deadline - b.deadline) })
-			p.byDeadline = slices.Insert(p.byDeadline, i, j)
-			l := p.shardQueue(e.Shard)
-			l.queue = append(l.queue, j)
+			b.requests[e.ID] = j
+			i, _ := slices.BinarySearchFunc(b.byDeadline, j, func(a, b *job) int { return int(a.deadline - b.deadline) })
+			b.byDeadline = slices.Insert(b.byDeadline, i, j)
+			q := b.shardQueue(e.Shard)
+			q.queue = append(q.queue, j)
 		case *arrowwalk.Outcome:
-			p.handleOutcome(e)
+			b.handleOutcome(e)
 		case *arrowwalk.Abandoned:
-			if j := p.requests[e.Request]; j != nil {
-				p.closeJob(j)
+			if j := b.requests[e.Request]; j != nil {
+				b.closeJob(j)
 			}
 		}
 	}
-	p.answerOverdue()
-	p.sendQueued()
-	return p.actions
+	b.answerOverdue()
+	b.sendQueued()
+	return b.actions
 }
 
 // updateNodes updates the shards' nodes from a node list.
-func (p *baseline) updateNodes(e *arrowwalk.NodeList) {
+func (b *baseline) updateNodes(e *arrowwalk.NodeList) {
 	if e.Kind == arrowwalk.ListFailed {
 		return
 	}
 	if e.Kind != arrowwalk.ListDelta {
-		for _, l := range p.shards {
-			l.ready = false
+		for _, q := range b.shards {
+			q.ready = false
 		}
 	}
 	for _, n := range e.Nodes {
-		l := p.shardQueue(n.Shard)
+		q := b.shardQueue(n.Shard)
 		switch {
 		case n.State == arrowwalk.Ready:
-			l.node, l.ready = n, true
-		case l.node.ID == n.ID:
-			l.ready = false
+			q.node, q.ready = n, true
+		case q.node.ID == n.ID:
+			q.ready = false
 		}
 	}
 }
 
 // closeJob marks a request as answered, and drops it if no attempt is in
 // flight.
-func (p *baseline) closeJob(j *job) {
+func (b *baseline) closeJob(j *job) {
 	j.closed = true
-	if !j.sent {
-		delete(p.requests, j.id)
+	if !j.inFlight {
+		delete(b.requests, j.id)
 	}
 }
 
 // handleOutcome handles the end of an attempt and answers its request.
-func (p *baseline) handleOutcome(e *arrowwalk.Outcome) {
-	j := p.requests[e.Request]
+func (b *baseline) handleOutcome(e *arrowwalk.Outcome) {
+	j := b.requests[e.Request]
 	if j == nil {
 		return
 	}
-	l := p.shardQueue(j.shard)
-	l.inFlight--
-	j.sent = false
-	if p.name == "aimd" {
-		if e.Status == arrowwalk.OK && e.Latency <= p.settings.Classes[j.class].Aim {
-			l.maxInFlight += 1 / l.maxInFlight
+	q := b.shardQueue(j.shard)
+	q.inFlight--
+	j.inFlight = false
+	if b.name == "aimd" {
+		if e.Status == arrowwalk.OK && e.Latency <= b.settings.Classes[j.class].Aim {
+			q.maxInFlight += 1 / q.maxInFlight
 		} else if e.Status != arrowwalk.Cancelled {
-			l.maxInFlight = max(1, l.maxInFlight/2)
+			q.maxInFlight = max(1, q.maxInFlight/2)
 		}
 	}
 	if !e.Closed && !j.closed {
@@ -199,46 +199,46 @@
 		if e.Status.NeverRan() {
 			kind = arrowwalk.Refuse
 		}
-		p.actions = append(p.actions, arrowwalk.Action{Kind: kind, Request: j.id})
+		b.actions = append(b.actions, arrowwalk.Action{Kind: kind, Request: j.id})
 	}
-	p.closeJob(j)
+	b.closeJob(j)
 }
 
 // answerOverdue refuses or fails the requests whose deadline has passed.
-func (p *baseline) answerOverdue() {
-	for len(p.byDeadline) > 0 && (p.byDeadline[0].closed || p.byDeadline[0].deadline <= p.now) {
-		j := p.byDeadline[0]
-		p.byDeadline = p.byDeadline[1:]
+func (b *baseline) answerOverdue() {
+	for len(b.byDeadline) > 0 && (b.byDeadline[0].closed || b.byDeadline[0].deadline <= b.now) {
+		j := b.byDeadline[0]
+		b.byDeadline = b.byDeadline[1:]
 		if j.closed {
 			continue
 		}
 		kind := arrowwalk.Refuse
-		if j.sent {
+		if j.inFlight {
 			kind = arrowwalk.Fail
 		}
-		p.actions = append(p.actions, arrowwalk.Action{Kind: kind, Request: j.id})
-		p.closeJob(j)
+		b.actions = append(b.actions, arrowwalk.Action{Kind: kind, Request: j.id})
+		b.closeJob(j)
 	}
 }
 
 // sendQueued sends waiting requests to ready nodes.
-func (p *baseline) sendQueued() {
-	order := p.shardOrder
-	if p.name == "least" {
-		order = slices.Clone(p.shardOrder)
-		slices.SortStableFunc(order, func(a, b int) int { return p.shards[a].inFlight - p.shards[b].inFlight })
+func (b *baseline) sendQueued() {
+	order := b.shardOrder
+	if b.name == "least" {
+		order = slices.Clone(b.shardOrder)
+		slices.SortStableFunc(order, func(x, y int) int { return b.shards[x].inFlight - b.shards[y].inFlight })
 	}
 	for _, shard := range order {
-		l := p.shards[shard]
-		for l.ready && len(l.queue) > 0 && float64(l.inFlight) < l.maxInFlight {
-			j := l.queue[0]
-			l.queue = l.queue[1:]
+		q := b.shards[shard]
+		for q.ready && len(q.queue) > 0 && float64(q.inFlight) < q.maxInFlight {
+			j := q.queue[0]
+			q.queue = q.queue[1:]
 			if j.closed {
 				continue
 			}
-			j.sent = true
-			l.inFlight++
-			p.actions = append(p.actions, arrowwalk.Action{Kind: arrowwalk.Send, Request: j.id, Node: l.node.ID})
+			j.inFlight = true
+			q.inFlight++
+			b.actions = append(b.actions, arrowwalk.Action{Kind: arrowwalk.Send, Request: j.id, Node: q.node.ID})
 		}
 	}
 }
