--- a/internal/emul/model/brick.go
+++ b/internal/emul/model/brick.go
@@ -12,10 +12,10 @@
 	DeferredInterval int64   // interval at which deferred work is done, all at once
 	ColdCapacity     float64 // fraction of its capacity that a brick has at its start
 	WarmUpTime       int64   // time until a brick has its full capacity; 0: at once
-	OverloadFactor   float64 // load that makes a cold brick collapse, as a multiple of its capacity
+	OverloadFactor   float64 // load that makes a cold brick collapse, as a multiple of its current capacity
 	OverloadWindow   int64   // time over which this load is measured
 	MinOverloadUnits float64 // units in OverloadWindow that any cold brick can handle
-	UnitCost         float64 // mean work per unit
+	UnitCost         float64 // mean work per unit, on a core of speed 1
 	DedupWindow      int64   // how long repeats of a key are dropped
 }
 
--- a/internal/emul/result.go
+++ b/internal/emul/result.go
@@ -57,9 +57,9 @@
 	Trace        *rules.Trace    `json:"-"`
 	RuleVerdicts []rules.Verdict `json:"-"`
 
-	work, wasted float64
-	hist         *hdrhistogram.Histogram
-	inTime, all  int
+	work, wasted     float64
+	latencies        *hdrhistogram.Histogram
+	inTime, requests int
 }
 
 func (r *Result) init(s *scenario.Scenario) {
@@ -69,7 +69,7 @@
 	for _, p := range s.Load.Plans {
 		r.Plans[p.Name] = &WorthTotals{}
 	}
-	r.hist = hdrhistogram.New(1, 600_000_000, 3)
+	r.latencies = hdrhistogram.New(1, 600_000_000, 3)
 }
 
 func (r *Result) secondAt(at int64) *SecondTotals {
@@ -94,7 +94,7 @@
 	r.secondAt(q.createdAt).MaxWorth += w
 	r.Plans[s.scenario.Load.Plans[q.volume.plan].Name].MaxWorth += w
 	q.volume.dueWorth += w
-	r.all++
+	r.requests++
 }
 
 // recordServed counts a served request in the second of its first try.
@@ -102,7 +102,7 @@
 	took := s.now - q.createdAt
 	w, second := s.requestWorth(q), r.secondAt(q.createdAt)
 	second.Served++
-	r.hist.RecordValue(max(1, took))
+	r.latencies.RecordValue(max(1, took))
 	if took > int64(s.requestClass(q).AimMS)*1000 {
 		w *= s.requestClass(q).LateWorth
 		second.Late++
@@ -171,8 +171,8 @@
 	}
 	all := float64(max(1, served+refused+failed))
 	f["service"], f["served"], f["refused"], f["failed"] = got/max(due, 1e-9), float64(served)/all, float64(refused)/all, float64(failed)/all
-	f["in_time"] = float64(r.inTime) / float64(max(1, r.all))
-	f["p50_ms"], f["p99_ms"] = float64(r.hist.ValueAtQuantile(50))/1000, float64(r.hist.ValueAtQuantile(99))/1000
+	f["in_time"] = float64(r.inTime) / float64(max(1, r.requests))
+	f["p50_ms"], f["p99_ms"] = float64(r.latencies.ValueAtQuantile(50))/1000, float64(r.latencies.ValueAtQuantile(99))/1000
 	f["wasted"] = r.wasted / max(r.work, 1)
 	f["worst_10s"] = worstService(r.Seconds, 10)
 	f["recover_s"] = s.recoverySeconds()
@@ -185,7 +185,7 @@
 	f["fallen"] = float64(len(r.CollapsedBricks))
 	r.Figures = f
 	for q := 0.5; q < 100; q += 0.5 {
-		r.Latency = append(r.Latency, [2]float64{float64(r.hist.ValueAtQuantile(q)) / 1000, q / 100})
+		r.Latency = append(r.Latency, [2]float64{float64(r.latencies.ValueAtQuantile(q)) / 1000, q / 100})
 	}
 	s.checkRules(r)
 	return r
@@ -233,16 +233,16 @@
 	if s.troublesEnd == 0 {
 		return 0
 	}
-	list := s.result.Seconds
+	seconds := s.result.Seconds
 	first := int((s.troublesStart - startTime) / 1_000_000)
-	before := serviceOf(list[min(3, first):min(max(first, 4), len(list))])
-	from := int((s.troublesEnd - startTime + 999_999) / 1_000_000)
-	for i := from; i+3 <= len(list); i++ {
-		if serviceOf(list[i:i+3]) >= 0.9*before {
-			return float64(i - from)
+	before := serviceOf(seconds[min(3, first):min(max(first, 4), len(seconds))])
+	end := int((s.troublesEnd - startTime + 999_999) / 1_000_000)
+	for i := end; i+3 <= len(seconds); i++ {
+		if serviceOf(seconds[i:i+3]) >= 0.9*before {
+			return float64(i - end)
 		}
 	}
-	return float64(max(1, len(list)-from))
+	return float64(max(1, len(seconds)-end))
 }
 
 // jainIndex returns Jain's fairness index over the fraction of its due worth
--- a/internal/emul/sim.go
+++ b/internal/emul/sim.go
@@ -143,8 +143,8 @@
 	return s, nil
 }
 
-// newRand returns an independent random source for one use, named by the stream
-// number of.
+// newRand returns the random source of a stream. Sources with different stream
+// numbers are independent.
 func newRand(seed uint64, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
 // drawInt draws an integer between of[0] and of[1], both included.
--- a/internal/emul/troubles.go
+++ b/internal/emul/troubles.go
@@ -13,17 +13,17 @@
 	for i := range s.scenario.Timeline {
 		e := &s.scenario.Timeline[i]
 		at, span := startTime+int64(e.At*1e6), int64(e.Duration*1e6)
-		over := at + span + int64(e.LengthMS)*1000
+		end := at + span + int64(e.LengthMS)*1000
 		if e.Kind == "replace" {
-			over += 2_000_000
+			end += 2_000_000
 		}
-		s.troublesStart, s.troublesEnd = min(s.troublesStart, at), max(s.troublesEnd, over)
+		s.troublesStart, s.troublesEnd = min(s.troublesStart, at), max(s.troublesEnd, end)
 		s.schedule(at, func() { s.beginTrouble(e, at+span) })
 	}
 }
 
 // schedule runs a function at time t.
-func (s *Sim) schedule(t int64, do func()) { s.push(t, event{kind: evScheduled, run: do}) }
+func (s *Sim) schedule(t int64, fn func()) { s.push(t, event{kind: evScheduled, run: fn}) }
 
 // affectedCount returns how many of n bricks or hosts the event affects.
 func affectedCount(e *scenario.Event, n int) int {
@@ -102,12 +102,12 @@
 	}
 }
 
-// repeatUntil calls do now and then at the event's interval until the given
+// repeatUntil calls fn now and then at the event's interval until the given
 // time.
-func (s *Sim) repeatUntil(e *scenario.Event, until int64, do func()) {
-	do()
+func (s *Sim) repeatUntil(e *scenario.Event, until int64, fn func()) {
+	fn()
 	if next := s.now + int64(e.IntervalMS)*1000; e.IntervalMS > 0 && next < until {
-		s.schedule(next, func() { s.repeatUntil(e, until, do) })
+		s.schedule(next, func() { s.repeatUntil(e, until, fn) })
 	}
 }
 
--- a/internal/lab/charts/charts.go
+++ b/internal/lab/charts/charts.go
@@ -93,10 +93,10 @@
 			perSecond("failed", func(s *emul.SecondTotals) float64 { return float64(s.Failed) })}},
 		{"worth", "worth", "s", "worth", []Series{
 			perSecond("due", func(s *emul.SecondTotals) float64 { return s.MaxWorth }), perSecond("got", func(s *emul.SecondTotals) float64 { return s.EarnedWorth })}},
-		{"queues", "requests that wait at each shard's brick", "s", "requests", queues},
-		{"out", "requests out at each shard's brick", "s", "requests", inFlight},
+		{"queues", "requests waiting at each shard's brick", "s", "requests", queues},
+		{"out", "requests in flight at each shard's brick", "s", "requests", inFlight},
 		{"quadrants", "volumes of eight hosts, by quadrant", "s", "volumes", quadrantSeries(r)},
-		{"latency", "latency from the first try", "ms", "part of those served", []Series{
+		{"latency", "latency from the first try", "ms", "fraction of those served", []Series{
 			{"", points(len(r.Latency), func(i int) (float64, float64) { return r.Latency[i][0], r.Latency[i][1] })}}},
 	}
 	var names []string
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -22,9 +22,9 @@
 		return "", err
 	}
 	var page strings.Builder
-	fmt.Fprintf(&page, "# %s\n\n%s\n\n%s, %d seeds a cell; medians with 95%% intervals by bootstrap. Each variant is compared\n"+
-		"with %q, seed by seed: a verdict needs the interval of the median difference to leave out 0\nand a sign test at 1 in 20.\n",
-		s.Name, s.About, s.title(), s.Seeds, s.Variants[0].Name)
+	fmt.Fprintf(&page, "# %s\n\n%s\n\n%s, %d seeds per cell; medians with 95%% intervals by bootstrap. Each variant is compared\n"+
+		"with %q, seed by seed: a verdict requires that the interval of the median difference excludes 0\nand that the sign test is significant at 0.05.\n",
+		s.Name, s.About, s.environment(), s.Seeds, s.Variants[0].Name)
 	for _, figure := range s.Figures {
 		fmt.Fprintf(&page, "\n## %s\n\n| scenario | variant | median | difference | verdict |\n| --- | --- | --- | --- | --- |\n", figure)
 		for _, sc := range s.Scenarios {
@@ -40,7 +40,7 @@
 	for _, r := range rows {
 		broken, events, took = broken+r.Violations, events+r.Events, took+r.DurationSeconds
 	}
-	fmt.Fprintf(&page, "\n%d runs, %d events; %d places where a rule is broken", len(rows), events, broken)
+	fmt.Fprintf(&page, "\n%d runs, %d events; %d rule violations", len(rows), events, broken)
 	for _, r := range rows {
 		if r.Violations > 0 {
 			fmt.Fprintf(&page, "\n- %s, %s, seed %d: %d", r.Scenario, r.Variant, r.Seed, r.Violations)
@@ -51,8 +51,8 @@
 	return path, os.WriteFile(path, []byte(page.String()), 0o644)
 }
 
-// title describes where the runs took place.
-func (s *Spec) title() string {
+// environment describes where the runs took place.
+func (s *Spec) environment() string {
 	if s.Live != nil {
 		return "Real gateways on loopback"
 	}
@@ -100,5 +100,5 @@
 		}
 		lines = append(lines, charts.Series{Name: v.Name, Points: points})
 	}
-	return charts.Draw(path, figure+", all scenarios and seeds", figure, "part of the runs", lines)
+	return charts.Draw(path, figure+", all scenarios and seeds", figure, "fraction of the runs", lines)
 }
