--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -1,7 +1,7 @@
-// Package disk is what the store asks of a file system: few calls, each of
-// which may fail, and an order that holds only where Sync says so. OS is the
-// real one; Sim keeps a disk in memory, loses what was not synced and fails
-// where it is told to.
+// Package disk is the file system interface of the store. Calls may fail, and
+// writes and directory changes are ordered and durable only after a sync. OS is
+// the real file system. Sim is an in-memory disk for tests that injects faults and
+// loses unsynced data in a crash.
 package disk
 
 import (
@@ -14,10 +14,10 @@
 	"syscall"
 )
 
-// ErrLocked is returned by Lock for a directory that another process holds.
+// ErrLocked is returned by Lock if another process holds the lock.
 var ErrLocked = errors.New("the directory is in use by another process")
 
-// File is an open file. Its calls may come from many goroutines at once.
+// File is an open file. It is safe for concurrent use.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
@@ -27,28 +27,29 @@
 	Close() error
 }
 
-// FS is a file system below one directory; names are relative to it, with "/".
+// FS is a file system below one directory. Names are relative to that directory and
+// use slashes. It is safe for concurrent use.
 type FS interface {
-	// MkdirAll makes a directory and those above it, and syncs them.
+	// MkdirAll creates a directory and its parents and syncs them.
 	MkdirAll(dir string) error
-	// Create makes a file that must not exist yet, for reading and writing.
+	// Create creates a file for reading and writing. The file must not exist.
 	Create(name string) (File, error)
-	// Open opens a file that exists, for reading and writing.
+	// Open opens an existing file for reading and writing.
 	Open(name string) (File, error)
 	Remove(name string) error
 	Rename(from, to string) error
 	// List returns the names in a directory, sorted.
 	List(dir string) ([]string, error)
-	// SyncDir makes the names of a directory durable.
+	// SyncDir makes the entries of a directory durable.
 	SyncDir(dir string) error
-	// Free returns the bytes that can still be written.
+	// Free returns the free space in bytes.
 	Free() (int64, error)
-	// Lock takes the file system for this process until the result is closed.
+	// Lock locks the file system for this process until the result is closed.
 	Lock() (io.Closer, error)
 }
 
-// OS is a directory of the real file system. NoSync leaves the syncs out: for
-// tests of other things.
+// OS is a directory of the real file system. NoSync skips syncs; it is only for
+// tests that do not depend on durability.
 type OS struct {
 	Dir    string
 	NoSync bool
@@ -56,10 +57,10 @@
 
 func (o OS) path(name string) string { return filepath.Join(o.Dir, filepath.FromSlash(name)) }
 
-// MkdirAll makes a directory; see FS.
+// MkdirAll creates a directory and its parents; see FS.
 func (o OS) MkdirAll(dir string) error {
 	path := o.path(dir)
-	if st, err := os.Stat(path); err == nil && st.IsDir() {
+	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		return nil
 	}
 	if err := os.MkdirAll(path, 0o700); err != nil {
@@ -68,7 +69,7 @@
 	return o.SyncDir(filepath.ToSlash(filepath.Join(dir, "..")))
 }
 
-// Create makes a file; see FS.
+// Create creates a file; see FS.
 func (o OS) Create(name string) (File, error) {
 	return o.open(name, os.O_CREATE|os.O_EXCL)
 }
@@ -87,10 +88,10 @@
 // Remove removes a file.
 func (o OS) Remove(name string) error { return os.Remove(o.path(name)) }
 
-// Rename gives a file another name.
+// Rename renames a file.
 func (o OS) Rename(from, to string) error { return os.Rename(o.path(from), o.path(to)) }
 
-// List returns a directory's names; see FS.
+// List returns the names in a directory, sorted.
 func (o OS) List(dir string) ([]string, error) {
 	entries, err := os.ReadDir(o.path(dir))
 	names := make([]string, 0, len(entries))
@@ -113,16 +114,16 @@
 	return f.Sync()
 }
 
-// Free returns what statfs tells of an ordinary user's blocks.
+// Free returns the space that statfs(2) reports as available to unprivileged users.
 func (o OS) Free() (int64, error) {
-	var st syscall.Statfs_t
-	if err := syscall.Statfs(o.Dir, &st); err != nil {
+	var stat syscall.Statfs_t
+	if err := syscall.Statfs(o.Dir, &stat); err != nil {
 		return 0, &fs.PathError{Op: "statfs", Path: o.Dir, Err: err}
 	}
-	return int64(st.Bavail) * int64(st.Bsize), nil
+	return int64(stat.Bavail) * int64(stat.Bsize), nil
 }
 
-// Lock takes an advisory lock on the file LOCK (flock(2)).
+// Lock takes an advisory lock on the file LOCK with flock(2).
 func (o OS) Lock() (io.Closer, error) {
 	f, err := os.OpenFile(o.path("LOCK"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -141,11 +142,11 @@
 }
 
 func (f *osFile) Size() (int64, error) {
-	st, err := f.Stat()
+	info, err := f.Stat()
 	if err != nil {
 		return 0, err
 	}
-	return st.Size(), nil
+	return info.Size(), nil
 }
 
 func (f *osFile) Sync() error {
@@ -155,9 +156,9 @@
 	return f.File.Sync()
 }
 
-// ReadFile reads a whole file of at most most bytes.
-func ReadFile(f FS, name string, most int64) ([]byte, error) {
-	file, err := f.Open(name)
+// ReadFile reads a file. It fails if the file is larger than maxBytes.
+func ReadFile(fsys FS, name string, maxBytes int64) ([]byte, error) {
+	file, err := fsys.Open(name)
 	if err != nil {
 		return nil, err
 	}
@@ -166,40 +167,41 @@
 	if err != nil {
 		return nil, err
 	}
-	if size > most {
-		return nil, fmt.Errorf("%s: %d bytes, %d at most", name, size, most)
+	if size > maxBytes {
+		return nil, fmt.Errorf("%s: size %d bytes exceeds the limit of %d", name, size, maxBytes)
 	}
-	text := make([]byte, size)
-	if _, err := file.ReadAt(text, 0); err != nil && err != io.EOF {
+	data := make([]byte, size)
+	if _, err := file.ReadAt(data, 0); err != nil && err != io.EOF {
 		return nil, err
 	}
-	return text, nil
+	return data, nil
 }
 
-// WriteFileAtomic writes a file whole or not at all: under another name first,
-// synced, then renamed. dir is the directory of name.
-func WriteFileAtomic(f FS, dir, name string, text []byte) error {
+// WriteFileAtomic writes a file so that a crash leaves either the old or the new
+// content: it writes and syncs a temporary file, renames it and syncs dir, which
+// must be the directory of name.
+func WriteFileAtomic(fsys FS, dir, name string, data []byte) error {
 	temp := name + ".new"
-	if err := f.Remove(temp); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := fsys.Remove(temp); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	file, err := f.Create(temp)
+	file, err := fsys.Create(temp)
 	if err != nil {
 		return err
 	}
-	_, err = file.WriteAt(text, 0)
+	_, err = file.WriteAt(data, 0)
 	if err == nil {
 		err = file.Sync()
 	}
-	if e := file.Close(); err == nil {
-		err = e
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
-		f.Remove(temp)
+		fsys.Remove(temp)
 		return err
 	}
-	if err := f.Rename(temp, name); err != nil {
+	if err := fsys.Rename(temp, name); err != nil {
 		return err
 	}
-	return f.SyncDir(dir)
+	return fsys.SyncDir(dir)
 }
--- a/internal/store/disk/sim.go
+++ b/internal/store/disk/sim.go
@@ -11,41 +11,43 @@
 	"syscall"
 )
 
-// ErrCrashed is returned by every call after the crash of a Sim.
+// ErrCrashed is returned by all calls after a Sim has crashed.
 var ErrCrashed = errors.New("the machine has crashed")
 
-const sector = 512 // bytes that a disk writes whole or not at all
+// sectorSize is the number of bytes that a disk writes atomically.
+const sectorSize = 512
 
-// Fault is what Sim does to one call.
+// Fault is a fault that a Sim injects into a call.
 type Fault int
 
-// Faults of a Sim. Crash is met before the call has an effect.
+// Faults of a Sim. A Crash happens before the call has an effect.
 const (
 	NoFault  Fault = iota
-	Crash          // this call and all after it fail; After plays what is left of the disk
-	NoSpace        // ENOSPC; a write has its first half done
-	IOError        // EIO; a write has its first half done
-	ReadOnly       // EROFS, now and for all later calls that write
-	LostSync       // a sync that says yes and does nothing
-	FlipBit        // of what is read or written, one bit is another
+	Crash          // this and all later calls fail; AfterCrash returns the surviving disk
+	NoSpace        // ENOSPC; the first half of a write takes effect
+	IOError        // EIO; the first half of a write takes effect
+	ReadOnly       // EROFS, for this and all later modifying calls
+	LostSync       // a sync succeeds without effect
+	FlipBit        // one bit of the data read or written is flipped
 )
 
-// Call is one call that changes or reads the disk.
+// Call describes a call that reads or modifies the disk.
 type Call struct {
 	Number int
-	Op     string // write, sync, truncate, create, remove, rename, syncdir, read
+	Op     string // write, sync, truncate, create, remove, rename, syncdir, mkdir or read
 	Name   string
 	Offset int64
 	Size   int
 }
 
-// Sim is a disk in memory. What is not synced is kept or lost by sectors when
-// the machine crashes; changes of a directory that is not synced are lost from
-// some point on, in their order, as a journalling file system does it.
+// Sim is an in-memory disk. In a crash, each sector of unsynced file data may be
+// kept or lost, and unsynced changes of a directory are lost from some point on in
+// their order, as in a journalling file system. It is safe for concurrent use.
 type Sim struct {
-	// FaultFunc decides the fault of each call; nil: none. It is called with mu held.
+	// FaultFunc returns the fault to inject into a call; nil injects none. It must
+	// not use the Sim, which is locked during the call.
 	FaultFunc func(Call) Fault
-	Capacity  int64 // bytes; 0: no bound
+	Capacity  int64 // in bytes; 0: unlimited
 
 	mu       sync.Mutex
 	calls    int
@@ -56,28 +58,34 @@
 	used     int64
 }
 
+// simDir is a directory: its current and durable entries and the changes since
+// its last sync.
 type simDir struct {
-	now     map[string]*inode
+	current map[string]*inode
 	durable map[string]*inode
 	pending []dirChange
 }
 
+// dirChange is the creation, removal or renaming of a file.
 type dirChange struct {
-	name string
-	node *inode // nil: removed
-	from string // of a rename: the name that goes
+	name        string
+	node        *inode // nil: removed
+	renamedFrom string // old name, for a rename
 }
 
+// inode is a file: its current and durable content and the changes since its last
+// sync.
 type inode struct {
-	now     []byte
+	current []byte
 	durable []byte
-	pending []change
+	pending []contentChange
 }
 
-type change struct {
-	offset int64
-	data   []byte
-	size   int64 // of a truncate; -1: a write
+// contentChange is a write or a truncate.
+type contentChange struct {
+	offset     int64
+	data       []byte
+	truncateTo int64 // new size, for a truncate; -1 for a write
 }
 
 // NewSim returns an empty disk.
@@ -88,13 +96,13 @@
 }
 
 func newSimDir() *simDir {
-	return &simDir{now: map[string]*inode{}, durable: map[string]*inode{}}
+	return &simDir{current: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// SetFaultFunc gives a disk that is in use another plan.
-func (s *Sim) SetFaultFunc(plan func(Call) Fault) {
+// SetFaultFunc replaces FaultFunc while the disk is in use.
+func (s *Sim) SetFaultFunc(faultFunc func(Call) Fault) {
 	s.mu.Lock()
-	s.FaultFunc = plan
+	s.FaultFunc = faultFunc
 	s.mu.Unlock()
 }
 
@@ -105,35 +113,36 @@
 	return s.calls
 }
 
-// begin counts a call and returns its fault, as an error where it is one.
-func (s *Sim) begin(op, name string, offset int64, size int) (Fault, error) {
+// startCall counts a call and returns the fault to inject, with an error if the call
+// must fail. The caller holds mu.
+func (s *Sim) startCall(op, name string, offset int64, size int) (Fault, error) {
 	s.calls++
 	if s.crashed {
 		return Crash, ErrCrashed
 	}
-	f := NoFault
+	fault := NoFault
 	if s.FaultFunc != nil {
-		f = s.FaultFunc(Call{Number: s.calls, Op: op, Name: name, Offset: offset, Size: size})
+		fault = s.FaultFunc(Call{Number: s.calls, Op: op, Name: name, Offset: offset, Size: size})
 	}
-	switch f {
+	switch fault {
 	case Crash:
 		s.crashed = true
-		return f, ErrCrashed
+		return fault, ErrCrashed
 	case ReadOnly:
 		s.readOnly = true
 	case NoSpace:
-		return f, &fs.PathError{Op: op, Path: name, Err: syscall.ENOSPC}
+		return fault, &fs.PathError{Op: op, Path: name, Err: syscall.ENOSPC}
 	case IOError:
-		return f, &fs.PathError{Op: op, Path: name, Err: syscall.EIO}
+		return fault, &fs.PathError{Op: op, Path: name, Err: syscall.EIO}
 	}
 	if s.readOnly && op != "read" {
-		return f, &fs.PathError{Op: op, Path: name, Err: syscall.EROFS}
+		return fault, &fs.PathError{Op: op, Path: name, Err: syscall.EROFS}
 	}
-	return f, nil
+	return fault, nil
 }
 
-// AfterCrash returns the disk as it is found after a crash now: of what was not
-// synced, rnd says what is left.
+// AfterCrash returns the disk as found after a crash at this moment. rnd decides
+// which unsynced changes survive.
 func (s *Sim) AfterCrash(rnd *rand.Rand) *Sim {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,29 +152,29 @@
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	left := map[*inode]*inode{}
+	survivors := map[*inode]*inode{}
 	for _, name := range names {
 		d := newSimDir()
 		for file, node := range s.dirs[name].afterCrash(rnd) {
-			if left[node] == nil {
-				left[node] = &inode{}
+			if survivors[node] == nil {
+				survivors[node] = &inode{}
 			}
-			d.now[file], d.durable[file] = left[node], left[node]
+			d.current[file], d.durable[file] = survivors[node], survivors[node]
 		}
 		out.dirs[name] = d
 	}
-	for _, name := range names { // in an order that the seed alone decides
-		files := make([]string, 0, len(out.dirs[name].now))
-		for file := range out.dirs[name].now {
+	for _, name := range names { // sorted, so that the result depends only on rnd
+		files := make([]string, 0, len(out.dirs[name].current))
+		for file := range out.dirs[name].current {
 			files = append(files, file)
 		}
 		slices.Sort(files)
 		for _, file := range files {
-			for from, to := range left {
-				if to == out.dirs[name].now[file] && to.durable == nil {
-					text := from.afterCrash(rnd)
-					to.now, to.durable = text, slices.Clone(text)
-					out.used += int64(len(text))
+			for before, after := range survivors {
+				if after == out.dirs[name].current[file] && after.durable == nil {
+					data := before.afterCrash(rnd)
+					after.current, after.durable = data, slices.Clone(data)
+					out.used += int64(len(data))
 				}
 			}
 		}
@@ -173,6 +182,8 @@
 	return out
 }
 
+// afterCrash returns the durable entries with a random prefix of the pending
+// changes.
 func (d *simDir) afterCrash(rnd *rand.Rand) map[string]*inode {
 	names := map[string]*inode{}
 	for k, v := range d.durable {
@@ -185,8 +196,8 @@
 }
 
 func (c dirChange) apply(names map[string]*inode) {
-	if c.from != "" {
-		delete(names, c.from)
+	if c.renamedFrom != "" {
+		delete(names, c.renamedFrom)
 	}
 	if c.node == nil {
 		delete(names, c.name)
@@ -195,68 +206,68 @@
 	}
 }
 
-// afterCrash keeps a random part of what was written and not synced: all,
-// none, the first part, or any of its sectors.
+// afterCrash returns the durable content with a random part of the unsynced
+// changes: all, none, a prefix, or any subset of their sectors.
 func (n *inode) afterCrash(rnd *rand.Rand) []byte {
-	text := slices.Clone(n.durable)
+	data := slices.Clone(n.durable)
 	mode := rnd.Intn(4)
-	keep := len(n.pending)
+	kept := len(n.pending)
 	switch mode {
 	case 0:
-		keep = 0
+		kept = 0
 	case 1:
-		keep = rnd.Intn(keep + 1)
+		kept = rnd.Intn(kept + 1)
 	}
-	for _, c := range n.pending[:keep] {
+	for _, c := range n.pending[:kept] {
 		if mode != 3 {
-			text = c.apply(text)
+			data = c.apply(data)
 			continue
 		}
 		for _, part := range c.sectors() {
 			if rnd.Intn(2) == 0 {
-				text = part.apply(text)
+				data = part.apply(data)
 			}
 		}
 	}
-	if text == nil {
-		text = []byte{}
+	if data == nil {
+		data = []byte{}
 	}
-	return text
+	return data
 }
 
-func (c change) apply(text []byte) []byte {
-	if c.size >= 0 {
-		return resize(text, c.size)
+func (c contentChange) apply(data []byte) []byte {
+	if c.truncateTo >= 0 {
+		return resize(data, c.truncateTo)
 	}
-	if end := c.offset + int64(len(c.data)); end > int64(len(text)) {
-		text = resize(text, end)
+	if end := c.offset + int64(len(c.data)); end > int64(len(data)) {
+		data = resize(data, end)
 	}
-	copy(text[c.offset:], c.data)
-	return text
+	copy(data[c.offset:], c.data)
+	return data
 }
 
-// sectors splits a write at the disk's sectors.
-func (c change) sectors() []change {
-	if c.size >= 0 {
-		return []change{c}
+// sectors splits a write at sector boundaries.
+func (c contentChange) sectors() []contentChange {
+	if c.truncateTo >= 0 {
+		return []contentChange{c}
 	}
-	var out []change
-	for at := int64(0); at < int64(len(c.data)); {
-		n := min(sector-(c.offset+at)%sector, int64(len(c.data))-at)
-		out = append(out, change{offset: c.offset + at, data: c.data[at : at+n], size: -1})
-		at += n
+	var out []contentChange
+	for written := int64(0); written < int64(len(c.data)); {
+		n := min(sectorSize-(c.offset+written)%sectorSize, int64(len(c.data))-written)
+		out = append(out, contentChange{offset: c.offset + written, data: c.data[written : written+n], truncateTo: -1})
+		written += n
 	}
 	return out
 }
 
-func resize(text []byte, size int64) []byte {
-	if size <= int64(len(text)) {
-		return text[:size]
+func resize(data []byte, size int64) []byte {
+	if size <= int64(len(data)) {
+		return data[:size]
 	}
-	return append(text, make([]byte, size-int64(len(text)))...)
+	return append(data, make([]byte, size-int64(len(data)))...)
 }
 
-// MkdirAll makes a directory; it is durable at once.
+// MkdirAll creates a directory, which is durable at once.
 func (s *Sim) MkdirAll(dir string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -264,14 +275,15 @@
 	if s.dirs[dir] != nil {
 		return nil
 	}
-	if _, err := s.begin("mkdir", dir, 0, 0); err != nil {
+	if _, err := s.startCall("mkdir", dir, 0, 0); err != nil {
 		return err
 	}
 	s.dirs[dir] = newSimDir()
 	return nil
 }
 
-func (s *Sim) dir(name string) (*simDir, string, error) {
+// parentDir returns the directory of a file and the file's name in it.
+func (s *Sim) parentDir(name string) (*simDir, string, error) {
 	d := s.dirs[path.Dir(name)]
 	if d == nil {
 		return nil, "", &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
@@ -279,27 +291,27 @@
 	return d, path.Base(name), nil
 }
 
-func (d *simDir) change(c dirChange) {
-	c.apply(d.now)
+func (d *simDir) applyChange(c dirChange) {
+	c.apply(d.current)
 	d.pending = append(d.pending, c)
 }
 
-// Create makes a file; see FS.
+// Create creates a file; see FS.
 func (s *Sim) Create(name string) (File, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d, base, err := s.dir(name)
+	d, base, err := s.parentDir(name)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := s.begin("create", name, 0, 0); err != nil {
+	if _, err := s.startCall("create", name, 0, 0); err != nil {
 		return nil, err
 	}
-	if d.now[base] != nil {
+	if d.current[base] != nil {
 		return nil, &fs.PathError{Op: "create", Path: name, Err: fs.ErrExist}
 	}
 	node := &inode{}
-	d.change(dirChange{name: base, node: node})
+	d.applyChange(dirChange{name: base, node: node})
 	return &simFile{s, node, name}, nil
 }
 
@@ -310,58 +322,58 @@
 	if s.crashed {
 		return nil, ErrCrashed
 	}
-	d, base, err := s.dir(name)
+	d, base, err := s.parentDir(name)
 	if err != nil {
 		return nil, err
 	}
-	if d.now[base] == nil {
+	if d.current[base] == nil {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
-	return &simFile{s, d.now[base], name}, nil
+	return &simFile{s, d.current[base], name}, nil
 }
 
 // Remove removes a file.
 func (s *Sim) Remove(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d, base, err := s.dir(name)
+	d, base, err := s.parentDir(name)
 	if err != nil {
 		return err
 	}
-	if d.now[base] == nil {
+	if d.current[base] == nil {
 		return &fs.PathError{Op: "remove", Path: name, Err: fs.ErrNotExist}
 	}
-	if _, err := s.begin("remove", name, 0, 0); err != nil {
+	if _, err := s.startCall("remove", name, 0, 0); err != nil {
 		return err
 	}
-	s.used -= int64(len(d.now[base].now))
-	d.change(dirChange{name: base})
+	s.used -= int64(len(d.current[base].current))
+	d.applyChange(dirChange{name: base})
 	return nil
 }
 
-// Rename gives a file of a directory another name in it.
+// Rename renames a file within its directory.
 func (s *Sim) Rename(from, to string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d, base, err := s.dir(from)
+	d, base, err := s.parentDir(from)
 	if err != nil {
 		return err
 	}
 	if path.Dir(from) != path.Dir(to) {
 		return errors.New("rename across directories")
 	}
-	node := d.now[base]
+	node := d.current[base]
 	if node == nil {
 		return &fs.PathError{Op: "rename", Path: from, Err: fs.ErrNotExist}
 	}
-	if _, err := s.begin("rename", from, 0, 0); err != nil {
+	if _, err := s.startCall("rename", from, 0, 0); err != nil {
 		return err
 	}
-	d.change(dirChange{name: path.Base(to), node: node, from: base})
+	d.applyChange(dirChange{name: path.Base(to), node: node, renamedFrom: base})
 	return nil
 }
 
-// List returns a directory's names; see FS.
+// List returns the names in a directory, sorted.
 func (s *Sim) List(dir string) ([]string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -374,7 +386,7 @@
 		return nil, &fs.PathError{Op: "list", Path: dir, Err: fs.ErrNotExist}
 	}
 	var names []string
-	for name := range d.now {
+	for name := range d.current {
 		names = append(names, name)
 	}
 	for sub := range s.dirs {
@@ -386,12 +398,12 @@
 	return names, nil
 }
 
-// SyncDir makes a directory's names durable.
+// SyncDir makes the entries of a directory durable.
 func (s *Sim) SyncDir(dir string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f, err := s.begin("syncdir", dir, 0, 0)
-	if err != nil || f == LostSync {
+	fault, err := s.startCall("syncdir", dir, 0, 0)
+	if err != nil || fault == LostSync {
 		return err
 	}
 	d := s.dirs[path.Clean(dir)]
@@ -405,7 +417,7 @@
 	return nil
 }
 
-// Free returns what the capacity leaves.
+// Free returns the unused capacity.
 func (s *Sim) Free() (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -415,7 +427,7 @@
 	return max(s.Capacity-s.used, 0), nil
 }
 
-// Lock takes the disk.
+// Lock locks the disk; see FS.
 func (s *Sim) Lock() (io.Closer, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -426,51 +438,52 @@
 	return simLock{s}, nil
 }
 
-type simLock struct{ s *Sim }
+type simLock struct{ sim *Sim }
 
 func (l simLock) Close() error {
-	l.s.mu.Lock()
-	l.s.locked = false
-	l.s.mu.Unlock()
+	l.sim.mu.Lock()
+	l.sim.locked = false
+	l.sim.mu.Unlock()
 	return nil
 }
 
-// FlipStoredBit flips a bit of what a file holds, durably.
+// FlipStoredBit durably flips one bit of a file's content.
 func (s *Sim) FlipStoredBit(name string, offset int64, bit uint) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d, base, err := s.dir(name)
+	d, base, err := s.parentDir(name)
 	if err != nil {
 		return err
 	}
-	node := d.now[base]
-	if node == nil || offset >= int64(len(node.now)) {
+	node := d.current[base]
+	if node == nil || offset >= int64(len(node.current)) {
 		return &fs.PathError{Op: "spoil", Path: name, Err: fs.ErrNotExist}
 	}
-	node.now[offset] ^= 1 << (bit % 8)
+	node.current[offset] ^= 1 << (bit % 8)
 	if offset < int64(len(node.durable)) {
 		node.durable[offset] ^= 1 << (bit % 8)
 	}
 	return nil
 }
 
+// simFile is an open file of a Sim.
 type simFile struct {
-	s    *Sim
+	sim  *Sim
 	node *inode
 	name string
 }
 
 func (f *simFile) ReadAt(p []byte, offset int64) (int, error) {
-	f.s.mu.Lock()
-	defer f.s.mu.Unlock()
-	fault, err := f.s.begin("read", f.name, offset, len(p))
+	f.sim.mu.Lock()
+	defer f.sim.mu.Unlock()
+	fault, err := f.sim.startCall("read", f.name, offset, len(p))
 	if err != nil {
 		return 0, err
 	}
-	if offset >= int64(len(f.node.now)) {
+	if offset >= int64(len(f.node.current)) {
 		return 0, io.EOF
 	}
-	n := copy(p, f.node.now[offset:])
+	n := copy(p, f.node.current[offset:])
 	if fault == FlipBit && n > 0 {
 		p[n/2] ^= 4
 	}
@@ -481,14 +494,14 @@
 }
 
 func (f *simFile) WriteAt(p []byte, offset int64) (int, error) {
-	f.s.mu.Lock()
-	defer f.s.mu.Unlock()
-	fault, err := f.s.begin("write", f.name, offset, len(p))
-	if grows := offset + int64(len(p)) - int64(len(f.node.now)); err == nil && grows > 0 && f.s.Capacity > 0 && f.s.used+grows > f.s.Capacity {
+	f.sim.mu.Lock()
+	defer f.sim.mu.Unlock()
+	fault, err := f.sim.startCall("write", f.name, offset, len(p))
+	if growth := offset + int64(len(p)) - int64(len(f.node.current)); err == nil && growth > 0 && f.sim.Capacity > 0 && f.sim.used+growth > f.sim.Capacity {
 		fault, err = NoSpace, &fs.PathError{Op: "write", Path: f.name, Err: syscall.ENOSPC}
 	}
 	if fault == NoSpace || fault == IOError {
-		f.write(p[:len(p)/2], offset)
+		f.writeBytes(p[:len(p)/2], offset)
 		return len(p) / 2, err
 	}
 	if err != nil {
@@ -498,48 +511,49 @@
 		p = slices.Clone(p)
 		p[len(p)/2] ^= 4
 	}
-	f.write(p, offset)
+	f.writeBytes(p, offset)
 	return len(p), nil
 }
 
-func (f *simFile) write(p []byte, offset int64) {
-	if f.s.Capacity > 0 { // what the device still takes
-		p = p[:max(min(int64(len(p)), f.s.Capacity-f.s.used+int64(len(f.node.now))-offset), 0)]
+// writeBytes writes as much of p as the capacity allows.
+func (f *simFile) writeBytes(p []byte, offset int64) {
+	if f.sim.Capacity > 0 {
+		p = p[:max(min(int64(len(p)), f.sim.Capacity-f.sim.used+int64(len(f.node.current))-offset), 0)]
 	}
-	c := change{offset: offset, data: slices.Clone(p), size: -1}
-	f.set(c)
+	c := contentChange{offset: offset, data: slices.Clone(p), truncateTo: -1}
+	f.applyChange(c)
 }
 
-func (f *simFile) set(c change) {
-	before := int64(len(f.node.now))
-	f.node.now = c.apply(f.node.now)
-	f.s.used += int64(len(f.node.now)) - before
+func (f *simFile) applyChange(c contentChange) {
+	oldSize := int64(len(f.node.current))
+	f.node.current = c.apply(f.node.current)
+	f.sim.used += int64(len(f.node.current)) - oldSize
 	f.node.pending = append(f.node.pending, c)
 }
 
 func (f *simFile) Size() (int64, error) {
-	f.s.mu.Lock()
-	defer f.s.mu.Unlock()
-	if f.s.crashed {
+	f.sim.mu.Lock()
+	defer f.sim.mu.Unlock()
+	if f.sim.crashed {
 		return 0, ErrCrashed
 	}
-	return int64(len(f.node.now)), nil
+	return int64(len(f.node.current)), nil
 }
 
 func (f *simFile) Truncate(size int64) error {
-	f.s.mu.Lock()
-	defer f.s.mu.Unlock()
-	if _, err := f.s.begin("truncate", f.name, size, 0); err != nil {
+	f.sim.mu.Lock()
+	defer f.sim.mu.Unlock()
+	if _, err := f.sim.startCall("truncate", f.name, size, 0); err != nil {
 		return err
 	}
-	f.set(change{size: size})
+	f.applyChange(contentChange{truncateTo: size})
 	return nil
 }
 
 func (f *simFile) Sync() error {
-	f.s.mu.Lock()
-	defer f.s.mu.Unlock()
-	fault, err := f.s.begin("sync", f.name, 0, 0)
+	f.sim.mu.Lock()
+	defer f.sim.mu.Unlock()
+	fault, err := f.sim.startCall("sync", f.name, 0, 0)
 	if err != nil || fault == LostSync {
 		return err
 	}
