--- a/internal/store/admission/admission.go
+++ b/internal/store/admission/admission.go
@@ -1,129 +1,133 @@
-// Package admit decides which of a brick's requests are served now, which wait
-// and which are refused: a bound on those that wait, a part of the workers that
-// writes cannot take, and even shares between reads and writes where both wait.
-// It is free of I/O, clock and goroutines.
+// Package admission implements a brick's admission control. It bounds the number
+// of queued requests, keeps some workers free of writes, and divides the work
+// between reads and writes by weighted fair queueing while both are queued. It
+// uses no I/O, clock or goroutines.
 package admission
 
 import "time"
 
-// Kind is what a request asks of the disk.
+// Kind is the kind of a request.
 type Kind int
 
-// The kinds.
+// Request kinds.
 const (
 	Read Kind = iota
 	Write
-	kinds
+	numKinds
 )
 
-// Limits of a line.
+// Limits configures a Controller.
 type Limits struct {
-	Workers   int // requests served at once
-	MaxQueued int // requests that wait at most
-	MaxWrites int // writes served at once at most; 0: three quarters of the workers, rounded up
-	// WriteShare is the part of the work that writes get where reads wait too;
-	// 0: a half.
+	Workers   int // maximum number of requests served at once
+	MaxQueued int // maximum number of queued requests
+	MaxWrites int // maximum number of writes served at once; 0: three quarters of the workers, rounded up
+	// WriteShare is the fraction of the work given to writes while reads are
+	// queued as well; 0: one half.
 	WriteShare float64
 }
 
-// Decision on an arrival.
+// Decision is the result of Controller.Arrive.
 type Decision int
 
-// The verdicts.
+// Decisions.
 const (
-	Admitted Decision = iota // it is served now
-	Queued                   // its ticket comes up later
-	Refused                  // it is refused: nothing of it was done
+	Admitted Decision = iota // the request is served now
+	Queued                   // a later call of Done returns its ticket
+	Refused                  // the queue is full; nothing was done for the request
 )
 
-// Ticket names a request that waits.
+// Ticket identifies a queued request.
 type Ticket uint64
 
-type waiter struct {
+type waitingRequest struct {
 	ticket Ticket
 	cost   float64
 }
 
-// lane is the requests of one kind.
-type lane struct {
-	waiting []waiter
-	running int
-	most    int     // served at once
-	weight  float64 // part of the work
-	virtual float64 // work that was begun, over the weight
+// kindQueue holds the requests of one kind.
+type kindQueue struct {
+	waiting     []waitingRequest
+	running     int
+	maxRunning  int     // maximum number served at once
+	share       float64 // fraction of the work
+	virtualTime float64 // started work divided by share
 }
 
-// Controller is a brick's requests. It is not safe for concurrent use.
+// Controller schedules a brick's requests. It is not safe for concurrent use.
 type Controller struct {
 	limits Limits
-	lanes  [kinds]lane
-	// virtual is the line's own time: that of the last request that was begun.
-	virtual float64
-	last    Ticket
+	queues [numKinds]kindQueue
+	// virtualTime is the start tag of the last request that was started.
+	virtualTime float64
+	lastTicket  Ticket
 }
 
-// New returns an empty line.
-func New(l Limits) *Controller {
-	if l.MaxWrites <= 0 {
-		l.MaxWrites = (3*l.Workers + 3) / 4
+// New returns a Controller without requests.
+func New(limits Limits) *Controller {
+	if limits.MaxWrites <= 0 {
+		limits.MaxWrites = (3*limits.Workers + 3) / 4
 	}
-	if l.WriteShare <= 0 || l.WriteShare >= 1 {
-		l.WriteShare = 0.5
+	if limits.WriteShare <= 0 || limits.WriteShare >= 1 {
+		limits.WriteShare = 0.5
 	}
-	out := &Controller{limits: l}
-	out.lanes[Read] = lane{most: l.Workers, weight: 1 - l.WriteShare}
-	out.lanes[Write] = lane{most: min(l.MaxWrites, l.Workers), weight: l.WriteShare}
-	return out
+	c := &Controller{limits: limits}
+	c.queues[Read] = kindQueue{maxRunning: limits.Workers, share: 1 - limits.WriteShare}
+	c.queues[Write] = kindQueue{maxRunning: min(limits.MaxWrites, limits.Workers), share: limits.WriteShare}
+	return c
 }
 
-// Queued returns how many requests wait.
-func (l *Controller) Queued() int { return len(l.lanes[Read].waiting) + len(l.lanes[Write].waiting) }
+// Queued returns the number of queued requests.
+func (c *Controller) Queued() int { return len(c.queues[Read].waiting) + len(c.queues[Write].waiting) }
 
-// Running returns how many are served.
-func (l *Controller) Running() int { return l.lanes[Read].running + l.lanes[Write].running }
+// Running returns the number of requests being served.
+func (c *Controller) Running() int { return c.queues[Read].running + c.queues[Write].running }
 
-// Arrive decides on a request that would take cost of the disk, in any unit
-// that all use. A request that waits has a ticket.
-func (l *Controller) Arrive(k Kind, cost float64) (Decision, Ticket) {
-	w := &l.lanes[k]
-	if len(w.waiting) == 0 && l.room(w) {
-		l.begin(w, cost)
+// Arrive decides whether a request is served, queued or refused. cost is its
+// expected use of the disk, in any unit that all requests share. The ticket is
+// valid only if the decision is Queued.
+func (c *Controller) Arrive(kind Kind, cost float64) (Decision, Ticket) {
+	q := &c.queues[kind]
+	if len(q.waiting) == 0 && c.canStart(q) {
+		c.start(q, cost)
 		return Admitted, 0
 	}
-	if l.Queued() >= l.limits.MaxQueued {
+	if c.Queued() >= c.limits.MaxQueued {
 		return Refused, 0
 	}
-	l.last++
-	w.waiting = append(w.waiting, waiter{l.last, cost})
-	return Queued, l.last
+	c.lastTicket++
+	q.waiting = append(q.waiting, waitingRequest{c.lastTicket, cost})
+	return Queued, c.lastTicket
 }
 
-func (l *Controller) room(w *lane) bool { return l.Running() < l.limits.Workers && w.running < w.most }
+// canStart reports whether a worker is free for a request of q's kind.
+func (c *Controller) canStart(q *kindQueue) bool {
+	return c.Running() < c.limits.Workers && q.running < q.maxRunning
+}
 
-// begin counts a request that is served from now on. A lane that was idle does
-// not make up for it: its time is at least the line's.
-func (l *Controller) begin(w *lane, cost float64) {
-	w.running++
-	w.virtual = max(w.virtual, l.virtual)
-	l.virtual = w.virtual
-	w.virtual += cost / w.weight
+// start counts a request as being served. A queue that was idle gets no credit for
+// that time: its virtual time is at least the controller's.
+func (c *Controller) start(q *kindQueue, cost float64) {
+	q.running++
+	q.virtualTime = max(q.virtualTime, c.virtualTime)
+	c.virtualTime = q.virtualTime
+	q.virtualTime += cost / q.share
 }
 
-// Done tells that a request of a kind was served, and returns the ticket of one
-// that is served now in its place; ok is false where none waits that may be.
-func (l *Controller) Done(k Kind) (next Ticket, ok bool) {
-	l.lanes[k].running--
-	return l.next()
+// Done records that a request of the kind was completed, and returns the ticket of
+// the queued request to serve in its place. ok is false if there is none.
+func (c *Controller) Done(kind Kind) (next Ticket, ok bool) {
+	c.queues[kind].running--
+	return c.startNext()
 }
 
-// next begins the waiting request of the lane that had least for its share
+// startNext starts the first request of the queue with the lowest virtual time
 // (start-time fair queueing: Goyal, Vin and Cheng, 1996).
-func (l *Controller) next() (Ticket, bool) {
-	var best *lane
-	for i := range l.lanes {
-		w := &l.lanes[i]
-		if len(w.waiting) > 0 && l.room(w) && (best == nil || w.virtual < best.virtual) {
-			best = w
+func (c *Controller) startNext() (Ticket, bool) {
+	var best *kindQueue
+	for i := range c.queues {
+		q := &c.queues[i]
+		if len(q.waiting) > 0 && c.canStart(q) && (best == nil || q.virtualTime < best.virtualTime) {
+			best = q
 		}
 	}
 	if best == nil {
@@ -131,17 +135,17 @@
 	}
 	first := best.waiting[0]
 	best.waiting = best.waiting[1:]
-	l.begin(best, first.cost)
+	c.start(best, first.cost)
 	return first.ticket, true
 }
 
-// Cancel takes a request out that does not wait any more; false: it does not wait.
-func (l *Controller) Cancel(t Ticket) bool {
-	for i := range l.lanes {
-		w := &l.lanes[i]
-		for j := range w.waiting {
-			if w.waiting[j].ticket == t {
-				w.waiting = append(w.waiting[:j], w.waiting[j+1:]...)
+// Cancel removes a queued request. It returns false if the ticket is not queued.
+func (c *Controller) Cancel(ticket Ticket) bool {
+	for i := range c.queues {
+		q := &c.queues[i]
+		for j := range q.waiting {
+			if q.waiting[j].ticket == ticket {
+				q.waiting = append(q.waiting[:j], q.waiting[j+1:]...)
 				return true
 			}
 		}
@@ -149,19 +153,20 @@
 	return false
 }
 
-// CommitStats is what a store's commits look like.
+// CommitStats describes the duration of a store's commits.
 type CommitStats struct {
-	CurrentDuration time.Duration // for how long the one under way has run; 0: there is none
-	AverageDuration time.Duration // what one takes, of late
+	CurrentDuration time.Duration // of the commit in progress; 0: none
+	AverageDuration time.Duration // recent average
 }
 
-// ReportedUtilization returns the utilization that a load report should tell: that of the
-// workers, or more where a commit takes far longer than usual. The workers are
-// busy only once writes have piled up behind it; hosts should know before.
-func ReportedUtilization(util float64, c CommitStats) float64 {
-	const from, to = 3, 12 // times the usual: a slow one, and a stalled one
-	least := 5 * time.Millisecond
-	usual := max(c.AverageDuration, least)
-	stalled := (float64(c.CurrentDuration)/float64(usual) - from) / (to - from)
-	return max(util, min(max(stalled, 0), 1))
+// ReportedUtilization returns the utilization for the load report: that of the
+// workers, raised if the commit in progress takes far longer than average. The
+// workers become busy only after writes have queued up behind a stalled commit;
+// hosts should avoid the brick before that.
+func ReportedUtilization(utilization float64, stats CommitStats) float64 {
+	const slowFactor, stalledFactor = 3, 12 // multiples of the average at which the stall fraction is 0 and 1
+	minAverage := 5 * time.Millisecond
+	average := max(stats.AverageDuration, minAverage)
+	stallFraction := (float64(stats.CurrentDuration)/float64(average) - slowFactor) / (stalledFactor - slowFactor)
+	return max(utilization, min(max(stallFraction, 0), 1))
 }
