--- a/internal/store/maintpolicy/maintpolicy.go
+++ b/internal/store/maintpolicy/maintpolicy.go
@@ -1,158 +1,166 @@
-// Package tidy decides what a store does beside its work: which segment is
-// compacted, and how fast compaction and scrubbing may go while there is live
-// work. It does no I/O and has no clock: times are durations since any start.
+// Package maintpolicy decides which segment a store compacts and how fast
+// compaction and scrubbing may run beside live requests. It does no I/O and has no
+// clock: times are durations since the start of the pass.
 package maintpolicy
 
 import "time"
 
-// Segment is a segment of the log, as compaction sees it.
+// Segment describes a log segment for the choice of the next compaction.
 type Segment struct {
 	Number    uint32
-	SizeBytes int64 // of the file
-	LiveBytes int64 // bytes that entries hold
-	AgeGroups int64 // groups written since it was begun: the young may still lose more
+	SizeBytes int64 // size of the file
+	LiveBytes int64 // bytes of records that the index refers to
+	AgeGroups int64 // groups written since the segment was started; young segments may still lose records
 }
 
-// CompactionPolicy bounds compaction.
+// CompactionPolicy configures ChooseSegment.
 type CompactionPolicy struct {
-	MinGarbageFraction float64 // least part of a segment that is garbage; 0: 0.3
-	LowFreeBytes       int64   // free bytes below which any garbage is worth taking
+	MinGarbageFraction float64 // smallest fraction of a segment that must be garbage; 0: 0.3
+	LowFreeBytes       int64   // free space below which a garbage fraction of 0.02 is enough
 }
 
-// ChooseSegment returns the segment whose compaction gains most for what it costs:
-// the freed part times its age over what is read and written (Rosenblum and
+// ChooseSegment returns the segment with the best ratio of benefit to cost: the
+// freed fraction times its age over the bytes read and written (Rosenblum and
 // Ousterhout, "The Design and Implementation of a Log-Structured File System",
-// 1992, section 3.6). ok is false where none is worth it. A segment without
-// live bytes needs no compaction and is not chosen; nor is one whose live bytes
-// would take more than half of what is free, since its file goes late.
-func ChooseSegment(segments []Segment, free int64, p CompactionPolicy) (best Segment, ok bool) {
-	least := p.MinGarbageFraction
-	if least == 0 {
-		least = 0.3
+// 1992, section 3.6). ok is false if no segment qualifies. Segments without live
+// bytes need no compaction and are skipped. So are segments whose live bytes exceed
+// half of the free space, because the file is removed only after a later
+// checkpoint.
+func ChooseSegment(segments []Segment, freeBytes int64, policy CompactionPolicy) (best Segment, ok bool) {
+	minGarbage := policy.MinGarbageFraction
+	if minGarbage == 0 {
+		minGarbage = 0.3
 	}
-	if free < p.LowFreeBytes {
-		least = 0.02
+	if freeBytes < policy.LowFreeBytes {
+		minGarbage = 0.02
 	}
-	top := 0.0
+	bestGain := 0.0
 	for _, s := range segments {
-		if s.SizeBytes <= 0 || s.LiveBytes <= 0 || s.LiveBytes > free/2 {
+		if s.SizeBytes <= 0 || s.LiveBytes <= 0 || s.LiveBytes > freeBytes/2 {
 			continue
 		}
-		used := float64(s.LiveBytes) / float64(s.SizeBytes)
-		if 1-used < least {
+		liveFraction := float64(s.LiveBytes) / float64(s.SizeBytes)
+		if 1-liveFraction < minGarbage {
 			continue
 		}
-		gain := (1 - used) * float64(s.AgeGroups+1) / (1 + used)
-		if free < p.LowFreeBytes { // room now, not work saved later
+		gain := (1 - liveFraction) * float64(s.AgeGroups+1) / (1 + liveFraction)
+		if freeBytes < policy.LowFreeBytes { // free space soon matters more than the total work
 			gain = float64(s.SizeBytes-s.LiveBytes) / float64(s.LiveBytes)
 		}
-		if gain > top || gain == top && ok && s.Number < best.Number {
-			best, top, ok = s, gain, true
+		if gain > bestGain || gain == bestGain && ok && s.Number < best.Number {
+			best, bestGain, ok = s, gain, true
 		}
 	}
 	return best, ok
 }
 
-// Load is what a brick sees of its live work.
+// Load describes the live requests of a brick.
 type Load struct {
-	Utilization     float64       // part of the workers that are busy, 0 to 1
+	Utilization     float64       // fraction of the workers that are busy, 0 to 1
 	QueuedRequests  int           // requests in the queue
-	Latency         time.Duration // of recent live reads and writes at the disk
-	BaselineLatency time.Duration // of the same when nothing else ran
+	Latency         time.Duration // recent disk latency of live reads and writes
+	BaselineLatency time.Duration // the same latency without background work; 0: unknown
 }
 
-// ScrubPacer of a pass over a known number of bytes that must end by its deadline.
+// ScrubPacer paces a scrub pass so that it ends by a deadline. It is not safe for
+// concurrent use.
 type ScrubPacer struct {
-	TotalBytes        int64         // bytes of the pass
-	Deadline          time.Duration // when it must have ended
-	MinBytesPerSecond float64       // bytes a second that it takes whatever else happens; 0: 64 KiB
-	MaxBytesPerSecond float64       // bytes a second at most; 0: 64 MiB
-	MaxLead           float64       // how far it runs before its schedule when idle, as a part of the pass; 0: 0.25
+	TotalBytes        int64         // size of the pass
+	Deadline          time.Duration // time after the start by which the pass must end
+	MinBytesPerSecond float64       // lower bound of the rate under any load; 0: 64 KiB/s
+	MaxBytesPerSecond float64       // upper bound of the rate; 0: 64 MiB/s
+	MaxLead           float64       // how far the pass may run ahead of its schedule, as a fraction of the pass; 0: 0.25
 
-	calm float64 // 0 to 1: how little live work was hurt of late
+	spareCapacity float64 // moving average of spareCapacity(load)
 }
 
-// NextBudget returns how many bytes may be read in the time that follows, and how
-// long that time is. done bytes are behind it at now.
+// NextBudget returns how many bytes may be read in the following interval, and the
+// length of that interval. done is the number of bytes read so far.
 //
-// The pass has a schedule: even progress to its end. Idle, it runs ahead of it
-// by a part of the pass; beside live work it steps aside, and the more it is
-// late the less so. Late beyond what even Most makes good it runs at Most: the
-// end of the pass is kept before live latency, and its operator is told.
-func (p *ScrubPacer) NextBudget(now time.Duration, done int64, l Load) (bytes int64, per time.Duration) {
-	per = 50 * time.Millisecond
-	left := p.TotalBytes - done
-	if left <= 0 {
-		return 0, per
+// The schedule is even progress until the deadline. On an idle brick the pass runs
+// ahead of it by up to MaxLead. Under live load it slows down, less so the further
+// it is behind. If even half of the maximum rate hardly meets the deadline, the
+// deadline takes precedence over live latency.
+func (p *ScrubPacer) NextBudget(elapsed time.Duration, done int64, load Load) (bytes int64, interval time.Duration) {
+	interval = 50 * time.Millisecond
+	remaining := p.TotalBytes - done
+	if remaining <= 0 {
+		return 0, interval
 	}
-	least, most := p.bounds()
-	p.calm += (quiet(l) - p.calm) * 0.2 // about 5 looks
-	remaining := max((p.Deadline - now).Seconds(), 1e-3)
-	need := float64(left) / remaining
-	rate := need * (0.1 + 1.9*p.calm) // steps aside, and makes up for it when idle
-	if p.ahead(now, done) {
-		rate = min(rate, need)
+	minRate, maxRate := p.rateBounds()
+	p.spareCapacity += (spareCapacity(load) - p.spareCapacity) * 0.2 // averages over about 5 intervals
+	secondsLeft := max((p.Deadline - elapsed).Seconds(), 1e-3)
+	neededRate := float64(remaining) / secondsLeft
+	rate := neededRate * (0.1 + 1.9*p.spareCapacity) // slow under load, and faster than needed when idle to make up for it
+	if p.isTooFarAhead(elapsed, done) {
+		rate = min(rate, neededRate)
 	}
 	switch {
-	case need >= 0.5*most: // no room is left to step aside
-		rate = max(rate, need)
-	case p.late(now, done):
-		rate = max(rate, need*min(1, 0.1+p.lateness(now, done)*4))
+	case neededRate >= 0.5*maxRate: // slowing down now would miss the deadline
+		rate = max(rate, neededRate)
+	case p.isLate(elapsed, done):
+		rate = max(rate, neededRate*min(1, 0.1+p.lateness(elapsed, done)*4))
 	}
-	rate = min(max(rate, least), most)
-	return min(max(int64(rate*per.Seconds()), 1), left), per
+	rate = min(max(rate, minRate), maxRate)
+	return min(max(int64(rate*interval.Seconds()), 1), remaining), interval
 }
 
-func (p *ScrubPacer) bounds() (least, most float64) {
-	least, most = p.MinBytesPerSecond, p.MaxBytesPerSecond
-	if least == 0 {
-		least = 64 << 10
+// rateBounds returns the bounds of the rate in bytes per second.
+func (p *ScrubPacer) rateBounds() (minRate, maxRate float64) {
+	minRate, maxRate = p.MinBytesPerSecond, p.MaxBytesPerSecond
+	if minRate == 0 {
+		minRate = 64 << 10
 	}
-	if most == 0 {
-		most = 64 << 20
+	if maxRate == 0 {
+		maxRate = 64 << 20
 	}
-	return least, most
+	return minRate, maxRate
 }
 
-// schedule returns the bytes that an even pass has behind it at now.
-func (p *ScrubPacer) schedule(now time.Duration) float64 {
-	return float64(p.TotalBytes) * min(now.Seconds()/max(p.Deadline.Seconds(), 1e-3), 1)
+// scheduledBytes returns how many bytes an even pass has read after elapsed.
+func (p *ScrubPacer) scheduledBytes(elapsed time.Duration) float64 {
+	return float64(p.TotalBytes) * min(elapsed.Seconds()/max(p.Deadline.Seconds(), 1e-3), 1)
 }
 
-func (p *ScrubPacer) lateness(now time.Duration, done int64) float64 {
-	return (p.schedule(now) - float64(done)) / float64(p.TotalBytes)
+// lateness returns how far the pass is behind its schedule, as a fraction of the
+// pass; it is negative if the pass is ahead.
+func (p *ScrubPacer) lateness(elapsed time.Duration, done int64) float64 {
+	return (p.scheduledBytes(elapsed) - float64(done)) / float64(p.TotalBytes)
 }
 
-func (p *ScrubPacer) late(now time.Duration, done int64) bool { return p.lateness(now, done) > 0 }
+func (p *ScrubPacer) isLate(elapsed time.Duration, done int64) bool {
+	return p.lateness(elapsed, done) > 0
+}
 
-func (p *ScrubPacer) ahead(now time.Duration, done int64) bool {
-	ahead := p.MaxLead
-	if ahead == 0 {
-		ahead = 0.25
+func (p *ScrubPacer) isTooFarAhead(elapsed time.Duration, done int64) bool {
+	maxLead := p.MaxLead
+	if maxLead == 0 {
+		maxLead = 0.25
 	}
-	return -p.lateness(now, done) > ahead
+	return -p.lateness(elapsed, done) > maxLead
 }
 
-// quiet returns 1 where nothing live is hurt by work beside it, 0 where all is.
-func quiet(l Load) float64 {
-	q := 1 - min(max((l.Utilization-0.2)/0.5, 0), 1) // free below a util of 0.2, aside from 0.7 on
-	if l.QueuedRequests > 0 {
-		q = 0
+// spareCapacity returns the fraction of full speed at which background work does
+// not hurt live requests: 1 on an idle brick, 0 on a loaded one.
+func spareCapacity(load Load) float64 {
+	spare := 1 - min(max((load.Utilization-0.2)/0.5, 0), 1) // 1 up to a utilization of 0.2, 0 from 0.7
+	if load.QueuedRequests > 0 {
+		spare = 0
 	}
-	if l.BaselineLatency > 0 && l.Latency > l.BaselineLatency {
-		over := float64(l.Latency-l.BaselineLatency) / float64(l.BaselineLatency)
-		q = min(q, max(1-over/0.5, 0)) // half as slow again: aside
+	if load.BaselineLatency > 0 && load.Latency > load.BaselineLatency {
+		slowdown := float64(load.Latency-load.BaselineLatency) / float64(load.BaselineLatency)
+		spare = min(spare, max(1-slowdown/0.5, 0)) // 0 from 1.5 times the baseline
 	}
-	return q
+	return spare
 }
 
-// CompactionRate returns the bytes a second at which compaction reads: fast where
-// nothing live is hurt, slow beside live work, and as fast as it can where the
-// disk is nearly full: writes that are refused hurt more than slow ones.
-func CompactionRate(l Load, low bool) float64 {
-	const slow, fast, urgent = 1 << 20, 32 << 20, 256 << 20
-	if low {
-		return urgent
+// CompactionRate returns the rate of compaction in bytes per second: high on an
+// idle brick, low under live load, and highest if the disk is nearly full, because
+// refused writes are worse than slow ones.
+func CompactionRate(load Load, diskLow bool) float64 {
+	const busyRate, idleRate, urgentRate = 1 << 20, 32 << 20, 256 << 20
+	if diskLow {
+		return urgentRate
 	}
-	return slow + (fast-slow)*quiet(l)
+	return busyRate + (idleRate-busyRate)*spareCapacity(load)
 }
