--- a/internal/store/maintenance/maintenance.go
+++ b/internal/store/maintenance/maintenance.go
@@ -1,6 +1,6 @@
-// Package keeper looks after an open store: it compacts what is worth it and
-// scrubs all of it within a time, stepping aside for live work. What to do and
-// how fast is decided in internal/store/tidy.
+// Package maintenance runs the background work of an open store: it compacts
+// segments and scrubs all blobs within a period, slowing down under live load.
+// Package maintpolicy decides what to do and how fast.
 package maintenance
 
 import (
@@ -18,49 +18,50 @@
 	"arrowwalk/internal/store/maintpolicy"
 )
 
-// Options of a keeper.
+// Options configures a Runner. A zero field except Store selects its default.
 type Options struct {
 	Store              *store.Store
-	Load               func() maintpolicy.Load // what the brick sees of live work; nil: none
-	FreeBytes          func() (int64, error)   // bytes free; nil: what the store's disk says
-	ScrubPeriod        time.Duration           // in which all is read once; 0: a week
-	CompactionInterval time.Duration           // between two looks for what to compact; 0: 10 s
-	LowFreeBytes       int64                   // free bytes below which room comes first; 0: 1 GiB
-	Log                *slog.Logger
+	Load               func() maintpolicy.Load // current load of live requests; nil: always idle
+	FreeBytes          func() (int64, error)   // free disk space; nil: as reported by the store
+	ScrubPeriod        time.Duration           // time for one pass over all blobs; 0: a week
+	CompactionInterval time.Duration           // time between two searches for a segment to compact; 0: 10 s
+	LowFreeBytes       int64                   // free space below which compaction takes priority over live requests; 0: 1 GiB
+	Log                *slog.Logger            // nil discards log messages
 }
 
-// Runner is a running keeper; the caller closes it before the store.
+// Runner runs compaction and scrubbing of a store. It must be closed before the
+// store.
 type Runner struct {
-	opt    Options
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
-	state  atomic.Pointer[Progress]
+	opt      Options
+	cancel   context.CancelFunc
+	wg       sync.WaitGroup
+	progress atomic.Pointer[Progress]
 }
 
-// Progress is where the scrubber is; it is kept in the store and taken up
-// again by the next start.
+// Progress is the state of the scrubber. It is stored as a blob, so that the next
+// start of the process continues the pass.
 type Progress struct {
-	StartMicros     int64          `json:"began"` // of the pass, microseconds since 1970
-	Position        store.Position `json:"at"`
-	ReadBytes       int64          `json:"bytes"`  // read in the pass
-	TotalBytes      int64          `json:"total"`  // to be read, as counted at its start
-	CompletedPasses int64          `json:"passes"` // that have ended
-	LastPassMicros  int64          `json:"took"`   // by the last one, microseconds
-	DamagedBlobs    int64          `json:"bad"`    // blobs found damaged in this pass
+	StartMicros     int64          `json:"began"`  // start of the pass, microseconds since 1970; 0: no pass is running
+	Position        store.Position `json:"at"`     // the last blob that was scrubbed
+	ReadBytes       int64          `json:"bytes"`  // bytes read in the pass
+	TotalBytes      int64          `json:"total"`  // bytes to read, counted at the start of the pass
+	CompletedPasses int64          `json:"passes"` // completed passes
+	LastPassMicros  int64          `json:"took"`   // duration of the last completed pass in microseconds
+	DamagedBlobs    int64          `json:"bad"`    // blobs found damaged in the pass
 }
 
-// Space and name of the progress in the store.
+// Space and name of the blob that holds the Progress.
 const (
-	stateSpace = "~"
-	stateName  = "scrub"
+	progressSpace = "~"
+	progressName  = "scrub"
 )
 
 const (
-	saveEvery = 30 * time.Second
-	week      = 7 * 24 * time.Hour
+	saveInterval       = 30 * time.Second
+	defaultScrubPeriod = 7 * 24 * time.Hour
 )
 
-// Start starts a keeper.
+// Start starts a Runner. The caller must close it.
 func Start(opt Options) *Runner {
 	if opt.Load == nil {
 		opt.Load = func() maintpolicy.Load { return maintpolicy.Load{} }
@@ -69,7 +70,7 @@
 		opt.FreeBytes = opt.Store.FreeBytes
 	}
 	if opt.ScrubPeriod == 0 {
-		opt.ScrubPeriod = week
+		opt.ScrubPeriod = defaultScrubPeriod
 	}
 	if opt.CompactionInterval == 0 {
 		opt.CompactionInterval = 10 * time.Second
@@ -81,163 +82,168 @@
 		opt.Log = slog.New(slog.DiscardHandler)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	k := &Runner{opt: opt, cancel: cancel}
-	p := k.load()
-	k.state.Store(&p)
-	k.wg.Add(2)
-	go func() { defer k.wg.Done(); k.compact(ctx) }()
-	go func() { defer k.wg.Done(); k.scrub(ctx) }()
-	return k
+	r := &Runner{opt: opt, cancel: cancel}
+	p := r.loadProgress()
+	r.progress.Store(&p)
+	r.wg.Add(2)
+	go func() { defer r.wg.Done(); r.runCompactor(ctx) }()
+	go func() { defer r.wg.Done(); r.runScrubber(ctx) }()
+	return r
 }
 
-// Close ends the keeper's work where it is.
-func (k *Runner) Close() {
-	k.cancel()
-	k.wg.Wait()
+// Close stops the background work and waits for it. The progress of the running
+// scrub pass is saved.
+func (r *Runner) Close() {
+	r.cancel()
+	r.wg.Wait()
 }
 
-// Progress returns where the scrubber is.
-func (k *Runner) Progress() Progress { return *k.state.Load() }
+// Progress returns the state of the scrubber.
+func (r *Runner) Progress() Progress { return *r.progress.Load() }
 
-func (k *Runner) load() (p Progress) {
-	b, err := k.opt.Store.Get(stateSpace, stateName)
+// loadProgress returns the stored progress, or a zero Progress if there is none
+// or it cannot be read.
+func (r *Runner) loadProgress() (p Progress) {
+	blob, err := r.opt.Store.Get(progressSpace, progressName)
 	if err != nil {
 		return p
 	}
-	defer b.Close()
-	text, err := io.ReadAll(io.NewSectionReader(b, 0, b.Size))
-	if err != nil || json.Unmarshal(text, &p) != nil {
+	defer blob.Close()
+	data, err := io.ReadAll(io.NewSectionReader(blob, 0, blob.Size))
+	if err != nil || json.Unmarshal(data, &p) != nil {
 		return Progress{}
 	}
 	return p
 }
 
-func (k *Runner) save(p Progress) {
-	k.state.Store(&p)
-	text, err := json.Marshal(p)
+// saveProgress publishes the progress and stores it.
+func (r *Runner) saveProgress(p Progress) {
+	r.progress.Store(&p)
+	data, err := json.Marshal(p)
 	if err == nil {
-		_, _, err = k.opt.Store.Put(context.Background(), stateSpace, store.Info{Name: stateName, Size: int64(len(text))}, bytes.NewReader(text), nil, store.Condition{})
+		_, _, err = r.opt.Store.Put(context.Background(), progressSpace, store.Info{Name: progressName, Size: int64(len(data))}, bytes.NewReader(data), nil, store.Condition{})
 	}
 	if err != nil {
-		k.opt.Log.Warn("scrub: its progress was not kept", "error", err)
+		r.opt.Log.Warn("scrub: failed to save progress", "error", err)
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
+// sleep waits for d. If ctx is done before, it returns the context's error.
+func sleep(ctx context.Context, d time.Duration) error {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// compact looks again and again for a segment that is worth it.
-func (k *Runner) compact(ctx context.Context) {
-	hurt := map[uint32]bool{} // what cannot be moved is not tried again before a restart
-	for pause(ctx, k.opt.CompactionInterval) == nil {
-		free, err := k.opt.FreeBytes()
+// runCompactor compacts at most one segment per interval until ctx is done.
+func (r *Runner) runCompactor(ctx context.Context) {
+	unreadable := map[uint32]bool{} // segments with unreadable records are not retried before a restart
+	for sleep(ctx, r.opt.CompactionInterval) == nil {
+		freeBytes, err := r.opt.FreeBytes()
 		if err != nil {
-			k.opt.Log.Warn("compaction: the disk does not say what is free", "error", err)
+			r.opt.Log.Warn("compaction: failed to determine free disk space", "error", err)
 			continue
 		}
-		var list []maintpolicy.Segment
-		for _, seg := range k.opt.Store.Segments() {
-			if !hurt[seg.Number] {
-				list = append(list, seg)
+		var candidates []maintpolicy.Segment
+		for _, seg := range r.opt.Store.Segments() {
+			if !unreadable[seg.Number] {
+				candidates = append(candidates, seg)
 			}
 		}
-		seg, ok := maintpolicy.ChooseSegment(list, free, maintpolicy.CompactionPolicy{LowFreeBytes: k.opt.LowFreeBytes})
+		seg, ok := maintpolicy.ChooseSegment(candidates, freeBytes, maintpolicy.CompactionPolicy{LowFreeBytes: r.opt.LowFreeBytes})
 		if !ok {
 			continue
 		}
-		err = k.opt.Store.Compact(ctx, seg.Number, func(n int64) error {
-			rate := maintpolicy.CompactionRate(k.opt.Load(), free < k.opt.LowFreeBytes)
-			return pause(ctx, time.Duration(float64(n)/rate*float64(time.Second)))
+		err = r.opt.Store.Compact(ctx, seg.Number, func(size int64) error {
+			rate := maintpolicy.CompactionRate(r.opt.Load(), freeBytes < r.opt.LowFreeBytes)
+			return sleep(ctx, time.Duration(float64(size)/rate*float64(time.Second)))
 		})
 		switch {
 		case errors.Is(err, store.ErrCorrupt):
-			hurt[seg.Number] = true
-			k.opt.Log.Error("compaction: a segment holds what cannot be read and stays", "segment", seg.Number, "error", err)
+			unreadable[seg.Number] = true
+			r.opt.Log.Error("compaction: segment has unreadable records and is kept", "segment", seg.Number, "error", err)
 		case errors.Is(err, context.Canceled), errors.Is(err, store.ErrClosed):
 			return
 		case err != nil:
-			k.opt.Log.Warn("compaction failed", "segment", seg.Number, "error", err)
+			r.opt.Log.Warn("compaction failed", "segment", seg.Number, "error", err)
 		}
-		if err := k.opt.Store.Checkpoint(); err != nil {
-			k.opt.Log.Warn("compaction: no checkpoint", "error", err)
+		if err := r.opt.Store.Checkpoint(); err != nil {
+			r.opt.Log.Warn("compaction: checkpoint failed", "error", err)
 		}
 	}
 }
 
-// scrub reads all, again and again.
-func (k *Runner) scrub(ctx context.Context) {
+// runScrubber runs one scrub pass per period until ctx is done.
+func (r *Runner) runScrubber(ctx context.Context) {
 	for ctx.Err() == nil {
-		p := k.Progress()
-		if p.StartMicros == 0 || p.StartMicros > time.Now().UnixMicro() { // none, or the clock was set back
-			_, total := k.opt.Store.Usage()
-			p = Progress{StartMicros: time.Now().UnixMicro(), TotalBytes: total, CompletedPasses: p.CompletedPasses, LastPassMicros: p.LastPassMicros}
-			k.save(p)
+		progress := r.Progress()
+		if progress.StartMicros == 0 || progress.StartMicros > time.Now().UnixMicro() { // no pass to continue, or the clock was set back
+			_, totalBytes := r.opt.Store.Usage()
+			progress = Progress{StartMicros: time.Now().UnixMicro(), TotalBytes: totalBytes, CompletedPasses: progress.CompletedPasses, LastPassMicros: progress.LastPassMicros}
+			r.saveProgress(progress)
 		}
-		if k.pass(ctx, &p) != nil {
-			k.save(p)
+		if r.scrubPass(ctx, &progress) != nil {
+			r.saveProgress(progress)
 			return
 		}
-		p.LastPassMicros = time.Now().UnixMicro() - p.StartMicros
-		p.CompletedPasses++
-		k.opt.Log.Info("scrub: a pass ended", "bytes", p.ReadBytes, "took", time.Duration(p.LastPassMicros)*time.Microsecond, "bad", p.DamagedBlobs)
-		rest := k.opt.ScrubPeriod - time.Duration(p.LastPassMicros)*time.Microsecond
-		p.StartMicros, p.Position = 0, store.Position{}
-		k.save(p)
-		if pause(ctx, max(rest, time.Second)) != nil {
+		progress.LastPassMicros = time.Now().UnixMicro() - progress.StartMicros
+		progress.CompletedPasses++
+		r.opt.Log.Info("scrub: pass completed", "bytes", progress.ReadBytes, "took", time.Duration(progress.LastPassMicros)*time.Microsecond, "bad", progress.DamagedBlobs)
+		remaining := r.opt.ScrubPeriod - time.Duration(progress.LastPassMicros)*time.Microsecond
+		progress.StartMicros, progress.Position = 0, store.Position{}
+		r.saveProgress(progress)
+		if sleep(ctx, max(remaining, time.Second)) != nil {
 			return
 		}
 	}
 }
 
-// pass goes on from p to the end.
-func (k *Runner) pass(ctx context.Context, p *Progress) error {
-	pace := &maintpolicy.ScrubPacer{TotalBytes: p.TotalBytes, Deadline: k.opt.ScrubPeriod}
-	saved, credit := time.Now(), int64(0)
-	wait := func(n int64) error {
-		for credit < n {
-			more, per := pace.NextBudget(time.Duration(time.Now().UnixMicro()-p.StartMicros)*time.Microsecond, p.ReadBytes, k.opt.Load())
-			if more == 0 { // written since the pass began: as fast as its end
-				more = n
+// scrubPass continues the pass from p to its end and updates p.
+func (r *Runner) scrubPass(ctx context.Context, progress *Progress) error {
+	pacer := &maintpolicy.ScrubPacer{TotalBytes: progress.TotalBytes, Deadline: r.opt.ScrubPeriod}
+	lastSave, budget := time.Now(), int64(0)
+	throttle := func(size int64) error {
+		for budget < size {
+			granted, interval := pacer.NextBudget(time.Duration(time.Now().UnixMicro()-progress.StartMicros)*time.Microsecond, progress.ReadBytes, r.opt.Load())
+			if granted == 0 { // written after the pass started: read without a limit
+				granted = size
 			}
-			if err := pause(ctx, per); err != nil {
+			if err := sleep(ctx, interval); err != nil {
 				return err
 			}
-			credit += more
+			budget += granted
 		}
-		credit -= n
-		p.ReadBytes += n
+		budget -= size
+		progress.ReadBytes += size
 		return nil
 	}
 	for {
-		next, _, ok := k.opt.Store.NextBlob(p.Position)
+		next, _, ok := r.opt.Store.NextBlob(progress.Position)
 		if !ok {
 			return nil
 		}
-		switch err := k.opt.Store.Verify(next, wait); {
+		switch err := r.opt.Store.Verify(next, throttle); {
 		case errors.Is(err, store.ErrCorrupt):
-			p.DamagedBlobs++ // told by the store, with its place; nothing is repaired by guess
+			progress.DamagedBlobs++ // the store has logged its location; there is no copy to repair it from
 		case err != nil && ctx.Err() != nil:
 			return ctx.Err()
 		case err != nil:
-			k.opt.Log.Warn("scrub: a blob could not be read", "space", next.Space, "name", next.Name, "error", err)
+			r.opt.Log.Warn("scrub: failed to read blob", "space", next.Space, "name", next.Name, "error", err)
 		}
-		p.Position = next
+		progress.Position = next
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		if time.Since(saved) > saveEvery {
-			saved = time.Now()
-			k.save(*p)
+		if time.Since(lastSave) > saveInterval {
+			lastSave = time.Now()
+			r.saveProgress(*progress)
 		}
-		now := *p
-		k.state.Store(&now)
+		snapshot := *progress
+		r.progress.Store(&snapshot)
 	}
 }
--- a/internal/store/maintenance/maintenance_test.go
+++ b/internal/store/maintenance/maintenance_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func fill(t *testing.T, s *store.Store, n int) {
+func fillStore(t *testing.T, s *store.Store, n int) {
 	t.Helper()
 	for i := range n {
 		body := strings.Repeat(fmt.Sprint(i, " "), 200)
@@ -27,22 +27,22 @@
 	}
 }
 
-// until waits for what the keeper brings about.
-func until(t *testing.T, what string, is func() bool) {
+// waitFor polls the condition for up to 20 seconds.
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	end := time.Now().Add(20 * time.Second)
-	tick := time.NewTicker(5 * time.Millisecond)
-	defer tick.Stop()
-	for !is() {
-		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+	deadline := time.Now().Add(20 * time.Second)
+	ticker := time.NewTicker(5 * time.Millisecond)
+	defer ticker.Stop()
+	for !condition() {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting for %s", description)
 		}
-		<-tick.C
+		<-ticker.C
 	}
 }
 
-// The scrubber finds what was spoilt, compaction frees what is garbage, and
-// nothing that is live is lost by either.
+// The scrubber finds a corrupted blob, compaction frees garbage, and neither loses
+// a live blob.
 func TestKeeper(t *testing.T) {
 	sim := disk.NewSim()
 	s, err := store.Open("sim", store.Options{FS: sim, SegmentBytes: 32 << 10, ReserveBytes: 1})
@@ -50,20 +50,20 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	fill(t, s, 400)
+	fillStore(t, s, 400)
 	before := len(s.Segments())
-	for at := int64(900); at < 30<<10; at += 1024 { // some of it is live
-		if err := sim.FlipStoredBit(fmt.Sprintf("log/%08x", s.Segments()[before-1].Number), at, 1); err != nil {
+	for offset := int64(900); offset < 30<<10; offset += 1024 { // some of these bytes belong to live records
+		if err := sim.FlipStoredBit(fmt.Sprintf("log/%08x", s.Segments()[before-1].Number), offset, 1); err != nil {
 			t.Fatal(err)
 		}
 	}
-	k := Start(Options{Store: s, ScrubPeriod: 50 * time.Millisecond, CompactionInterval: time.Millisecond})
-	until(t, "a pass that finds the spoilt blob", func() bool { return k.Progress().CompletedPasses > 0 && s.QuarantinedBlocks() > 0 })
-	until(t, "fewer segments", func() bool {
-		fill(t, s, 1) // a checkpoint needs something new
+	r := Start(Options{Store: s, ScrubPeriod: 50 * time.Millisecond, CompactionInterval: time.Millisecond})
+	waitFor(t, "a scrub pass that finds the corrupted blob", func() bool { return r.Progress().CompletedPasses > 0 && s.QuarantinedBlocks() > 0 })
+	waitFor(t, "fewer segments", func() bool {
+		fillStore(t, s, 1) // without a new write no checkpoint is written
 		return len(s.Segments()) < before/3
 	})
-	k.Close()
+	r.Close()
 	for i := range 40 {
 		b, err := s.Get("o", fmt.Sprint("k", i))
 		if err != nil {
@@ -73,26 +73,26 @@
 	}
 }
 
-// A pass goes on where it was when the keeper ended.
+// A new Runner continues the scrub pass of the previous one.
 func TestResume(t *testing.T) {
 	s, err := store.Open("sim", store.Options{FS: disk.NewSim(), ReserveBytes: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	fill(t, s, 40)
-	busy := func() maintpolicy.Load { return maintpolicy.Load{Utilization: 1, QueuedRequests: 9} }
-	k := Start(Options{Store: s, ScrubPeriod: time.Hour, Load: busy})
-	until(t, "some progress", func() bool { return k.Progress().ReadBytes > 0 })
-	k.Close()
-	was := k.Progress()
-	k = Start(Options{Store: s, ScrubPeriod: time.Hour, Load: busy})
-	now := k.Progress()
-	k.Close()
-	if was.StartMicros == 0 || now.StartMicros != was.StartMicros || now.ReadBytes < was.ReadBytes || now.Position.Name < was.Position.Name {
-		t.Errorf("it was at %+v, and goes on at %+v", was, now)
+	fillStore(t, s, 40)
+	busyLoad := func() maintpolicy.Load { return maintpolicy.Load{Utilization: 1, QueuedRequests: 9} }
+	r := Start(Options{Store: s, ScrubPeriod: time.Hour, Load: busyLoad})
+	waitFor(t, "some progress", func() bool { return r.Progress().ReadBytes > 0 })
+	r.Close()
+	before := r.Progress()
+	r = Start(Options{Store: s, ScrubPeriod: time.Hour, Load: busyLoad})
+	after := r.Progress()
+	r.Close()
+	if before.StartMicros == 0 || after.StartMicros != before.StartMicros || after.ReadBytes < before.ReadBytes || after.Position.Name < before.Position.Name {
+		t.Errorf("progress was %+v, after the restart %+v", before, after)
 	}
-	if b, err := s.Get(stateSpace, stateName); err != nil {
+	if b, err := s.Get(progressSpace, progressName); err != nil {
 		t.Error(err)
 	} else {
 		io.Copy(io.Discard, io.NewSectionReader(b, 0, b.Size))
