--- a/internal/store/filestore/filestore.go
+++ b/internal/store/filestore/filestore.go
@@ -1,9 +1,11 @@
-// Package filedir is the form of a brick's directory before segments: a file for
-// each blob. It is read to migrate such directories, and is what the store is
-// measured against. A blob has a space
-// (what kind of thing it is), a name (any bytes), a small meta and a body; it
-// is written to a temporary file, synced and renamed, so that after a crash it
-// is whole or absent. Names never become paths: a file is named by a hash.
+// Package filestore implements version 1 of the brick's storage format, which has
+// one file for each blob. It is used to migrate such directories and as the
+// baseline of the store benchmark.
+//
+// A blob has a space, which groups blobs of one use, a name of any bytes, a small
+// meta and a body. It is written to a temporary file, synced and renamed, so that
+// a crash leaves either all of it or nothing. File names are hashes: blob names
+// never become paths.
 package filestore
 
 import (
@@ -26,63 +28,64 @@
 	"github.com/tidwall/btree"
 )
 
-// What callers branch on.
+// Errors that callers test for with errors.Is.
 var (
 	ErrNotFound        = errors.New("no such blob")
 	ErrVersionMismatch = errors.New("the blob's version is another")
 	ErrLocked          = errors.New("the directory is in use by another process")
-	ErrFormat          = errors.New("the directory is of another format")
+	ErrFormat          = errors.New("unsupported storage format")
 	ErrTooLarge        = errors.New("meta or name too large")
 )
 
 const (
-	magic      = "AWB1"
-	formatFile = "format.json"
-	formatNow  = 1
-	headMost   = 64 << 10 // bytes of a blob's header: name, meta and the rest
-	stripes    = 256
+	magic          = "AWB1"
+	formatFile     = "format.json"
+	currentFormat  = 1
+	maxHeaderBytes = 64 << 10 // limit of the encoded header: name, meta and other fields
+	lockStripes    = 256      // number of locks that the blobs share by hash
 )
 
-// Info is what the index knows of a blob.
+// Info is the metadata of a blob.
 type Info struct {
 	Name    string `json:"name"`
 	Meta    []byte `json:"meta,omitempty"`
 	Size    int64  `json:"size"`
 	Version uint64 `json:"version"`
-	Whole   bool   `json:"whole,omitempty"` // ranges do not apply: the body is read whole
+	Whole   bool   `json:"whole,omitempty"` // range requests do not apply: the body is always read as a whole
 }
 
-// header stands before the body in a blob's file, as JSON.
+// header is the JSON header before the body in a blob's file.
 type header struct {
 	Space string `json:"space"`
 	Name  []byte `json:"name"`
 	Info
 }
 
+// entry is the index entry of a blob.
 type entry struct {
 	Info
-	offset int64 // of the body in the file
+	offset int64 // offset of the body in the file
 }
 
-// Store is a store in a directory. It is safe for concurrent use.
+// Store stores each blob in a file of its own. It is safe for concurrent use.
 type Store struct {
-	path    string
-	sync    bool
-	lock    *os.File
-	mu      sync.RWMutex
-	spaces  map[string]*btree.Map[string, *entry]
-	last    uint64 // the greatest version given
-	commit  [stripes]sync.Mutex
-	Damaged []string // files that opening found damaged and left alone
+	path        string
+	syncWrites  bool
+	dirLock     *os.File
+	mu          sync.RWMutex
+	spaces      map[string]*btree.Map[string, *entry]
+	lastVersion uint64 // highest version assigned
+	commitLocks [lockStripes]sync.Mutex
+	Damaged     []string // files that Open found damaged; they are skipped and left in place
 }
 
-// Options of a directory store.
+// Options configures a Store.
 type Options struct {
-	NoSync bool // for tests of other things: do not wait for the disk
+	NoSync bool // skip syncs; only for tests and benchmarks that do not depend on durability
 }
 
-// Open opens or makes the store in path, removes what a crash left half
-// written and reads the index. The caller closes the Dir.
+// Open opens the store in path, creating it if necessary, removes temporary files
+// that a crash left behind and reads the index. The caller must close the Store.
 func Open(path string, opt Options) (*Store, error) {
 	for _, sub := range []string{"blobs", "tmp"} {
 		if err := os.MkdirAll(filepath.Join(path, sub), 0o700); err != nil {
@@ -97,194 +100,203 @@
 		lock.Close()
 		return nil, fmt.Errorf("open store %s: %w", path, ErrLocked)
 	}
-	d := &Store{path: path, sync: !opt.NoSync, lock: lock, spaces: map[string]*btree.Map[string, *entry]{}}
-	if err := d.load(); err != nil {
+	s := &Store{path: path, syncWrites: !opt.NoSync, dirLock: lock, spaces: map[string]*btree.Map[string, *entry]{}}
+	if err := s.loadIndex(); err != nil {
 		lock.Close()
 		return nil, fmt.Errorf("open store %s: %w", path, err)
 	}
-	return d, nil
+	return s, nil
 }
 
-// Close gives the directory free for another process.
-func (d *Store) Close() error { return d.lock.Close() }
+// Close releases the directory for other processes.
+func (s *Store) Close() error { return s.dirLock.Close() }
 
-func (d *Store) load() error {
-	if err := d.checkFormat(); err != nil {
+// loadIndex checks the format, removes temporary files and reads all headers.
+func (s *Store) loadIndex() error {
+	if err := s.checkFormat(); err != nil {
 		return err
 	}
-	left, err := os.ReadDir(filepath.Join(d.path, "tmp"))
+	leftovers, err := os.ReadDir(filepath.Join(s.path, "tmp"))
 	if err != nil {
 		return err
 	}
-	for _, f := range left {
-		if err := os.Remove(filepath.Join(d.path, "tmp", f.Name())); err != nil {
+	for _, file := range leftovers {
+		if err := os.Remove(filepath.Join(s.path, "tmp", file.Name())); err != nil {
 			return err
 		}
 	}
-	return filepath.WalkDir(filepath.Join(d.path, "blobs"), func(path string, f fs.DirEntry, err error) error {
-		if err != nil || f.IsDir() {
+	return filepath.WalkDir(filepath.Join(s.path, "blobs"), func(path string, file fs.DirEntry, err error) error {
+		if err != nil || file.IsDir() {
 			return err
 		}
-		h, offset, err := readHeader(path)
-		if err != nil || fileName(h.Space, string(h.Name)) != f.Name() {
-			d.Damaged = append(d.Damaged, path)
+		hdr, offset, err := readHeader(path)
+		if err != nil || fileName(hdr.Space, string(hdr.Name)) != file.Name() {
+			s.Damaged = append(s.Damaged, path)
 			return nil
 		}
-		h.Info.Name = string(h.Name)
-		d.put(h.Space, &entry{Info: h.Info, offset: offset})
-		d.last = max(d.last, h.Version)
+		hdr.Info.Name = string(hdr.Name)
+		s.setEntry(hdr.Space, &entry{Info: hdr.Info, offset: offset})
+		s.lastVersion = max(s.lastVersion, hdr.Version)
 		return nil
 	})
 }
 
-func (d *Store) checkFormat() error {
-	path := filepath.Join(d.path, formatFile)
-	text, err := os.ReadFile(path)
+// checkFormat verifies the format file, or creates it in a new directory.
+func (s *Store) checkFormat() error {
+	path := filepath.Join(s.path, formatFile)
+	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return os.WriteFile(path, fmt.Appendf(nil, "{\"version\":%d}\n", formatNow), 0o600)
+		return os.WriteFile(path, fmt.Appendf(nil, "{\"version\":%d}\n", currentFormat), 0o600)
 	}
 	if err != nil {
 		return err
 	}
 	var format struct{ Version int }
-	if err := json.Unmarshal(text, &format); err != nil || format.Version != formatNow {
-		return fmt.Errorf("%s: version %d, this program knows %d: %w", formatFile, format.Version, formatNow, ErrFormat)
+	if err := json.Unmarshal(data, &format); err != nil || format.Version != currentFormat {
+		return fmt.Errorf("%s: version is %d, want %d: %w", formatFile, format.Version, currentFormat, ErrFormat)
 	}
 	return nil
 }
 
+// fileName returns the name of a blob's file, a hash of its space and name.
 func fileName(space, name string) string {
-	sum := sha256.Sum256([]byte(space + "\x00" + name))
-	return hex.EncodeToString(sum[:])
+	digest := sha256.Sum256([]byte(space + "\x00" + name))
+	return hex.EncodeToString(digest[:])
 }
 
-func (d *Store) blobPath(space, name string) string {
+func (s *Store) blobPath(space, name string) string {
 	f := fileName(space, name)
-	return filepath.Join(d.path, "blobs", f[:2], f)
+	return filepath.Join(s.path, "blobs", f[:2], f)
 }
 
-// readHeader reads a blob's header: magic, length, checksum, JSON. The file
-// must hold just the body that the header tells of.
+// readHeader reads a blob's header, which is magic, length, checksum and JSON, and
+// returns it with the offset of the body. The body must have the size that the
+// header gives.
 func readHeader(path string) (*header, int64, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, 0, err
 	}
 	defer f.Close()
-	fixed := make([]byte, 12)
-	if _, err := io.ReadFull(f, fixed); err != nil {
+	prefix := make([]byte, 12)
+	if _, err := io.ReadFull(f, prefix); err != nil {
 		return nil, 0, fmt.Errorf("blob header: %w", err)
 	}
-	size := binary.BigEndian.Uint32(fixed[4:])
-	if string(fixed[:4]) != magic || size > headMost {
+	size := binary.BigEndian.Uint32(prefix[4:])
+	if string(prefix[:4]) != magic || size > maxHeaderBytes {
 		return nil, 0, fmt.Errorf("blob header: bad magic or length %d", size)
 	}
-	text := make([]byte, size)
-	if _, err := io.ReadFull(f, text); err != nil {
+	data := make([]byte, size)
+	if _, err := io.ReadFull(f, data); err != nil {
 		return nil, 0, fmt.Errorf("blob header: %w", err)
 	}
-	if crc32.ChecksumIEEE(text) != binary.BigEndian.Uint32(fixed[8:]) {
+	if crc32.ChecksumIEEE(data) != binary.BigEndian.Uint32(prefix[8:]) {
 		return nil, 0, errors.New("blob header: bad checksum")
 	}
-	h := &header{}
-	if err := json.Unmarshal(text, h); err != nil {
+	hdr := &header{}
+	if err := json.Unmarshal(data, hdr); err != nil {
 		return nil, 0, fmt.Errorf("blob header: %w", err)
 	}
-	offset := int64(len(fixed)) + int64(size)
-	if st, err := f.Stat(); err != nil || st.Size() != offset+h.Size {
-		return nil, 0, fmt.Errorf("blob: body is not of %d bytes", h.Size)
+	offset := int64(len(prefix)) + int64(size)
+	if info, err := f.Stat(); err != nil || info.Size() != offset+hdr.Size {
+		return nil, 0, fmt.Errorf("blob: size of the body is not %d bytes", hdr.Size)
 	}
-	return h, offset, nil
+	return hdr, offset, nil
 }
 
-func (d *Store) space(name string) *btree.Map[string, *entry] {
-	s := d.spaces[name]
-	if s == nil {
-		s = &btree.Map[string, *entry]{}
-		d.spaces[name] = s
-	}
-	return s
+// spaceTree returns the index of a space and creates it if necessary. The caller
+// holds mu unless the store is being opened.
+func (s *Store) spaceTree(name string) *btree.Map[string, *entry] {
+	tree := s.spaces[name]
+	if tree == nil {
+		tree = &btree.Map[string, *entry]{}
+		s.spaces[name] = tree
+	}
+	return tree
 }
 
-func (d *Store) put(space string, e *entry) { d.space(space).Set(e.Name, e) }
+func (s *Store) setEntry(space string, e *entry) { s.spaceTree(space).Set(e.Name, e) }
 
-func (d *Store) get(space, name string) *entry {
-	d.mu.RLock()
-	defer d.mu.RUnlock()
-	if s := d.spaces[space]; s != nil {
-		e, _ := s.Get(name)
+// lookup returns the index entry of a blob, or nil.
+func (s *Store) lookup(space, name string) *entry {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	if tree := s.spaces[space]; tree != nil {
+		e, _ := tree.Get(name)
 		return e
 	}
 	return nil
 }
 
-// Stat returns what is known of a blob, or ErrNotFound.
-func (d *Store) Stat(space, name string) (Info, error) {
-	e := d.get(space, name)
+// Stat returns the metadata of a blob, or ErrNotFound.
+func (s *Store) Stat(space, name string) (Info, error) {
+	e := s.lookup(space, name)
 	if e == nil {
 		return Info{}, ErrNotFound
 	}
 	return e.Info, nil
 }
 
-// Blob is an open blob; the caller closes it. Its bytes stay those of its
-// version while it is open, whatever is written meanwhile.
+// Blob is an open blob. The caller must close it. It keeps returning the bytes of
+// its version until it is closed, even if the blob is overwritten meanwhile.
 type Blob struct {
 	Info
 	File   *os.File
-	Offset int64 // of the body in File
+	Offset int64 // offset of the body in File
 }
 
 // Close closes the blob's file.
 func (b *Blob) Close() error { return b.File.Close() }
 
-// Get opens a blob, or returns ErrNotFound.
-func (d *Store) Get(space, name string) (*Blob, error) {
-	mu := d.stripe(space, name)
-	mu.Lock() // the file and the index entry must be of one version
+// Get opens a blob. It returns ErrNotFound if there is none.
+func (s *Store) Get(space, name string) (*Blob, error) {
+	mu := s.commitLock(space, name)
+	mu.Lock() // the file and the index entry must have the same version
 	defer mu.Unlock()
-	e := d.get(space, name)
+	e := s.lookup(space, name)
 	if e == nil {
 		return nil, ErrNotFound
 	}
-	f, err := os.Open(d.blobPath(space, name))
+	f, err := os.Open(s.blobPath(space, name))
 	if err != nil {
 		return nil, fmt.Errorf("open blob: %w", err)
 	}
 	return &Blob{Info: e.Info, File: f, Offset: e.offset}, nil
 }
 
-func (d *Store) stripe(space, name string) *sync.Mutex {
-	return &d.commit[crc32.ChecksumIEEE([]byte(space+name))%stripes]
+// commitLock returns the lock that serializes commits and opens of a blob.
+func (s *Store) commitLock(space, name string) *sync.Mutex {
+	return &s.commitLocks[crc32.ChecksumIEEE([]byte(space+name))%lockStripes]
 }
 
-// Condition is what must hold for a write or delete to happen.
+// Condition is a precondition of a write. The zero value always holds.
 type Condition struct {
-	Version uint64 // the blob must have this version; 0: any
+	Version uint64 // required version of the blob; 0: any
 	Absent  bool   // the blob must not exist
 }
 
-func (c Condition) check(e *entry) error {
-	if c.Absent && e != nil || c.Version != 0 && (e == nil || e.Version != c.Version) {
+func (c Condition) check(current *entry) error {
+	if c.Absent && current != nil || c.Version != 0 && (current == nil || current.Version != c.Version) {
 		return ErrVersionMismatch
 	}
 	return nil
 }
 
-// Put writes a blob of size bytes from body, in place of one of its name. It
-// returns what was stored and, if there was one, what it replaced.
-func (d *Store) Put(ctx context.Context, space string, info Info, body io.Reader, c Condition) (Info, *Info, error) {
-	if len(info.Name)+len(info.Meta) > headMost/2 {
+// Put stores a blob whose info.Size bytes are read from body, replacing any blob
+// of the same name, and returns once it is durable. It returns the stored info
+// and, if a blob was replaced, that blob's info.
+func (s *Store) Put(ctx context.Context, space string, info Info, body io.Reader, cond Condition) (Info, *Info, error) {
+	if len(info.Name)+len(info.Meta) > maxHeaderBytes/2 {
 		return Info{}, nil, ErrTooLarge
 	}
-	if err := c.check(d.get(space, info.Name)); err != nil { // spares the writing; looked at again below
+	if err := cond.check(s.lookup(space, info.Name)); err != nil { // avoids writing the body in vain; checked again below
 		return Info{}, nil, err
 	}
-	d.mu.Lock()
-	d.last = max(d.last+1, uint64(time.Now().UnixMicro()))
-	info.Version = d.last
-	d.mu.Unlock()
-	temp, offset, err := d.writeTemp(space, info, body)
+	s.mu.Lock()
+	s.lastVersion = max(s.lastVersion+1, uint64(time.Now().UnixMicro()))
+	info.Version = s.lastVersion
+	s.mu.Unlock()
+	temp, offset, err := s.writeTemp(space, info, body)
 	if err != nil {
 		return Info{}, nil, fmt.Errorf("write blob: %w", err)
 	}
@@ -292,34 +304,36 @@
 	if err := ctx.Err(); err != nil {
 		return Info{}, nil, err
 	}
-	mu := d.stripe(space, info.Name)
+	mu := s.commitLock(space, info.Name)
 	mu.Lock()
 	defer mu.Unlock()
-	before := d.get(space, info.Name)
-	if err := c.check(before); err != nil {
+	previous := s.lookup(space, info.Name)
+	if err := cond.check(previous); err != nil {
 		return Info{}, nil, err
 	}
-	path := d.blobPath(space, info.Name)
-	if err := d.rename(temp, path); err != nil {
+	path := s.blobPath(space, info.Name)
+	if err := s.rename(temp, path); err != nil {
 		return Info{}, nil, fmt.Errorf("commit blob: %w", err)
 	}
 	e := &entry{Info: info, offset: offset}
-	d.mu.Lock()
-	d.put(space, e)
-	d.mu.Unlock()
-	if before != nil {
-		return e.Info, &before.Info, nil
+	s.mu.Lock()
+	s.setEntry(space, e)
+	s.mu.Unlock()
+	if previous != nil {
+		return e.Info, &previous.Info, nil
 	}
 	return e.Info, nil, nil
 }
 
-func (d *Store) writeTemp(space string, info Info, body io.Reader) (path string, offset int64, err error) {
-	text, err := json.Marshal(header{Space: space, Name: []byte(info.Name),
+// writeTemp writes a blob's file under a temporary name and syncs it. It returns
+// the file's path and the offset of the body.
+func (s *Store) writeTemp(space string, info Info, body io.Reader) (path string, offset int64, err error) {
+	data, err := json.Marshal(header{Space: space, Name: []byte(info.Name),
 		Info: Info{Meta: info.Meta, Size: info.Size, Version: info.Version, Whole: info.Whole}})
 	if err != nil {
 		return "", 0, err
 	}
-	f, err := os.CreateTemp(filepath.Join(d.path, "tmp"), "put")
+	f, err := os.CreateTemp(filepath.Join(s.path, "tmp"), "put")
 	if err != nil {
 		return "", 0, err
 	}
@@ -331,11 +345,11 @@
 			os.Remove(f.Name())
 		}
 	}()
-	head := append([]byte(magic), 0, 0, 0, 0, 0, 0, 0, 0)
-	binary.BigEndian.PutUint32(head[4:], uint32(len(text)))
-	binary.BigEndian.PutUint32(head[8:], crc32.ChecksumIEEE(text))
-	head = append(head, text...)
-	if _, err = f.Write(head); err != nil {
+	prefix := append([]byte(magic), 0, 0, 0, 0, 0, 0, 0, 0)
+	binary.BigEndian.PutUint32(prefix[4:], uint32(len(data)))
+	binary.BigEndian.PutUint32(prefix[8:], crc32.ChecksumIEEE(data))
+	prefix = append(prefix, data...)
+	if _, err = f.Write(prefix); err != nil {
 		return "", 0, err
 	}
 	n, err := io.Copy(f, body)
@@ -345,22 +359,24 @@
 	if n != info.Size {
 		return "", 0, io.ErrUnexpectedEOF
 	}
-	if d.sync {
+	if s.syncWrites {
 		if err = f.Sync(); err != nil {
 			return "", 0, err
 		}
 	}
-	return f.Name(), int64(len(head)), nil
+	return f.Name(), int64(len(prefix)), nil
 }
 
-func (d *Store) rename(from, to string) error {
+// rename moves a file to its final name durably, creating the directory if
+// necessary.
+func (s *Store) rename(from, to string) error {
 	dir := filepath.Dir(to)
 	err := os.Rename(from, to)
 	if errors.Is(err, fs.ErrNotExist) {
 		if err = os.Mkdir(dir, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
 			return err
 		}
-		if err = d.syncDir(filepath.Dir(dir)); err != nil {
+		if err = s.syncDir(filepath.Dir(dir)); err != nil {
 			return err
 		}
 		err = os.Rename(from, to)
@@ -368,32 +384,33 @@
 	if err != nil {
 		return err
 	}
-	return d.syncDir(dir)
+	return s.syncDir(dir)
 }
 
-func (d *Store) syncDir(path string) error {
-	if !d.sync {
+func (s *Store) syncDir(path string) error {
+	if !s.syncWrites {
 		return nil
 	}
-	f, err := os.Open(path)
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
-	return f.Sync()
+	defer dir.Close()
+	return dir.Sync()
 }
 
-// ForEach opens all blobs in turn, until do returns an error. do closes none.
-func (d *Store) ForEach(do func(space string, b *Blob) error) error {
-	d.mu.RLock()
-	defer d.mu.RUnlock()
-	for space, names := range d.spaces {
+// ForEach opens every blob, calls visit with it and closes it. It stops at the
+// first error and returns it.
+func (s *Store) ForEach(visit func(space string, b *Blob) error) error {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	for space, names := range s.spaces {
 		for _, name := range names.Keys() {
-			b, err := d.Get(space, name)
+			b, err := s.Get(space, name)
 			if err != nil {
 				return err
 			}
-			err = do(space, b)
+			err = visit(space, b)
 			b.Close()
 			if err != nil {
 				return err
