--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -12,73 +12,78 @@
 	"arrowwalk/internal/store/record"
 )
 
-// op is a write or delete on its way into the log.
-type op struct {
-	space string
-	cond  Condition
-	rec   record.Record
-	body  []byte
-	keep  bool   // the record has its version already
-	from  *place // of a record that is moved as it is; nil: a new one
+// operation is a write or delete that is queued for the log. The committer sets
+// the result fields before it closes done.
+type operation struct {
+	space       string
+	cond        Condition
+	rec         record.Record
+	body        []byte
+	keepVersion bool      // rec.Version is set already and is kept
+	movedFrom   *location // old location of a record that compaction copies unchanged; nil: a new record
 
-	at     place
-	was    entry // what it replaces
-	there  bool
-	old    uint64 // the file of the body that it replaces
-	logged bool   // it may be on the disk, whatever err says
-	err    error
-	done   chan struct{}
+	loc          location
+	previous     entry // entry that the operation replaces, if replaces is set
+	replaces     bool
+	replacedFile uint64 // body file of the replaced entry; 0: none
+	maybeLogged  bool   // the record may be on disk even if err is set
+	err          error
+	done         chan struct{}
 }
 
-func (o *op) span() int64 { return int64(o.rec.HeaderSize()) + int64(len(o.body)) }
+// logSize returns the size of the operation's record and inline body in the log.
+func (op *operation) logSize() int64 { return int64(op.rec.HeaderSize()) + int64(len(op.body)) }
 
-// queue holds operations until the committer takes them: all that came while
-// the group before was synced make the next group.
+// queue buffers operations for the committer. All operations that arrive while a
+// group is synced form the next group.
 type queue struct {
-	mu     sync.Mutex
-	more   *sync.Cond
-	ops    []*op
-	closed bool
+	mu       sync.Mutex
+	nonEmpty *sync.Cond
+	ops      []*operation
+	closed   bool
 }
 
-func (q *queue) init() { q.more = sync.NewCond(&q.mu) }
+func (q *queue) init() { q.nonEmpty = sync.NewCond(&q.mu) }
 
-func (q *queue) put(o *op) error {
+func (q *queue) push(op *operation) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.closed {
 		return ErrClosed
 	}
-	q.ops = append(q.ops, o)
-	q.more.Signal()
+	q.ops = append(q.ops, op)
+	q.nonEmpty.Signal()
 	return nil
 }
 
-// close lets what is queued be done; false: it was closed before.
+// close rejects further operations; queued ones are still committed. It returns
+// false if the queue was closed already.
 func (q *queue) close() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	was := q.closed
+	wasClosed := q.closed
 	q.closed = true
-	q.more.Broadcast()
-	return !was
+	q.nonEmpty.Broadcast()
+	return !wasClosed
 }
 
-// take waits for operations and returns those of one group, none at the end.
-func (q *queue) take(most int64, linger time.Duration) []*op {
+// nextGroup waits for operations and returns those of the next group: at least
+// one, and no more than fit into maxBytes. After close it returns nil once the
+// queue is empty.
+func (q *queue) nextGroup(maxBytes int64, delay time.Duration) []*operation {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for len(q.ops) == 0 && !q.closed {
-		q.more.Wait()
+		q.nonEmpty.Wait()
 	}
-	if linger > 0 && !q.closed {
+	if delay > 0 && !q.closed {
 		q.mu.Unlock()
-		time.Sleep(linger)
+		time.Sleep(delay)
 		q.mu.Lock()
 	}
 	n, size := 0, int64(0)
-	for n < len(q.ops) && (n == 0 || size+q.ops[n].span() <= most) {
-		size += q.ops[n].span()
+	for n < len(q.ops) && (n == 0 || size+q.ops[n].logSize() <= maxBytes) {
+		size += q.ops[n].logSize()
 		n++
 	}
 	ops := q.ops[:n:n]
@@ -86,121 +91,126 @@
 	return ops
 }
 
-func (s *Store) submit(o *op) error {
-	o.done = make(chan struct{})
-	if err := s.queue.put(o); err != nil {
+// submit queues an operation and waits for its result.
+func (s *Store) submit(op *operation) error {
+	op.done = make(chan struct{})
+	if err := s.queue.push(op); err != nil {
 		return err
 	}
-	<-o.done
-	return o.err
+	<-op.done
+	return op.err
 }
 
-// log is where the committer writes next.
-type log struct {
-	segment *segment
-	end     int64  // of what was acknowledged in it
-	group   uint64 // the last group's number
-	version uint64 // the last one given; the committer's alone
-	shown   uint64 // the last one that readers may have seen
-	broken  bool   // nothing more is written to the segment: what it holds after end is not known
-	least   uint32 // no segment up to this number is begun
-	buf     []byte
-	since   int64 // bytes written since the last checkpoint
+// logTail is the position at which the committer writes next.
+type logTail struct {
+	segment              *segment
+	end                  int64  // end of the acknowledged groups in segment
+	lastGroup            uint64 // number of the last acknowledged group
+	lastVersion          uint64 // last version assigned; used by the committer only
+	visibleVersion       uint64 // last version that readers may have seen
+	sealed               bool   // the bytes after end are unknown: the next group goes to a new segment
+	lastUsedNumber       uint32 // new segments get a higher number
+	buf                  []byte // encoded group
+	bytesSinceCheckpoint int64  // log bytes since the last checkpoint
 }
 
-// commitPart is the weight of a commit in what one usually takes.
-const commitPart = 0.05
+// commitAverageWeight is the weight of one commit in the moving average of commit
+// durations.
+const commitAverageWeight = 0.05
 
-// CommitStats returns for how long the commit under way has run, and what one takes
-// of late.
+// CommitStats returns the duration of the commit in progress and the recent
+// average commit duration.
 func (s *Store) CommitStats() admission.CommitStats {
-	c := admission.CommitStats{AverageDuration: time.Duration(s.usual.Load()) * time.Microsecond}
-	if began := s.began.Load(); began != 0 {
-		c.CurrentDuration = max(0, time.Duration(time.Now().UnixMicro()-began)*time.Microsecond)
+	stats := admission.CommitStats{AverageDuration: time.Duration(s.avgCommitMicros.Load()) * time.Microsecond}
+	if start := s.commitStartMicros.Load(); start != 0 {
+		stats.CurrentDuration = max(0, time.Duration(time.Now().UnixMicro()-start)*time.Microsecond)
 	}
-	return c
+	return stats
 }
 
-func (s *Store) commits() {
-	defer close(s.done)
-	var chores sync.WaitGroup
-	defer chores.Wait()
+// runCommitter commits queued operations until the queue is closed and empty.
+func (s *Store) runCommitter() {
+	defer close(s.committerDone)
+	var checkpoints sync.WaitGroup
+	defer checkpoints.Wait()
 	for {
-		ops := s.queue.take(s.opt.MaxGroupBytes, s.opt.GroupDelay)
+		ops := s.queue.nextGroup(s.opt.MaxGroupBytes, s.opt.GroupDelay)
 		if len(ops) == 0 {
 			return
 		}
-		began := time.Now()
-		s.began.Store(began.UnixMicro())
-		s.commit(ops)
-		s.began.Store(0)
-		s.usual.Add(int64(commitPart * float64(time.Since(began).Microseconds()-s.usual.Load())))
-		for _, o := range ops {
-			close(o.done)
+		start := time.Now()
+		s.commitStartMicros.Store(start.UnixMicro())
+		s.commitGroup(ops)
+		s.commitStartMicros.Store(0)
+		s.avgCommitMicros.Add(int64(commitAverageWeight * float64(time.Since(start).Microseconds()-s.avgCommitMicros.Load())))
+		for _, op := range ops {
+			close(op.done)
 		}
-		if s.log.since >= s.opt.CheckpointBytes {
-			s.log.since = 0
-			chores.Add(1)
+		if s.tail.bytesSinceCheckpoint >= s.opt.CheckpointBytes {
+			s.tail.bytesSinceCheckpoint = 0
+			checkpoints.Add(1)
 			go func() {
-				defer chores.Done()
+				defer checkpoints.Done()
 				if err := s.Checkpoint(); err != nil {
-					s.opt.Log.Error("checkpoint of the store failed", "error", err)
+					s.opt.Log.Error("store checkpoint failed", "error", err)
 				}
 			}()
 		}
 	}
 }
 
-// commit makes one group of what may be done.
-func (s *Store) commit(ops []*op) {
+// commitGroup writes the operations that may proceed as one group and sets the
+// results of all.
+func (s *Store) commitGroup(ops []*operation) {
 	total := int64(0)
-	for _, o := range ops {
-		total += o.span()
+	for _, op := range ops {
+		total += op.logSize()
 	}
-	if err := s.ready(record.GroupSize(total)); err != nil {
+	if err := s.ensureSegment(record.GroupSize(total)); err != nil {
 		failAll(ops, err)
 		return
 	}
-	taken := s.build(ops)
-	if len(taken) == 0 {
+	accepted := s.buildGroup(ops)
+	if len(accepted) == 0 {
 		return
 	}
-	if err := s.write(taken); err != nil {
-		s.counts.FailedCommits.Add(1)
-		failAll(taken, err)
+	if err := s.writeGroup(accepted); err != nil {
+		s.counters.FailedCommits.Add(1)
+		failAll(accepted, err)
 		return
 	}
-	s.apply(taken)
+	s.applyGroup(accepted)
 }
 
-func failAll(ops []*op, err error) {
-	for _, o := range ops {
-		o.err = err
+func failAll(ops []*operation, err error) {
+	for _, op := range ops {
+		op.err = err
 	}
 }
 
-// ready has a segment that takes size bytes more.
-func (s *Store) ready(size int64) error {
-	l := &s.log
-	if l.segment != nil && !l.broken && (l.end == record.SegmentHeaderLen || l.end+size <= s.opt.SegmentBytes) {
+// ensureSegment starts a new segment if the current one is sealed or has no room
+// for size more bytes.
+func (s *Store) ensureSegment(size int64) error {
+	tail := &s.tail
+	if tail.segment != nil && !tail.sealed && (tail.end == record.SegmentHeaderLen || tail.end+size <= s.opt.SegmentBytes) {
 		return nil
 	}
-	head := record.SegmentHeader{Store: s.id, Number: 1}
-	if l.segment != nil {
-		head.Number, head.PrevSegmentEnd = l.segment.number+1, l.end
+	header := record.SegmentHeader{Store: s.id, Number: 1}
+	if tail.segment != nil {
+		header.Number, header.PrevSegmentEnd = tail.segment.number+1, tail.end
 	}
-	if head.Number <= l.least {
-		head.Number, head.PrevSegmentEnd = l.least+1, 0
+	if header.Number <= tail.lastUsedNumber {
+		header.Number, header.PrevSegmentEnd = tail.lastUsedNumber+1, 0
 	}
-	name := segmentFile(head.Number)
-	if err := s.fs.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) { // of a try that failed
+	name := segmentFile(header.Number)
+	if err := s.fs.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) { // left by an earlier failed attempt
 		return err
 	}
 	f, err := s.fs.Create(name)
 	if err != nil {
 		return err
 	}
-	_, err = f.WriteAt(head.Append(nil), 0)
+	_, err = f.WriteAt(header.Append(nil), 0)
 	if err == nil {
 		err = f.Sync()
 	}
@@ -210,201 +220,211 @@
 	if err != nil {
 		f.Close()
 		s.fs.Remove(name)
-		return fmt.Errorf("begin segment %s: %w", name, err)
+		return fmt.Errorf("start segment %s: %w", name, err)
 	}
-	seg := newSegment(head.Number, f)
-	seg.size, seg.born = record.SegmentHeaderLen, int64(l.group)
+	seg := newSegment(header.Number, f)
+	seg.size, seg.firstGroup = record.SegmentHeaderLen, int64(tail.lastGroup)
 	s.mu.Lock()
-	s.segments[head.Number] = seg
-	l.segment, l.end, l.broken = seg, record.SegmentHeaderLen, false
+	s.segments[header.Number] = seg
+	tail.segment, tail.end, tail.sealed = seg, record.SegmentHeaderLen, false
 	s.mu.Unlock()
 	return nil
 }
 
+// blobKey identifies a blob.
 type blobKey struct{ space, name string }
 
-// build appends the records of what may be done to the log's buffer. It looks
-// at conditions in the order of the operations, each after those before it.
-func (s *Store) build(ops []*op) (taken []*op) {
-	l := &s.log
-	l.buf = append(l.buf[:0], make([]byte, record.GroupHeaderLen)...)
-	changed := map[blobKey]*op{}
-	dirs := map[string]bool{}
-	for _, o := range ops {
-		key := blobKey{o.space, o.rec.Name}
-		e, there := s.current(changed[key], key)
-		if o.err = o.may(e, there); o.err != nil {
+// buildGroup appends the records of the operations that may proceed to the tail's
+// buffer and returns these operations. Conditions are evaluated in queue order,
+// each against the effects of the operations before it.
+func (s *Store) buildGroup(ops []*operation) (accepted []*operation) {
+	tail := &s.tail
+	tail.buf = append(tail.buf[:0], make([]byte, record.GroupHeaderLen)...)
+	changed := map[blobKey]*operation{}
+	bodyDirs := map[string]bool{}
+	for _, op := range ops {
+		key := blobKey{op.space, op.rec.Name}
+		current, exists := s.currentEntry(changed[key], key)
+		if op.err = op.check(current, exists); op.err != nil {
 			continue
 		}
-		if o.keep {
-			l.version = max(l.version, o.rec.Version)
-		} else if o.from == nil {
-			l.version = max(l.version+1, uint64(s.opt.NowMicros()))
-			o.rec.Version = l.version
+		if op.keepVersion {
+			tail.lastVersion = max(tail.lastVersion, op.rec.Version)
+		} else if op.movedFrom == nil {
+			tail.lastVersion = max(tail.lastVersion+1, uint64(s.opt.NowMicros()))
+			op.rec.Version = tail.lastVersion
 		}
-		if o.from == nil && o.rec.BodyFile != 0 {
-			dirs[bodyDir(o.rec.BodyFile)] = true
+		if op.movedFrom == nil && op.rec.BodyFile != 0 {
+			bodyDirs[bodyDir(op.rec.BodyFile)] = true
 		}
-		o.was, o.there, o.old = e, there, s.fileOf(e, changed[key])
-		o.at = place{l.segment.number, l.end + int64(len(l.buf))}
-		l.buf = o.rec.Append(l.buf)
-		l.buf = append(l.buf, o.body...)
-		changed[key] = o
-		taken = append(taken, o)
-	}
-	for _, dir := range sortedKeys(dirs) {
+		op.previous, op.replaces, op.replacedFile = current, exists, s.bodyFileOf(current, changed[key])
+		op.loc = location{tail.segment.number, tail.end + int64(len(tail.buf))}
+		tail.buf = op.rec.Append(tail.buf)
+		tail.buf = append(tail.buf, op.body...)
+		changed[key] = op
+		accepted = append(accepted, op)
+	}
+	for _, dir := range sortedKeys(bodyDirs) {
 		if err := s.fs.SyncDir(dir); err != nil {
-			failAll(taken, err)
+			failAll(accepted, err)
 			return nil
 		}
 	}
-	return taken
+	return accepted
 }
 
-// current returns what a name holds after last, an operation of the same group.
-func (s *Store) current(last *op, key blobKey) (entry, bool) {
+// currentEntry returns the entry of key after prior, the last operation of the
+// same group on that key; nil: none.
+func (s *Store) currentEntry(prior *operation, key blobKey) (entry, bool) {
 	switch {
-	case last == nil:
+	case prior == nil:
 		s.mu.RLock()
 		defer s.mu.RUnlock()
 		return s.index.get(key.space, key.name)
-	case last.rec.Kind == record.KindDelete:
+	case prior.rec.Kind == record.KindDelete:
 		return entry{}, false
 	}
-	return entryOf(&last.rec, last.at), true
+	return newEntry(&prior.rec, prior.loc), true
 }
 
-// fileOf returns the file of an entry's body; last, unless nil, is the
-// operation that made the entry. 0: it has none, or that cannot be read.
-func (s *Store) fileOf(e entry, last *op) uint64 {
+// bodyFileOf returns the number of an entry's body file, or 0 if it has none or
+// its record cannot be read. If prior is not nil, it is the operation that created
+// the entry.
+func (s *Store) bodyFileOf(e entry, prior *operation) uint64 {
 	if e.flags&record.FlagBodyFile == 0 {
 		return 0
 	}
-	if last != nil {
-		return last.rec.BodyFile
+	if prior != nil {
+		return prior.rec.BodyFile
 	}
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	r, err := s.recordOf(e)
+	r, err := s.readEntryRecord(e)
 	if err != nil {
-		return 0 // left for `store check`
+		return 0 // the file is left behind; `store check` reports it
 	}
 	return r.BodyFile
 }
 
-// errMoved ends the move of a record that nobody refers to any more.
+// errStaleMove cancels the move of a record that the index no longer refers to.
+// errNewerVersion rejects a restored blob that is older than the stored one.
 var (
-	errMoved = errors.New("the record is not in use")
-	errOlder = errors.New("the store has a later version")
+	errStaleMove    = errors.New("record is no longer referenced")
+	errNewerVersion = errors.New("store has a newer version")
 )
 
-func (o *op) may(e entry, there bool) error {
-	if o.from != nil {
-		if !there || e.segment != o.from.segment || e.offset != o.from.offset {
-			return errMoved
+// check returns an error if the operation must not replace the current entry.
+func (op *operation) check(current entry, exists bool) error {
+	if op.movedFrom != nil {
+		if !exists || current.segment != op.movedFrom.segment || current.offset != op.movedFrom.offset {
+			return errStaleMove
 		}
 		return nil
 	}
-	if o.keep && there && e.version >= o.rec.Version {
-		return errOlder
+	if op.keepVersion && exists && current.version >= op.rec.Version {
+		return errNewerVersion
 	}
-	if err := o.cond.check(e, there); err != nil {
+	if err := op.cond.check(current, exists); err != nil {
 		return err
 	}
-	if o.rec.Kind == record.KindDelete && !there {
+	if op.rec.Kind == record.KindDelete && !exists {
 		return ErrNotFound
 	}
 	return nil
 }
 
-// write writes and syncs the group in the log's buffer.
-func (s *Store) write(taken []*op) error {
-	l := &s.log
-	payload := l.buf[record.GroupHeaderLen:]
-	head := record.GroupHeader{Store: s.id, Number: l.group + 1, Length: uint32(len(payload)), Count: uint32(len(taken)), Checksum: record.Checksum(payload)}
-	head.Append(l.buf[:0])
-	span := record.GroupSize(int64(len(payload)))
-	l.buf = append(l.buf, make([]byte, span-int64(len(l.buf)))...)
-	for _, o := range taken {
-		o.logged = true
-	}
-	if _, err := l.segment.file.WriteAt(l.buf, l.end); err != nil {
-		// Nothing of it was acknowledged: its room is given back.
-		l.broken = errors.Is(err, disk.ErrCrashed) || l.segment.file.Truncate(l.end) != nil
+// writeGroup completes the header of the group in the tail's buffer, writes the
+// group to the log and syncs it.
+func (s *Store) writeGroup(accepted []*operation) error {
+	tail := &s.tail
+	payload := tail.buf[record.GroupHeaderLen:]
+	header := record.GroupHeader{Store: s.id, Number: tail.lastGroup + 1, Length: uint32(len(payload)), Count: uint32(len(accepted)), Checksum: record.Checksum(payload)}
+	header.Append(tail.buf[:0])
+	size := record.GroupSize(int64(len(payload)))
+	tail.buf = append(tail.buf, make([]byte, size-int64(len(tail.buf)))...)
+	for _, op := range accepted {
+		op.maybeLogged = true
+	}
+	if _, err := tail.segment.file.WriteAt(tail.buf, tail.end); err != nil {
+		// None of the group was acknowledged: truncate it away.
+		tail.sealed = errors.Is(err, disk.ErrCrashed) || tail.segment.file.Truncate(tail.end) != nil
 		return fmt.Errorf("write to the log: %w", err)
 	}
-	s.counts.Syncs.Add(1)
-	if err := l.segment.file.Sync(); err != nil {
-		l.broken = true // what a failed sync left is not known, and a second one proves nothing
+	s.counters.Syncs.Add(1)
+	if err := tail.segment.file.Sync(); err != nil {
+		tail.sealed = true // a failed sync leaves the contents unknown, and a later successful one does not prove that they were written
 		return fmt.Errorf("sync the log: %w", err)
 	}
-	s.counts.Groups.Add(1)
-	s.counts.Records.Add(int64(len(taken)))
-	s.counts.LogBytes.Add(span)
+	s.counters.Groups.Add(1)
+	s.counters.Records.Add(int64(len(accepted)))
+	s.counters.LogBytes.Add(size)
 	return nil
 }
 
-// apply shows the group's operations to readers.
-func (s *Store) apply(taken []*op) {
-	var gone []uint64
-	l := &s.log
-	span := int64(len(l.buf))
+// applyGroup makes the group's operations visible to readers and removes the body
+// files that they replaced.
+func (s *Store) applyGroup(accepted []*operation) {
+	var obsolete []uint64
+	tail := &s.tail
+	size := int64(len(tail.buf))
 	s.mu.Lock()
-	l.shown = l.version
-	l.group++ // a checkpoint sees the log's place and the index of one moment
-	l.end += span
-	l.since += span
-	l.segment.size = l.end
-	for _, o := range taken {
-		delete(s.flying, o.rec.BodyFile)
-		if o.from == nil && o.old != 0 {
-			s.flying[o.old] = true
-			gone = append(gone, o.old)
+	tail.visibleVersion = tail.lastVersion
+	tail.lastGroup++ // changed together with the index, so that a checkpoint sees both at one moment
+	tail.end += size
+	tail.bytesSinceCheckpoint += size
+	tail.segment.size = tail.end
+	for _, op := range accepted {
+		delete(s.unreferencedFiles, op.rec.BodyFile)
+		if op.movedFrom == nil && op.replacedFile != 0 {
+			s.unreferencedFiles[op.replacedFile] = true
+			obsolete = append(obsolete, op.replacedFile)
 		}
-		s.applyOne(o.space, &o.rec, o.at)
+		s.applyRecord(op.space, &op.rec, op.loc)
 	}
-	if s.pins > 0 { // a snapshot may refer to them
-		s.doomed = append(s.doomed, gone...)
-		gone = nil
+	if s.openSnapshots > 0 { // a snapshot may still refer to these files
+		s.deferredRemovals = append(s.deferredRemovals, obsolete...)
+		obsolete = nil
 	}
 	s.mu.Unlock()
-	for _, file := range gone {
-		s.dropBody(file)
+	for _, file := range obsolete {
+		s.removeBodyFile(file)
 	}
-	if cap(l.buf) > 2*int(s.opt.MaxGroupBytes) {
-		l.buf = nil
+	if cap(tail.buf) > 2*int(s.opt.MaxGroupBytes) {
+		tail.buf = nil
 	}
 }
 
-// applyOne changes the index by one record. The caller holds mu.
-func (s *Store) applyOne(space string, r *record.Record, at place) {
+// applyRecord applies one record to the index and to the live-byte counts. The
+// caller holds mu.
+func (s *Store) applyRecord(space string, r *record.Record, loc location) {
 	var old entry
-	var there bool
+	var existed bool
 	if r.Kind == record.KindDelete {
-		old, there = s.index.remove(space, r.Name)
+		old, existed = s.index.remove(space, r.Name)
 	} else {
-		e := entryOf(r, at)
-		old, there = s.index.set(space, e)
-		s.checkSize += e.checkSpan(space)
-		if seg := s.segments[at.segment]; seg != nil {
-			seg.live += e.span()
+		e := newEntry(r, loc)
+		old, existed = s.index.set(space, e)
+		s.encodedIndexBytes += e.checkpointSize(space)
+		if seg := s.segments[loc.segment]; seg != nil {
+			seg.liveBytes += e.logSize()
 		}
 	}
-	if there {
-		s.checkSize -= old.checkSpan(space)
+	if existed {
+		s.encodedIndexBytes -= old.checkpointSize(space)
 		if seg := s.segments[old.segment]; seg != nil {
-			seg.live -= old.span()
+			seg.liveBytes -= old.logSize()
 		}
 	}
 }
 
-// dropBody removes a file that no entry refers to.
-func (s *Store) dropBody(file uint64) {
+// removeBodyFile removes a body file that no index entry refers to. If that fails,
+// recovery removes the file at the next start.
+func (s *Store) removeBodyFile(file uint64) {
 	if err := s.fs.Remove(bodyFile(file)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		s.opt.Log.Warn("a body's file was not removed", "file", bodyFile(file), "error", err)
-		return // the next start tries again
+		s.opt.Log.Warn("failed to remove body file", "file", bodyFile(file), "error", err)
+		return
 	}
 	s.mu.Lock()
-	s.removed[file] = true // until its directory is synced
+	s.unsyncedRemovals[file] = true // until syncRemovals syncs its directory
 	s.mu.Unlock()
 }
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -9,106 +9,112 @@
 	"arrowwalk/internal/store/record"
 )
 
-// Info is what the index knows of a blob.
+// Info is the metadata of a blob.
 type Info struct {
 	Name    string `json:"name"`
 	Meta    []byte `json:"meta,omitempty"`
 	Size    int64  `json:"size"`
 	Version uint64 `json:"version"`
-	Whole   bool   `json:"whole,omitempty"` // ranges do not apply: the body is read whole
+	Whole   bool   `json:"whole,omitempty"` // range requests do not apply: the body is always read as a whole
 }
 
-// entry is what the index holds of a blob: 56 bytes and those of its text.
+// entry is the index entry of a blob. It takes 56 bytes plus its name and meta.
 type entry struct {
-	text    string // name and meta
-	size    int64  // of the body
-	version uint64
-	offset  int64  // of the record in its segment
-	segment uint32 // its number
-	sum     uint32 // of the body's only block
-	head    uint32 // bytes of the record before the body
-	name    uint16 // bytes of the name
-	flags   uint8  // record.Whole, record.Big
+	nameAndMeta string // the name followed by the meta
+	size        int64  // size of the body
+	version     uint64
+	offset      int64  // offset of the record in its segment
+	segment     uint32 // segment number
+	checksum    uint32 // checksum of the body if it has only one block
+	headerSize  uint32 // size of the record before the inline body
+	nameLen     uint16 // length of the name in nameAndMeta
+	flags       uint8  // record.FlagWhole, record.FlagBodyFile
 }
 
-func (e *entry) key() string { return e.text[:e.name] }
+func (e *entry) key() string { return e.nameAndMeta[:e.nameLen] }
 
 func (e *entry) info() Info {
-	i := Info{Name: e.key(), Size: e.size, Version: e.version, Whole: e.flags&record.FlagWhole != 0}
-	if len(e.text) > int(e.name) {
-		i.Meta = []byte(e.text[e.name:])
+	info := Info{Name: e.key(), Size: e.size, Version: e.version, Whole: e.flags&record.FlagWhole != 0}
+	if len(e.nameAndMeta) > int(e.nameLen) {
+		info.Meta = []byte(e.nameAndMeta[e.nameLen:])
 	}
-	return i
+	return info
 }
 
-// span returns the bytes that the entry holds in its segment.
-func (e *entry) span() int64 {
+// logSize returns the number of bytes that the entry's record takes in its
+// segment, including an inline body.
+func (e *entry) logSize() int64 {
 	if e.flags&record.FlagBodyFile != 0 {
-		return int64(e.head)
+		return int64(e.headerSize)
 	}
-	return int64(e.head) + e.size
+	return int64(e.headerSize) + e.size
 }
 
-func entryOf(r *record.Record, at place) entry {
-	e := entry{text: r.Name + string(r.Meta), size: r.Size, version: r.Version, offset: at.offset, segment: at.segment,
-		head: uint32(r.HeaderSize()), name: uint16(len(r.Name)), flags: r.Flags}
+// newEntry returns the index entry of a record at a location.
+func newEntry(r *record.Record, loc location) entry {
+	e := entry{nameAndMeta: r.Name + string(r.Meta), size: r.Size, version: r.Version, offset: loc.offset, segment: loc.segment,
+		headerSize: uint32(r.HeaderSize()), nameLen: uint16(len(r.Name)), flags: r.Flags}
 	if len(r.Checksums) == 1 {
-		e.sum = r.Checksums[0]
+		e.checksum = r.Checksums[0]
 	}
 	return e
 }
 
-// place is where a record stands.
-type place struct {
+// location is the position of a record in the log.
+type location struct {
 	segment uint32
 	offset  int64
 }
 
-func before(a, b entry) bool { return a.key() < b.key() }
+func entryLess(a, b entry) bool { return a.key() < b.key() }
 
-// index maps the names of each space to what is known of them.
+// index maps each space to its entries, ordered by name.
 type index map[string]*btree.BTreeG[entry]
 
-func (x index) space(name string) *btree.BTreeG[entry] {
-	t := x[name]
-	if t == nil {
-		t = btree.NewBTreeGOptions(before, btree.Options{NoLocks: true})
-		x[name] = t
+// spaceTree returns the tree of a space and creates it if necessary.
+func (idx index) spaceTree(name string) *btree.BTreeG[entry] {
+	tree := idx[name]
+	if tree == nil {
+		tree = btree.NewBTreeGOptions(entryLess, btree.Options{NoLocks: true})
+		idx[name] = tree
 	}
-	return t
+	return tree
 }
 
-func (x index) get(space, name string) (entry, bool) {
-	if t := x[space]; t != nil {
-		return t.Get(entry{text: name, name: uint16(len(name))})
+func (idx index) get(space, name string) (entry, bool) {
+	if tree := idx[space]; tree != nil {
+		return tree.Get(entry{nameAndMeta: name, nameLen: uint16(len(name))})
 	}
 	return entry{}, false
 }
 
-func (x index) set(space string, e entry) (entry, bool) { return x.space(space).Set(e) }
+// set stores an entry and returns the entry that it replaced, if any.
+func (idx index) set(space string, e entry) (entry, bool) { return idx.spaceTree(space).Set(e) }
 
-func (x index) remove(space, name string) (entry, bool) {
-	if t := x[space]; t != nil {
-		return t.Delete(entry{text: name, name: uint16(len(name))})
+// remove removes an entry and returns it, if it exists.
+func (idx index) remove(space, name string) (entry, bool) {
+	if tree := idx[space]; tree != nil {
+		return tree.Delete(entry{nameAndMeta: name, nameLen: uint16(len(name))})
 	}
 	return entry{}, false
 }
 
-// clone returns a copy that later changes do not touch; it shares the nodes.
-func (x index) clone() index {
+// clone returns a copy-on-write copy that shares the tree nodes.
+func (idx index) clone() index {
 	out := index{}
-	for name, t := range x {
-		out[name] = t.Copy()
+	for name, tree := range idx {
+		out[name] = tree.Copy()
 	}
 	return out
 }
 
-// scan calls each with all entries in order, until it returns false.
-func (x index) scan(each func(space string, e entry) bool) {
-	for _, space := range sortedKeys(x) {
+// scan calls visit with all entries in the order of spaces and names until visit
+// returns false.
+func (idx index) scan(visit func(space string, e entry) bool) {
+	for _, space := range sortedKeys(idx) {
 		more := true
-		x[space].Scan(func(e entry) bool {
-			more = each(space, e)
+		idx[space].Scan(func(e entry) bool {
+			more = visit(space, e)
 			return more
 		})
 		if !more {
@@ -117,31 +123,31 @@
 	}
 }
 
-// Query asks for a page of a space's names, in byte order.
+// Query selects a page of a space's names, in byte order.
 type Query struct {
 	Prefix    string
-	After     string // names after this one only
-	Delimiter string // names that hold it after the prefix are rolled up
-	MaxItems  int    // items at most
+	After     string // only names greater than this one
+	Delimiter string // names that contain it after Prefix are grouped under their common prefix
+	MaxItems  int    // maximum number of items
 }
 
-// Item is a blob or, where Rolled, a common prefix of several.
+// Item is a blob or, if IsPrefix is set, the common prefix of several blobs.
 type Item struct {
 	Info
 	IsPrefix bool
 }
 
-// list returns a page of items and whether there are more. A rolled item's
-// Name is the common prefix, up to and with the delimiter.
-func (x index) list(space string, q Query) (items []Item, more bool) {
-	t := x[space]
-	if t == nil || q.MaxItems <= 0 {
+// list returns a page of items and reports whether more follow. The Name of a
+// prefix item ends with the delimiter.
+func (idx index) list(space string, q Query) (items []Item, more bool) {
+	tree := idx[space]
+	if tree == nil || q.MaxItems <= 0 {
 		return nil, false
 	}
-	from := max(q.Prefix, q.After)
+	start := max(q.Prefix, q.After)
 	for {
-		var next string // where to go on after a rolled item
-		t.Ascend(entry{text: from, name: uint16(len(from))}, func(e entry) bool {
+		var next string // where to continue after a common prefix
+		tree.Ascend(entry{nameAndMeta: start, nameLen: uint16(len(start))}, func(e entry) bool {
 			name := e.key()
 			if name <= q.After {
 				return true
@@ -153,26 +159,27 @@
 				more = true
 				return false
 			}
-			rolled := rollUp(name, q)
-			if rolled == "" {
+			prefix := commonPrefix(name, q)
+			if prefix == "" {
 				items = append(items, Item{Info: e.info()})
 				return true
 			}
-			if rolled != q.After { // else it was told on the page before
-				items = append(items, Item{Info: Info{Name: rolled}, IsPrefix: true})
+			if prefix != q.After { // otherwise the previous page ended with it
+				items = append(items, Item{Info: Info{Name: prefix}, IsPrefix: true})
 			}
-			next = successor(rolled)
+			next = prefixSuccessor(prefix)
 			return false
 		})
 		if next == "" {
 			return items, more
 		}
-		from = next
+		start = next
 	}
 }
 
-// rollUp returns the common prefix that a name falls under, or "".
-func rollUp(name string, q Query) string {
+// commonPrefix returns the prefix under which the query groups name, or "" if name
+// is listed itself.
+func commonPrefix(name string, q Query) string {
 	if q.Delimiter == "" {
 		return ""
 	}
@@ -182,9 +189,9 @@
 	return ""
 }
 
-// successor returns the least name that is greater than all with the prefix,
-// or "" where there is none.
-func successor(prefix string) string {
+// prefixSuccessor returns the smallest name that is greater than all names with
+// the prefix, or "" if there is none.
+func prefixSuccessor(prefix string) string {
 	b := bytes.TrimRight([]byte(prefix), "\xff")
 	if len(b) == 0 {
 		return ""
--- a/internal/store/maintain.go
+++ b/internal/store/maintain.go
@@ -11,129 +11,131 @@
 	"arrowwalk/internal/store/record"
 )
 
-// Segments returns the log's segments but the one that is written to.
+// Segments returns the log's segments, except for the one being written.
 func (s *Store) Segments() []maintpolicy.Segment {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	var out []maintpolicy.Segment
 	for _, n := range sortedKeys(s.segments) {
-		if seg := s.segments[n]; seg != s.log.segment {
-			out = append(out, maintpolicy.Segment{Number: n, SizeBytes: seg.size, LiveBytes: seg.live, AgeGroups: int64(s.log.group) - seg.born})
+		if seg := s.segments[n]; seg != s.tail.segment {
+			out = append(out, maintpolicy.Segment{Number: n, SizeBytes: seg.size, LiveBytes: seg.liveBytes, AgeGroups: int64(s.tail.lastGroup) - seg.firstGroup})
 		}
 	}
 	return out
 }
 
-// FreeBytes returns the bytes that the disk has left.
+// FreeBytes returns the free space of the disk.
 func (s *Store) FreeBytes() (int64, error) { return s.fs.Free() }
 
-// Compact moves what is live in a segment to the log's end, so that a later
-// checkpoint removes the file. pace is asked before each part is read and
-// waits as long as it likes; an error of it ends the compaction, which can be
-// begun anew. What cannot be read stays where it is, and is an error at the end.
-func (s *Store) Compact(ctx context.Context, number uint32, pace func(bytes int64) error) error {
+// Compact copies the live records of a segment to the end of the log, so that a
+// later checkpoint can remove the file. It calls throttle before reading each
+// group; throttle may block, and its error ends the compaction, which can be
+// repeated. Records that cannot be read stay in the segment; Compact then moves
+// the others and returns ErrCorrupt.
+func (s *Store) Compact(ctx context.Context, number uint32, throttle func(bytes int64) error) error {
 	s.mu.RLock()
 	seg := s.segments[number]
-	if seg == nil || seg == s.log.segment {
+	if seg == nil || seg == s.tail.segment {
 		s.mu.RUnlock()
-		return fmt.Errorf("segment %s: not one that can be compacted", segmentFile(number))
+		return fmt.Errorf("segment %s does not exist or is still being written", segmentFile(number))
 	}
-	seg.hold()
-	need := seg.live + 2*s.checkSize + s.opt.MaxGroupBytes // the rest is for deletes
+	seg.retain()
+	neededBytes := seg.liveBytes + 2*s.encodedIndexBytes + s.opt.MaxGroupBytes // the remaining space is reserved for deletes
 	s.mu.RUnlock()
 	defer seg.release()
-	if free, err := s.fs.Free(); err != nil || free < need {
+	if free, err := s.fs.Free(); err != nil || free < neededBytes {
 		return errors.Join(ErrNoSpace, err)
 	}
-	var hurt error
-	for at := int64(record.SegmentHeaderLen); at < seg.size; {
+	var corruption error
+	for offset := int64(record.SegmentHeaderLen); offset < seg.size; {
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		took, err := s.moveGroup(seg, at, pace)
+		size, err := s.moveLiveRecords(seg, offset, throttle)
 		if errors.Is(err, ErrCorrupt) {
-			hurt, err = err, nil
+			corruption, err = err, nil
 		}
 		if err != nil {
 			return err
 		}
-		at += took
+		offset += size
 	}
-	if hurt == nil {
-		s.counts.CompactedSegments.Add(1)
+	if corruption == nil {
+		s.counters.CompactedSegments.Add(1)
 	}
-	return hurt
+	return corruption
 }
 
-// moveGroup moves what is live of the group at a place and returns the bytes
-// that the group took.
-func (s *Store) moveGroup(seg *segment, at int64, pace func(int64) error) (int64, error) {
-	head := make([]byte, record.GroupHeaderLen)
-	if _, err := seg.file.ReadAt(head, at); err != nil {
+// moveLiveRecords copies the live records of the group at offset. It returns the
+// number of bytes to advance to the next group.
+func (s *Store) moveLiveRecords(seg *segment, offset int64, throttle func(int64) error) (int64, error) {
+	buf := make([]byte, record.GroupHeaderLen)
+	if _, err := seg.file.ReadAt(buf, offset); err != nil {
 		return 0, err
 	}
-	g, err := record.ParseGroupHeader(head)
-	if err != nil || at+record.GroupSize(int64(g.Length)) > seg.size {
-		return record.GroupAlign, fmt.Errorf("%s at %d: %w", segmentFile(seg.number), at, ErrCorrupt)
+	header, err := record.ParseGroupHeader(buf)
+	if err != nil || offset+record.GroupSize(int64(header.Length)) > seg.size {
+		return record.GroupAlign, fmt.Errorf("%s at %d: %w", segmentFile(seg.number), offset, ErrCorrupt)
 	}
-	span := record.GroupSize(int64(g.Length))
-	if pace != nil {
-		if err := pace(span); err != nil {
+	size := record.GroupSize(int64(header.Length))
+	if throttle != nil {
+		if err := throttle(size); err != nil {
 			return 0, err
 		}
 	}
-	payload := make([]byte, g.Length)
-	if _, err := seg.file.ReadAt(payload, at+record.GroupHeaderLen); err != nil {
+	payload := make([]byte, header.Length)
+	if _, err := seg.file.ReadAt(payload, offset+record.GroupHeaderLen); err != nil {
 		return 0, err
 	}
-	ops, hurt := s.liveIn(seg, at+record.GroupHeaderLen, payload)
-	for _, o := range ops {
-		o.done = make(chan struct{})
-		if err := s.queue.put(o); err != nil {
+	ops, lastErr := s.liveRecords(seg, offset+record.GroupHeaderLen, payload)
+	for _, op := range ops {
+		op.done = make(chan struct{})
+		if err := s.queue.push(op); err != nil {
 			return 0, err
 		}
 	}
-	for _, o := range ops {
-		<-o.done
+	for _, op := range ops {
+		<-op.done
 		switch {
-		case o.err == nil:
-			s.counts.MovedRecords.Add(1)
-		case !errors.Is(o.err, errMoved):
-			hurt = o.err
+		case op.err == nil:
+			s.counters.MovedRecords.Add(1)
+		case !errors.Is(op.err, errStaleMove):
+			lastErr = op.err
 		}
 	}
-	return span, hurt
+	return size, lastErr
 }
 
-// liveIn returns the moves of the records that the index refers to.
-func (s *Store) liveIn(seg *segment, offset int64, payload []byte) (ops []*op, hurt error) {
+// liveRecords returns a move operation for each intact record of the payload that
+// the index refers to, and an error if a record is corrupt.
+func (s *Store) liveRecords(seg *segment, offset int64, payload []byte) (ops []*operation, corruption error) {
 	for len(payload) > 0 {
-		r, n, err := record.Parse(payload)
-		span := int64(n) + r.InlineSize()
-		if err != nil || span > int64(len(payload)) {
+		r, headerSize, err := record.Parse(payload)
+		size := int64(headerSize) + r.InlineSize()
+		if err != nil || size > int64(len(payload)) {
 			return ops, fmt.Errorf("%s at %d: a record: %w", segmentFile(seg.number), offset, ErrCorrupt)
 		}
-		from := place{seg.number, offset}
+		loc := location{seg.number, offset}
 		s.mu.RLock()
-		e, there := s.index.get(r.Space, r.Name)
+		current, exists := s.index.get(r.Space, r.Name)
 		s.mu.RUnlock()
-		if there && e.segment == from.segment && e.offset == from.offset {
-			body := payload[n:span]
-			if bad := firstBad(&r, body); bad >= 0 {
-				hurt = s.corrupt(r.Space, r.Name, r.Version, bad, fmt.Sprintf("%s at %d", segmentFile(seg.number), offset+int64(n)))
+		if exists && current.segment == loc.segment && current.offset == loc.offset {
+			body := payload[headerSize:size]
+			if block := firstCorruptBlock(&r, body); block >= 0 {
+				corruption = s.quarantineBlock(r.Space, r.Name, r.Version, block, fmt.Sprintf("%s at %d", segmentFile(seg.number), offset+int64(headerSize)))
 			} else {
-				ops = append(ops, &op{space: r.Space, rec: r, body: body, from: &from})
+				ops = append(ops, &operation{space: r.Space, rec: r, body: body, movedFrom: &loc})
 			}
 		}
-		payload = payload[span:]
-		offset += span
+		payload = payload[size:]
+		offset += size
 	}
-	return ops, hurt
+	return ops, corruption
 }
 
-// firstBad returns the first block of a record's inline body that is not what
-// was written, or -1.
-func firstBad(r *record.Record, body []byte) int {
+// firstCorruptBlock returns the index of the first block of an inline body that
+// does not match its checksum, or -1.
+func firstCorruptBlock(r *record.Record, body []byte) int {
 	for i := 0; len(body) > 0; i++ {
 		n := min(len(body), record.BlockSize)
 		if record.Checksum(body[:n]) != r.Checksums[i] {
@@ -144,58 +146,60 @@
 	return -1
 }
 
-// Position is where a walk is: after the blob of this space and name.
+// Position is a position in a walk over all blobs: after the blob of this space
+// and name. The zero value is the start.
 type Position struct {
 	Space string `json:"space"`
 	Name  string `json:"name"`
 }
 
-// NextBlob returns the blob after a place, in the order of spaces and names.
-func (s *Store) NextBlob(p Position) (Position, Info, bool) {
+// NextBlob returns the blob after pos, ordered by space and name, and reports
+// whether there is one.
+func (s *Store) NextBlob(pos Position) (Position, Info, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	for _, space := range sortedKeys(s.index) {
-		if space < p.Space {
+		if space < pos.Space {
 			continue
 		}
 		var found entry
 		ok := false
-		t := s.index[space]
-		each := func(e entry) bool {
-			if space == p.Space && e.key() <= p.Name && p != (Position{}) {
+		tree := s.index[space]
+		visit := func(e entry) bool {
+			if space == pos.Space && e.key() <= pos.Name && pos != (Position{}) {
 				return true
 			}
 			found, ok = e, true
 			return false
 		}
-		if space == p.Space {
-			t.Ascend(entry{text: p.Name, name: uint16(len(p.Name))}, each)
+		if space == pos.Space {
+			tree.Ascend(entry{nameAndMeta: pos.Name, nameLen: uint16(len(pos.Name))}, visit)
 		} else {
-			t.Scan(each)
+			tree.Scan(visit)
 		}
 		if ok {
 			return Position{space, found.key()}, found.info(), true
 		}
 	}
-	return p, Info{}, false
+	return pos, Info{}, false
 }
 
-// Usage returns the bodies' bytes.
+// Usage returns the number of blobs and the total size of their bodies.
 func (s *Store) Usage() (blobs int, size int64) {
-	s.mu.Lock() // a copy marks the nodes
-	x := s.index.clone()
+	s.mu.Lock() // not RLock: Copy marks the tree's nodes as shared
+	snapshot := s.index.clone()
 	s.mu.Unlock()
-	for _, t := range x {
-		blobs += t.Len()
-		t.Scan(func(e entry) bool { size += e.size; return true })
+	for _, tree := range snapshot {
+		blobs += tree.Len()
+		tree.Scan(func(e entry) bool { size += e.size; return true })
 	}
 	return blobs, size
 }
 
-// Verify reads a blob whole and checks each block; pace is asked before each.
-// A blob that was replaced or deleted meanwhile is not an error.
-func (s *Store) Verify(p Position, pace func(bytes int64) error) error {
-	b, err := s.Get(p.Space, p.Name)
+// Verify reads a blob and verifies every block. It calls throttle, unless nil,
+// before each block. Verify returns nil if the blob does not exist any more.
+func (s *Store) Verify(pos Position, throttle func(bytes int64) error) error {
+	b, err := s.Get(pos.Space, pos.Name)
 	if errors.Is(err, ErrNotFound) {
 		return nil
 	}
@@ -203,133 +207,137 @@
 		return err
 	}
 	defer b.Close()
-	buf := blocks.Get().(*[record.BlockSize]byte)
-	defer blocks.Put(buf)
-	var bad error
+	buf := blockPool.Get().(*[record.BlockSize]byte)
+	defer blockPool.Put(buf)
+	var damage error
 	for i := range b.Checksums {
-		if pace != nil {
-			if err := pace(min(record.BlockSize, b.Size-int64(i)*record.BlockSize)); err != nil {
+		if throttle != nil {
+			if err := throttle(min(record.BlockSize, b.Size-int64(i)*record.BlockSize)); err != nil {
 				return err
 			}
 		}
 		if _, err := b.ReadBlock(i, buf[:]); err != nil && !errors.Is(err, ErrCorrupt) {
 			return err
 		} else if err != nil {
-			bad = errors.Join(bad, err)
+			damage = errors.Join(damage, err)
 		}
 	}
-	return bad
+	return damage
 }
 
-// Check looks at all that the store holds and tells what is not as it should
-// be: what opening found, blobs that cannot be read whole, groups that are not
-// whole, bodies' files that nothing refers to or that are missing.
-func (s *Store) Check(ctx context.Context, tell func(Damage)) (blobs int, bytes int64, err error) {
-	for _, d := range s.found {
-		tell(d)
+// Check verifies the whole store and calls report for each damage: what was found
+// while opening, blobs that cannot be read completely, damaged groups, and body
+// files that are missing or that no entry refers to.
+func (s *Store) Check(ctx context.Context, report func(Damage)) (blobs int, bytes int64, err error) {
+	for _, damage := range s.recoveryDamage {
+		report(damage)
 	}
-	used := map[uint64]bool{}
-	for p := (Position{}); ; {
-		next, info, ok := s.NextBlob(p)
+	referenced := map[uint64]bool{}
+	for pos := (Position{}); ; {
+		next, info, ok := s.NextBlob(pos)
 		if !ok {
 			break
 		}
-		p = next
+		pos = next
 		if err := ctx.Err(); err != nil {
 			return blobs, bytes, err
 		}
 		blobs++
 		bytes += info.Size
-		if file := s.fileNamed(p); file != 0 {
-			used[file] = true
+		if file := s.bodyFileAt(pos); file != 0 {
+			referenced[file] = true
 		}
-		if err := s.Verify(p, nil); errors.Is(err, ErrCorrupt) {
-			d := Damage{Space: p.Space, Name: p.Name, Length: info.Size, Description: err.Error()}
-			d.File, d.Offset = s.whereIs(p)
-			tell(d)
+		if err := s.Verify(pos, nil); errors.Is(err, ErrCorrupt) {
+			damage := Damage{Space: pos.Space, Name: pos.Name, Length: info.Size, Description: err.Error()}
+			damage.File, damage.Offset = s.recordLocation(pos)
+			report(damage)
 		} else if err != nil {
 			return blobs, bytes, err
 		}
 	}
-	if err := s.checkSegments(ctx, tell); err != nil {
+	if err := s.checkSegments(ctx, report); err != nil {
 		return blobs, bytes, err
 	}
-	return blobs, bytes, s.checkBodies(used, tell)
+	return blobs, bytes, s.checkBodies(referenced, report)
 }
 
-func (s *Store) fileNamed(p Position) uint64 {
+// bodyFileAt returns the number of the body file of a blob; 0: none.
+func (s *Store) bodyFileAt(pos Position) uint64 {
 	s.mu.RLock()
-	e, ok := s.index.get(p.Space, p.Name)
+	e, ok := s.index.get(pos.Space, pos.Name)
 	s.mu.RUnlock()
 	if !ok {
 		return 0
 	}
-	return s.fileOf(e, nil)
+	return s.bodyFileOf(e, nil)
 }
 
-func (s *Store) whereIs(p Position) (string, int64) {
+// recordLocation returns the segment file and offset of a blob's record.
+func (s *Store) recordLocation(pos Position) (string, int64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	e, _ := s.index.get(p.Space, p.Name)
+	e, _ := s.index.get(pos.Space, pos.Name)
 	return segmentFile(e.segment), e.offset
 }
 
-// checkSegments reads every group of the log.
-func (s *Store) checkSegments(ctx context.Context, tell func(Damage)) error {
+// checkSegments verifies the header and all groups of every segment.
+func (s *Store) checkSegments(ctx context.Context, report func(Damage)) error {
 	s.mu.RLock()
-	var held []*segment
+	var segments []*segment
 	for _, n := range sortedKeys(s.segments) {
-		held = append(held, s.segments[n].hold())
+		segments = append(segments, s.segments[n].retain())
 	}
 	s.mu.RUnlock()
 	defer func() {
-		for _, seg := range held {
+		for _, seg := range segments {
 			seg.release()
 		}
 	}()
-	for _, seg := range held {
-		if _, err := readSegment(seg, s.id); errors.Is(err, errSegment) {
-			tell(Damage{File: segmentFile(seg.number), Length: record.SegmentHeaderLen, Description: err.Error()})
+	for _, seg := range segments {
+		if _, err := readSegmentHeader(seg, s.id); errors.Is(err, errSegmentHeader) {
+			report(Damage{File: segmentFile(seg.number), Length: record.SegmentHeaderLen, Description: err.Error()})
 		} else if err != nil {
 			return err
 		}
-		if err := s.checkGroups(ctx, seg, tell); err != nil {
+		if err := s.checkGroups(ctx, seg, report); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *Store) checkGroups(ctx context.Context, seg *segment, tell func(Damage)) error {
-	head := make([]byte, record.GroupHeaderLen)
-	for at := int64(record.SegmentHeaderLen); at < seg.size; {
+// checkGroups verifies all groups of a segment.
+func (s *Store) checkGroups(ctx context.Context, seg *segment, report func(Damage)) error {
+	buf := make([]byte, record.GroupHeaderLen)
+	for offset := int64(record.SegmentHeaderLen); offset < seg.size; {
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		if _, err := seg.file.ReadAt(head, at); err != nil && err != io.EOF {
+		if _, err := seg.file.ReadAt(buf, offset); err != nil && err != io.EOF {
 			return err
 		}
-		g, err := record.ParseGroupHeader(head)
-		span := record.GroupSize(int64(g.Length))
-		if err != nil || at+span > seg.size {
-			tell(Damage{File: segmentFile(seg.number), Offset: at, Length: record.GroupAlign, Description: "no group begins here"})
-			at += record.GroupAlign
+		header, err := record.ParseGroupHeader(buf)
+		size := record.GroupSize(int64(header.Length))
+		if err != nil || offset+size > seg.size {
+			report(Damage{File: segmentFile(seg.number), Offset: offset, Length: record.GroupAlign, Description: "no group begins here"})
+			offset += record.GroupAlign
 			continue
 		}
-		payload := make([]byte, g.Length)
-		if _, err := seg.file.ReadAt(payload, at+record.GroupHeaderLen); err != nil {
+		payload := make([]byte, header.Length)
+		if _, err := seg.file.ReadAt(payload, offset+record.GroupHeaderLen); err != nil {
 			return err
 		}
-		if record.Checksum(payload) != g.Checksum {
-			tell(Damage{File: segmentFile(seg.number), Offset: at, Length: span, Description: fmt.Sprintf("group %d: bad checksum", g.Number)})
+		if record.Checksum(payload) != header.Checksum {
+			report(Damage{File: segmentFile(seg.number), Offset: offset, Length: size, Description: fmt.Sprintf("group %d: bad checksum", header.Number)})
 		}
-		at += span
+		offset += size
 	}
 	return nil
 }
 
-// checkBodies compares the files of bodies with those that entries name.
-func (s *Store) checkBodies(used map[uint64]bool, tell func(Damage)) error {
+// checkBodies reports files under bodies/ that have a wrong name or that neither an
+// entry nor a pending write or removal accounts for.
+func (s *Store) checkBodies(referenced map[uint64]bool, report func(Damage)) error {
 	dirs, err := s.fs.List("bodies")
 	if err != nil {
 		return err
@@ -343,13 +351,13 @@
 			path := "bodies/" + dir + "/" + name
 			file, err := strconv.ParseUint(name, 16, 64)
 			s.mu.RLock()
-			flying := s.flying[file]
+			unreferenced := s.unreferencedFiles[file]
 			s.mu.RUnlock()
 			switch {
 			case err != nil || bodyFile(file) != path:
-				tell(Damage{File: path, Description: "not the name of a body's file"})
-			case !used[file] && !flying:
-				tell(Damage{File: path, Description: "nothing refers to it"})
+				report(Damage{File: path, Description: "not the name of a body's file"})
+			case !referenced[file] && !unreferenced:
+				report(Damage{File: path, Description: "nothing refers to it"})
 			}
 		}
 	}
--- a/internal/store/norace_test.go
+++ b/internal/store/norace_test.go
@@ -2,4 +2,4 @@
 
 package store
 
-const raceOn = false
+const raceEnabled = false
--- a/internal/store/race_test.go
+++ b/internal/store/race_test.go
@@ -2,4 +2,4 @@
 
 package store
 
-const raceOn = true
+const raceEnabled = true
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -10,26 +10,27 @@
 	"arrowwalk/internal/store/record"
 )
 
-// Blob is an open blob; the caller closes it. Its bytes stay those of its
-// version while it is open, whatever is written meanwhile, and each is checked
-// before it is given. Its calls must not run at once.
+// Blob is an open blob. The caller must close it. It keeps returning the bytes of
+// its version until it is closed, even if the blob is overwritten or deleted
+// meanwhile, and verifies every block before returning it. It is not safe for
+// concurrent use.
 type Blob struct {
 	Info
-	Checksums []uint32 // of its blocks of record.Block bytes, as they were written
+	Checksums []uint32 // CRC-32C of each record.BlockSize bytes of the body
 
-	s     *Store
-	space string
-	seg   *segment
-	file  disk.File
-	start int64 // of the body in file
-	body  bool  // file is the body's own
-	name  string
+	store      *Store
+	space      string
+	seg        *segment
+	file       disk.File
+	bodyOffset int64 // offset of the body in file
+	ownFile    bool  // file is a body file; otherwise it belongs to seg
+	fileName   string
 }
 
-// Get opens a blob, or returns ErrNotFound or, where the record of it cannot be
-// read, ErrCorrupt.
+// Get opens a blob. It returns ErrNotFound if there is none, and ErrCorrupt if its
+// record or body file cannot be read.
 func (s *Store) Get(space, name string) (*Blob, error) {
-	for range 3 { // its body's file may go between the look and the open
+	for range 3 { // an overwrite may remove the body file between lookup and open
 		s.mu.RLock()
 		e, ok := s.index.get(space, name)
 		if !ok {
@@ -38,7 +39,7 @@
 		}
 		seg := s.segments[e.segment]
 		if seg != nil {
-			seg.hold()
+			seg.retain()
 		}
 		s.mu.RUnlock()
 		b, err := s.openBlob(space, e, seg)
@@ -46,40 +47,41 @@
 			return b, err
 		}
 	}
-	return nil, s.corrupt(space, name, 0, -1, "its body's file is missing")
+	return nil, s.quarantineBlock(space, name, 0, -1, "its body's file is missing")
 }
 
-// openBlob takes over the hold on seg.
+// openBlob opens the blob of an entry. It takes over the caller's reference to
+// seg, which is nil if the segment is missing.
 func (s *Store) openBlob(space string, e entry, seg *segment) (*Blob, error) {
 	if seg == nil {
-		return nil, s.corrupt(space, e.key(), e.version, -1, fmt.Sprintf("segment %s is missing", segmentFile(e.segment)))
+		return nil, s.quarantineBlock(space, e.key(), e.version, -1, fmt.Sprintf("segment %s is missing", segmentFile(e.segment)))
 	}
-	b := &Blob{Info: e.info(), s: s, space: space, seg: seg, file: seg.file, start: e.offset + int64(e.head), name: segmentFile(e.segment)}
+	b := &Blob{Info: e.info(), store: s, space: space, seg: seg, file: seg.file, bodyOffset: e.offset + int64(e.headerSize), fileName: segmentFile(e.segment)}
 	if e.flags&record.FlagBodyFile == 0 && e.size <= record.BlockSize {
 		if e.size > 0 {
-			b.Checksums = []uint32{e.sum}
+			b.Checksums = []uint32{e.checksum}
 		}
 		return b, nil
 	}
 	r, err := readRecord(seg.file, e)
 	if err != nil {
 		seg.release()
-		return nil, s.corrupt(space, e.key(), e.version, -1, err.Error())
+		return nil, s.quarantineBlock(space, e.key(), e.version, -1, err.Error())
 	}
 	b.Checksums = r.Checksums
 	if r.Flags&record.FlagBodyFile == 0 {
 		return b, nil
 	}
 	seg.release()
-	b.seg, b.start, b.body, b.name = nil, 0, true, bodyFile(r.BodyFile)
-	if b.file, err = s.fs.Open(b.name); err != nil {
+	b.seg, b.bodyOffset, b.ownFile, b.fileName = nil, 0, true, bodyFile(r.BodyFile)
+	if b.file, err = s.fs.Open(b.fileName); err != nil {
 		return nil, err
 	}
 	return b, nil
 }
 
-// recordOf reads the record of an entry. The caller holds mu.
-func (s *Store) recordOf(e entry) (record.Record, error) {
+// readEntryRecord reads and verifies the record of an entry. The caller holds mu.
+func (s *Store) readEntryRecord(e entry) (record.Record, error) {
 	seg := s.segments[e.segment]
 	if seg == nil {
 		return record.Record{}, fmt.Errorf("segment %s is missing", segmentFile(e.segment))
@@ -87,108 +89,110 @@
 	return readRecord(seg.file, e)
 }
 
-// readRecord reads and checks the record that an entry refers to.
+// readRecord reads and verifies the record that an entry refers to.
 func readRecord(f disk.File, e entry) (record.Record, error) {
-	text := make([]byte, e.head)
-	if _, err := f.ReadAt(text, e.offset); err != nil {
+	buf := make([]byte, e.headerSize)
+	if _, err := f.ReadAt(buf, e.offset); err != nil {
 		return record.Record{}, fmt.Errorf("read its record: %w", err)
 	}
-	r, _, err := record.Parse(text)
+	r, _, err := record.Parse(buf)
 	if err == nil && (r.Version != e.version || r.Name != e.key()) {
 		err = errors.New("another record stands in its place")
 	}
 	return r, err
 }
 
-// Close closes the blob.
+// Close releases the blob's file.
 func (b *Blob) Close() error {
-	if b.body {
+	if b.ownFile {
 		return b.file.Close()
 	}
 	b.seg.release()
 	return nil
 }
 
-// ReadAt reads the body from offset; see io.ReaderAt. A block whose bytes are
-// not those that were written is an error (ErrCorrupt), and none of it is given.
+// ReadAt implements io.ReaderAt. If a block does not match its checksum, ReadAt
+// returns the bytes before that block and ErrCorrupt.
 func (b *Blob) ReadAt(p []byte, offset int64) (int, error) {
 	if offset < 0 || offset >= b.Size {
 		return 0, io.EOF
 	}
-	buf := blocks.Get().(*[record.BlockSize]byte)
-	defer blocks.Put(buf)
-	done := 0
-	for done < len(p) && offset < b.Size {
+	buf := blockPool.Get().(*[record.BlockSize]byte)
+	defer blockPool.Put(buf)
+	copied := 0
+	for copied < len(p) && offset < b.Size {
 		i := int(offset / record.BlockSize)
 		block, err := b.ReadBlock(i, buf[:])
 		if err != nil {
-			return done, err
+			return copied, err
 		}
-		n := copy(p[done:], block[offset-int64(i)*record.BlockSize:])
-		done += n
+		n := copy(p[copied:], block[offset-int64(i)*record.BlockSize:])
+		copied += n
 		offset += int64(n)
 	}
-	if done < len(p) {
-		return done, io.EOF
+	if copied < len(p) {
+		return copied, io.EOF
 	}
-	return done, nil
+	return copied, nil
 }
 
-// ReadBlock reads the body's block i into buf, of record.ReadBlock bytes, and checks it.
+// ReadBlock reads and verifies block i of the body. buf must hold at least
+// record.BlockSize bytes; the returned slice aliases it.
 func (b *Blob) ReadBlock(i int, buf []byte) ([]byte, error) {
-	at := int64(i) * record.BlockSize
-	block := buf[:min(record.BlockSize, b.Size-at)]
-	if b.s.isBad(b.space, b.Name, b.Version, i) {
+	blockOffset := int64(i) * record.BlockSize
+	block := buf[:min(record.BlockSize, b.Size-blockOffset)]
+	if b.store.isQuarantined(b.space, b.Name, b.Version, i) {
 		return nil, fmt.Errorf("block %d of blob %s/%q: %w", i, b.space, b.Name, ErrCorrupt)
 	}
-	if _, err := b.file.ReadAt(block, b.start+at); err != nil {
+	if _, err := b.file.ReadAt(block, b.bodyOffset+blockOffset); err != nil {
 		if err != io.EOF {
 			return nil, err
 		}
-		return nil, b.s.corrupt(b.space, b.Name, b.Version, i, b.name+" is too short")
+		return nil, b.store.quarantineBlock(b.space, b.Name, b.Version, i, b.fileName+" is too short")
 	}
 	if record.Checksum(block) != b.Checksums[i] {
-		return nil, b.s.corrupt(b.space, b.Name, b.Version, i, fmt.Sprintf("%s at %d: bad checksum", b.name, b.start+at))
+		return nil, b.store.quarantineBlock(b.space, b.Name, b.Version, i, fmt.Sprintf("%s at %d: bad checksum", b.fileName, b.bodyOffset+blockOffset))
 	}
 	return block, nil
 }
 
-func (s *Store) isBad(space, name string, version uint64, block int) bool {
+func (s *Store) isQuarantined(space, name string, version uint64, block int) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return len(s.bad) > 0 && s.bad[badBlock{space, name, version, block}]
+	return len(s.quarantine) > 0 && s.quarantine[blockKey{space, name, version, block}]
 }
 
-// quarantineMost bounds how many bad blocks are remembered; those beyond it
-// are found anew by each read.
-const quarantineMost = 1 << 16
+// maxQuarantined bounds the memory used by the quarantine. Further corrupt blocks
+// are detected again by each read.
+const maxQuarantined = 1 << 16
 
-// corrupt puts a block in quarantine (-1: all of the blob) and returns the
-// error that says so. What a version of a blob once was found to be it stays.
-func (s *Store) corrupt(space, name string, version uint64, block int, what string) error {
-	k := badBlock{space, name, version, block}
+// quarantineBlock records a block as corrupt, or the whole blob if block is -1,
+// and returns an error that wraps ErrCorrupt. A quarantined block of a blob
+// version stays quarantined even if a later read would succeed.
+func (s *Store) quarantineBlock(space, name string, version uint64, block int, reason string) error {
+	key := blockKey{space, name, version, block}
 	s.mu.Lock()
-	fresh := !s.bad[k]
-	if fresh && len(s.bad) < quarantineMost {
-		s.bad[k] = true
+	isNew := !s.quarantine[key]
+	if isNew && len(s.quarantine) < maxQuarantined {
+		s.quarantine[key] = true
 	}
 	s.mu.Unlock()
-	if fresh {
-		s.counts.CorruptBlocks.Add(1)
-		s.opt.Log.Error("stored bytes are not those that were written", "space", space, "name", name, "version", version, "block", block, "what", what)
+	if isNew {
+		s.counters.CorruptBlocks.Add(1)
+		s.opt.Log.Error("stored data is corrupt", "space", space, "name", name, "version", version, "block", block, "what", reason)
 	}
-	return fmt.Errorf("block %d of blob %s/%q: %s: %w", block, space, name, what, ErrCorrupt)
+	return fmt.Errorf("block %d of blob %s/%q: %s: %w", block, space, name, reason, ErrCorrupt)
 }
 
-// QuarantinedBlocks returns the number of blocks that were found bad and not replaced
-// since.
+// QuarantinedBlocks returns the number of blocks that were found corrupt and whose
+// blob version is still stored.
 func (s *Store) QuarantinedBlocks() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for k := range s.bad {
-		if e, ok := s.index.get(k.space, k.name); !ok || k.version != 0 && e.version != k.version {
-			delete(s.bad, k)
+	for key := range s.quarantine {
+		if e, ok := s.index.get(key.space, key.name); !ok || key.version != 0 && e.version != key.version {
+			delete(s.quarantine, key)
 		}
 	}
-	return len(s.bad)
+	return len(s.quarantine)
 }
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -11,64 +11,64 @@
 	"arrowwalk/internal/store/record"
 )
 
-// Snapshot is the store as it was at one moment, while writes go on. Its
-// segments and bodies' files stay until it is closed.
+// Snapshot is a consistent view of the store at one moment. It keeps the segments
+// and body files that it refers to until it is closed.
 type Snapshot struct {
-	s     *Store
-	index index
-	held  map[uint32]*segment
+	store    *Store
+	index    index
+	segments map[uint32]*segment
 }
 
-// Snapshot takes one; the caller closes it.
+// Snapshot returns a snapshot of the store. The caller must close it.
 func (s *Store) Snapshot() *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := &Snapshot{s: s, index: s.index.clone(), held: map[uint32]*segment{}}
+	snap := &Snapshot{store: s, index: s.index.clone(), segments: map[uint32]*segment{}}
 	for number, seg := range s.segments {
-		n.held[number] = seg.hold()
+		snap.segments[number] = seg.retain()
 	}
-	s.pins++
-	return n
+	s.openSnapshots++
+	return snap
 }
 
-// Close lets go of what the snapshot holds.
-func (n *Snapshot) Close() {
-	for _, seg := range n.held {
+// Close releases the snapshot's segments and body files.
+func (snap *Snapshot) Close() {
+	for _, seg := range snap.segments {
 		seg.release()
 	}
-	var gone []uint64
-	n.s.mu.Lock()
-	if n.s.pins--; n.s.pins == 0 {
-		gone, n.s.doomed = n.s.doomed, nil
+	var obsolete []uint64
+	snap.store.mu.Lock()
+	if snap.store.openSnapshots--; snap.store.openSnapshots == 0 {
+		obsolete, snap.store.deferredRemovals = snap.store.deferredRemovals, nil
 	}
-	n.s.mu.Unlock()
-	for _, file := range gone {
-		n.s.dropBody(file)
+	snap.store.mu.Unlock()
+	for _, file := range obsolete {
+		snap.store.removeBodyFile(file)
 	}
 }
 
-// open opens a blob of the snapshot.
-func (n *Snapshot) open(space string, e entry) (*Blob, error) {
-	seg := n.held[e.segment]
+// openBlob opens a blob of the snapshot.
+func (snap *Snapshot) openBlob(space string, e entry) (*Blob, error) {
+	seg := snap.segments[e.segment]
 	if seg != nil {
-		seg.hold()
+		seg.retain()
 	}
-	return n.s.openBlob(space, e, seg)
+	return snap.store.openBlob(space, e, seg)
 }
 
-// An export is a magic, then a record and its body for each blob, in the order
-// of spaces and names; the last record is a delete of nothing whose version is
-// the number of blobs.
+// exportMagic starts an export. After it comes a record with its body for each
+// blob, ordered by space and name. The last record is a delete without a name
+// whose version is the number of blobs.
 const exportMagic = "AWEXP002"
 
-// Export writes the snapshot to w and returns the number of blobs. A blob that
-// cannot be read whole is an error that names it: nothing is left out in silence.
-func (n *Snapshot) Export(ctx context.Context, w io.Writer) (blobs int, err error) {
+// Export writes the snapshot to w and returns the number of blobs. If a blob cannot
+// be read completely, Export fails with an error that names it.
+func (snap *Snapshot) Export(ctx context.Context, w io.Writer) (blobs int, err error) {
 	out := bufio.NewWriterSize(w, 256<<10)
 	out.WriteString(exportMagic)
-	n.index.scan(func(space string, e entry) bool {
+	snap.index.scan(func(space string, e entry) bool {
 		if err = ctx.Err(); err == nil {
-			err = n.export(out, space, e)
+			err = snap.exportBlob(out, space, e)
 		}
 		blobs++
 		return err == nil
@@ -81,16 +81,17 @@
 	return blobs, out.Flush()
 }
 
-func (n *Snapshot) export(out *bufio.Writer, space string, e entry) error {
-	b, err := n.open(space, e)
+// exportBlob writes a blob's record and body.
+func (snap *Snapshot) exportBlob(out *bufio.Writer, space string, e entry) error {
+	b, err := snap.openBlob(space, e)
 	if err != nil {
 		return err
 	}
 	defer b.Close()
 	r := record.Record{Kind: record.KindPut, Flags: e.flags &^ record.FlagBodyFile, Space: space, Name: b.Name, Meta: b.Meta, Size: b.Size, Version: b.Version, Checksums: b.Checksums}
 	out.Write(r.Append(nil))
-	buf := blocks.Get().(*[record.BlockSize]byte)
-	defer blocks.Put(buf)
+	buf := blockPool.Get().(*[record.BlockSize]byte)
+	defer blockPool.Put(buf)
 	for i := range b.Checksums {
 		block, err := b.ReadBlock(i, buf[:])
 		if err != nil {
@@ -103,86 +104,88 @@
 	return nil
 }
 
-// Import puts what an export holds into the store, with the versions it had. A
-// blob of which the store has a later version is left as it is. It returns the
-// numbers of blobs that were stored and left. An export that is cut short or
-// spoilt is an error; what came before it stays.
-func (s *Store) Import(ctx context.Context, r io.Reader) (stored, left int, err error) {
+// Import stores the blobs of an export with their original versions. It skips a
+// blob if the store has the same or a newer version of it. It returns the numbers
+// of stored and skipped blobs. If the export is truncated or corrupt, Import
+// returns an error; the blobs stored before it remain.
+func (s *Store) Import(ctx context.Context, r io.Reader) (stored, skipped int, err error) {
 	in := bufio.NewReaderSize(r, 256<<10)
 	magic := make([]byte, len(exportMagic))
 	if _, err := io.ReadFull(in, magic); err != nil || string(magic) != exportMagic {
-		return 0, 0, fmt.Errorf("not an export of a store: %w", errors.Join(ErrFormat, err))
+		return 0, 0, fmt.Errorf("not a store export: %w", errors.Join(ErrFormat, err))
 	}
 	for {
 		if err := ctx.Err(); err != nil {
-			return stored, left, err
+			return stored, skipped, err
 		}
-		rec, err := readExported(in)
+		rec, err := readExportRecord(in)
 		if err != nil {
-			return stored, left, fmt.Errorf("after %d blobs: %w", stored+left, err)
+			return stored, skipped, fmt.Errorf("after %d blobs: %w", stored+skipped, err)
 		}
 		if rec.Kind == record.KindDelete {
-			if rec.Version != uint64(stored+left) {
-				err = fmt.Errorf("%d blobs, the export had %d: %w", stored+left, rec.Version, ErrCorrupt)
+			if rec.Version != uint64(stored+skipped) {
+				err = fmt.Errorf("read %d blobs, export was written with %d: %w", stored+skipped, rec.Version, ErrCorrupt)
 			}
-			return stored, left, err
+			return stored, skipped, err
 		}
-		switch err := s.restore(rec, io.LimitReader(in, rec.Size)); {
-		case errors.Is(err, errOlder):
-			left++
+		switch err := s.restoreRecord(rec, io.LimitReader(in, rec.Size)); {
+		case errors.Is(err, errNewerVersion):
+			skipped++
 		case err != nil:
-			return stored, left, fmt.Errorf("blob %s/%q: %w", rec.Space, rec.Name, err)
+			return stored, skipped, fmt.Errorf("blob %s/%q: %w", rec.Space, rec.Name, err)
 		default:
 			stored++
 		}
 	}
 }
 
-func readExported(in *bufio.Reader) (record.Record, error) {
-	text := make([]byte, record.RecordHeaderLen, 4096)
-	if _, err := io.ReadFull(in, text); err != nil {
-		return record.Record{}, cutShort(err)
+// readExportRecord reads and verifies the next record of an export.
+func readExportRecord(in *bufio.Reader) (record.Record, error) {
+	buf := make([]byte, record.RecordHeaderLen, 4096)
+	if _, err := io.ReadFull(in, buf); err != nil {
+		return record.Record{}, unexpectedEOF(err)
 	}
-	n, err := record.ParseHeaderSize(text)
+	headerSize, err := record.ParseHeaderSize(buf)
 	if err != nil {
 		return record.Record{}, err
 	}
-	text = append(text, make([]byte, n-record.RecordHeaderLen)...)
-	if _, err := io.ReadFull(in, text[record.RecordHeaderLen:]); err != nil {
-		return record.Record{}, cutShort(err)
+	buf = append(buf, make([]byte, headerSize-record.RecordHeaderLen)...)
+	if _, err := io.ReadFull(in, buf[record.RecordHeaderLen:]); err != nil {
+		return record.Record{}, unexpectedEOF(err)
 	}
-	r, _, err := record.Parse(text)
+	r, _, err := record.Parse(buf)
 	return r, err
 }
 
-// restore puts a blob with the version that it has.
-func (s *Store) restore(r record.Record, body io.Reader) error {
+// restoreRecord stores a blob under the version of its record.
+func (s *Store) restoreRecord(r record.Record, body io.Reader) error {
 	if r.Version == 0 || r.Flags&record.FlagBodyFile != 0 {
 		return ErrFormat
 	}
-	want := r.Checksums
+	checksums := r.Checksums
 	r.Checksums = nil
-	return s.place(context.Background(), &op{space: r.Space, rec: r, keep: true}, body, want)
+	return s.submitWithBody(context.Background(), &operation{space: r.Space, rec: r, keepVersion: true}, body, checksums)
 }
 
-// Restore puts a blob with the version that it had in another store, unless
-// this one has a later version of it.
+// Restore stores a blob under info.Version, the version that it had in another
+// store. It does nothing if the store has the same or a newer version.
 func (s *Store) Restore(space string, info Info, body io.Reader) error {
 	r := record.Record{Kind: record.KindPut, Space: space, Name: info.Name, Meta: info.Meta, Size: info.Size, Version: info.Version}
 	if info.Whole {
 		r.Flags |= record.FlagWhole
 	}
-	if err := s.restore(r, body); !errors.Is(err, errOlder) {
+	if err := s.restoreRecord(r, body); !errors.Is(err, errNewerVersion) {
 		return err
 	}
 	return nil
 }
 
-// Dump writes a line of JSON for each blob: what the index knows and where it is.
-func (n *Snapshot) Dump(w io.Writer) (err error) {
+// Dump writes a line of JSON for each blob: its metadata and the location of its
+// record.
+func (snap *Snapshot) Dump(w io.Writer) (err error) {
 	out := bufio.NewWriter(w)
 	enc := json.NewEncoder(out)
-	n.index.scan(func(space string, e entry) bool {
+	snap.index.scan(func(space string, e entry) bool {
 		line := struct {
 			Space string `json:"space"`
 			Info
@@ -190,7 +193,7 @@
 			Offset int64  `json:"offset"`
 			Head   uint32 `json:"head"`
 			Big    bool   `json:"big,omitempty"`
-		}{space, e.info(), segmentFile(e.segment), e.offset, e.head, e.flags&record.FlagBodyFile != 0}
+		}{space, e.info(), segmentFile(e.segment), e.offset, e.headerSize, e.flags&record.FlagBodyFile != 0}
 		err = enc.Encode(line)
 		return err == nil
 	})
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,9 +1,10 @@
-// Package store keeps a brick's blobs: small ones in segments that are only
-// appended to and synced in groups, large ones in files of their own; an index
-// in memory says where they are. What Put and Delete acknowledged is there after
-// a crash, what they did not is whole or absent. Each block of a body has a
-// checksum that is looked at whenever the block is read. docs/store.md weighs
-// the choices.
+// Package store implements the crash-safe blob store of a brick.
+//
+// Small blobs live in append-only log segments that are synced in groups; large
+// bodies live in files of their own. An in-memory index maps names to locations.
+// An acknowledged Put or Delete survives a crash; one that was not acknowledged
+// takes effect completely or not at all. Every block of a body has a checksum that
+// is verified whenever the block is read. docs/store.md discusses the design.
 package store
 
 import (
@@ -24,44 +25,46 @@
 	"arrowwalk/internal/store/record"
 )
 
-// What callers branch on. ErrNoSpace is also syscall.ENOSPC.
+// Errors that callers test for with errors.Is. ErrNoSpace also matches
+// syscall.ENOSPC.
 var (
 	ErrNotFound         = errors.New("no such blob")
 	ErrVersionMismatch  = errors.New("the blob's version is another")
 	ErrLocked           = disk.ErrLocked
-	ErrFormat           = errors.New("the directory is of another format")
+	ErrFormat           = errors.New("unsupported storage format")
 	ErrTooLarge         = errors.New("meta or name too large")
 	ErrCorrupt          = errors.New("the stored bytes are not those that were written")
-	ErrChecksumMismatch = errors.New("the body is not that which its checksums are of")
+	ErrChecksumMismatch = errors.New("the body does not match its checksums")
 	ErrClosed           = errors.New("the store is closed")
-	ErrNoSpace          = fmt.Errorf("what is left is kept for deletes: %w", syscall.ENOSPC)
+	ErrNoSpace          = fmt.Errorf("remaining space is reserved for deletes and compaction: %w", syscall.ENOSPC)
 )
 
-// Options of a store. The zero value is the default of each.
+// Options configures a store. A zero field selects its default.
 type Options struct {
-	NoSync          bool          // for tests of other things: do not wait for the disk
-	FS              disk.FS       // in place of the directory
-	MaxInlineBytes  int64         // bytes of the largest body in a segment; 64 KiB
-	SegmentBytes    int64         // at which a segment is ended; 64 MiB
-	MaxGroupBytes   int64         // of one group; 4 MiB
-	CheckpointBytes int64         // of segments between two checkpoints of the index; 64 MiB
-	ReserveBytes    int64         // bytes that are left for deletes and compaction; two segments
-	NowMicros       func() int64  // microseconds since 1970, for versions; they grow whatever it says
-	Log             *slog.Logger  // nil: none
-	GroupDelay      time.Duration // for which a group waits for others; 0: for the sync before it alone
+	NoSync          bool          // skip syncs; only for tests that do not depend on durability
+	FS              disk.FS       // file system to use instead of the directory
+	MaxInlineBytes  int64         // largest body that is stored in a segment; default 64 KiB
+	SegmentBytes    int64         // size at which a new segment is started; default 64 MiB
+	MaxGroupBytes   int64         // largest group; default 4 MiB
+	CheckpointBytes int64         // log bytes written between two checkpoints of the index; default 64 MiB
+	ReserveBytes    int64         // free space kept for deletes and compaction; default two segments
+	NowMicros       func() int64  // clock for versions, microseconds since 1970; versions increase even if it goes back
+	Log             *slog.Logger  // nil discards log messages
+	GroupDelay      time.Duration // wait for further operations before each group; 0: only the preceding sync delays it
 }
 
-func (o *Options) defaults(path string) {
-	or := func(v *int64, d int64) {
-		if *v == 0 {
-			*v = d
+// setDefaults fills in the zero fields; path is the store's directory.
+func (o *Options) setDefaults(path string) {
+	setDefault := func(value *int64, defaultValue int64) {
+		if *value == 0 {
+			*value = defaultValue
 		}
 	}
-	or(&o.MaxInlineBytes, 64<<10)
-	or(&o.SegmentBytes, 64<<20)
-	or(&o.MaxGroupBytes, 4<<20)
-	or(&o.CheckpointBytes, 64<<20)
-	or(&o.ReserveBytes, 2*o.SegmentBytes)
+	setDefault(&o.MaxInlineBytes, 64<<10)
+	setDefault(&o.SegmentBytes, 64<<20)
+	setDefault(&o.MaxGroupBytes, 4<<20)
+	setDefault(&o.CheckpointBytes, 64<<20)
+	setDefault(&o.ReserveBytes, 2*o.SegmentBytes)
 	if o.FS == nil {
 		o.FS = disk.OS{Dir: path, NoSync: o.NoSync}
 	}
@@ -73,44 +76,44 @@
 	}
 }
 
-// Store is an open store. It is safe for concurrent use.
+// Store is an open blob store. It is safe for concurrent use.
 type Store struct {
-	opt  Options
-	fs   disk.FS
-	lock io.Closer
-	id   uint64
-
-	mu        sync.RWMutex // guards what follows
-	index     index
-	segments  map[uint32]*segment
-	checkSize int64             // bytes that the entries take in a checkpoint
-	pins      int               // snapshots that are open
-	doomed    []uint64          // files of bodies to be removed when the last one closes; all are flying
-	bad       map[badBlock]bool // quarantine
-	found     []Damage          // by recovery
-
-	last mark            // of the last checkpoint; guarded by checking
-	dead map[uint32]bool // segments that the last checkpoint refers to nothing in
-
-	log     log             // the committer's; others read it under mu
-	flying  map[uint64]bool // bodies' files that no entry refers to (yet); guarded by mu
-	removed map[uint64]bool // those of them that were removed, perhaps not for good
-	queue   queue
-	done    chan struct{}
-	files   uint64 // the greatest number given to a body's file; guarded by mu
-
-	checking     sync.Mutex // one checkpoint, compaction at a time
-	counts       Counters
-	began, usual atomic.Int64 // of the commit under way, and what one takes; microseconds
+	opt     Options
+	fs      disk.FS
+	dirLock io.Closer
+	id      uint64
+
+	mu                sync.RWMutex // guards the fields up to recoveryDamage
+	index             index
+	segments          map[uint32]*segment
+	encodedIndexBytes int64             // encoded size of all index entries in a checkpoint
+	openSnapshots     int               // number of open snapshots
+	deferredRemovals  []uint64          // body files to remove when the last snapshot closes; all are in unreferencedFiles
+	quarantine        map[blockKey]bool // blocks that are known to be corrupt
+	recoveryDamage    []Damage          // damage found while opening the store
+
+	lastCheckpoint checkpointHeader // guarded by checkpointMu
+	emptySegments  map[uint32]bool  // segments without live records as of the last checkpoint
+
+	tail              logTail         // written by the committer; other goroutines read it under mu
+	unreferencedFiles map[uint64]bool // body files that no index entry refers to, or not yet; guarded by mu
+	unsyncedRemovals  map[uint64]bool // unreferenced files that were removed but whose directory is not synced
+	queue             queue
+	committerDone     chan struct{}
+	lastBodyFile      uint64 // highest number assigned to a body file; guarded by mu
+
+	checkpointMu                       sync.Mutex // serializes checkpoints
+	counters                           Counters
+	commitStartMicros, avgCommitMicros atomic.Int64 // start of the commit in progress and average commit duration, in microseconds
 }
 
-// Counters are what a store did since it was opened.
+// Counters counts a store's operations since it was opened.
 type Counters struct {
 	Groups, Records, LogBytes, Syncs, FailedCommits                        atomic.Int64 // commits
 	CorruptBlocks, CompactedSegments, MovedRecords, Checkpoints, BodyFiles atomic.Int64
 }
 
-// Damage is something that is not as it was written.
+// Damage describes stored data that is missing or differs from what was written.
 type Damage struct {
 	File        string `json:"file"`
 	Offset      int64  `json:"offset"`
@@ -120,6 +123,7 @@
 	Description string `json:"what"`
 }
 
+// String formats the damage as one line, as `store check` prints it.
 func (d Damage) String() string {
 	s := fmt.Sprintf("%s at %d, %d bytes: %s", d.File, d.Offset, d.Length, d.Description)
 	if d.Space != "" {
@@ -128,25 +132,28 @@
 	return s
 }
 
-type badBlock struct {
+// blockKey identifies a block of a blob version; block -1 is the whole blob.
+type blockKey struct {
 	space, name string
 	version     uint64
 	block       int
 }
 
-// Open opens or makes the store in path and reads its index: the last
-// checkpoint and what was written after it. The caller closes the Store.
+// Open opens the store in path, creating it if necessary, and rebuilds its index
+// from the last checkpoint and the log written after it. The caller must close
+// the Store.
 func Open(path string, opt Options) (*Store, error) {
-	opt.defaults(path)
-	s := &Store{opt: opt, fs: opt.FS, index: index{}, segments: map[uint32]*segment{}, bad: map[badBlock]bool{}, dead: map[uint32]bool{}, flying: map[uint64]bool{}, removed: map[uint64]bool{}, done: make(chan struct{})}
+	opt.setDefaults(path)
+	s := &Store{opt: opt, fs: opt.FS, index: index{}, segments: map[uint32]*segment{}, quarantine: map[blockKey]bool{}, emptySegments: map[uint32]bool{}, unreferencedFiles: map[uint64]bool{}, unsyncedRemovals: map[uint64]bool{}, committerDone: make(chan struct{})}
 	s.queue.init()
 	if err := s.open(); err != nil {
 		return nil, fmt.Errorf("open store %s: %w", path, err)
 	}
-	go s.commits()
+	go s.runCommitter()
 	return s, nil
 }
 
+// open locks the directory and recovers the index.
 func (s *Store) open() error {
 	if err := s.fs.MkdirAll("."); err != nil {
 		return err
@@ -155,7 +162,7 @@
 	if err != nil {
 		return err
 	}
-	s.lock = lock
+	s.dirLock = lock
 	if err = s.recover(); err != nil {
 		s.closeSegments()
 		lock.Close()
@@ -163,17 +170,17 @@
 	return err
 }
 
-// Close ends what is under way, writes a checkpoint and gives the directory
-// free for another process.
+// Close completes the queued operations, writes a checkpoint and releases the
+// directory for other processes.
 func (s *Store) Close() error {
 	if !s.queue.close() {
 		return ErrClosed
 	}
-	<-s.done
+	<-s.committerDone
 	err := s.Checkpoint()
 	s.closeSegments()
-	if e := s.lock.Close(); err == nil {
-		err = e
+	if closeErr := s.dirLock.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
@@ -187,13 +194,13 @@
 	s.segments = nil
 }
 
-// Counters returns the store's counters.
-func (s *Store) Counters() *Counters { return &s.counts }
+// Counters returns the store's live counters.
+func (s *Store) Counters() *Counters { return &s.counters }
 
-// RecoveryDamage returns what opening the store found damaged.
-func (s *Store) RecoveryDamage() []Damage { return s.found }
+// RecoveryDamage returns the damage that was found while opening the store.
+func (s *Store) RecoveryDamage() []Damage { return s.recoveryDamage }
 
-// Stat returns what is known of a blob, or ErrNotFound.
+// Stat returns the metadata of a blob, or ErrNotFound.
 func (s *Store) Stat(space, name string) (Info, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -204,213 +211,224 @@
 	return e.info(), nil
 }
 
-// List returns a page of a space's items and whether there are more.
+// List returns a page of a space's items and reports whether more follow.
 func (s *Store) List(space string, q Query) (items []Item, more bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.index.list(space, q)
 }
 
-// SpaceUsage returns the number of blobs of a space and their bytes.
+// SpaceUsage returns the number of blobs in a space and the total size of their
+// bodies.
 func (s *Store) SpaceUsage(space string) (blobs int, size int64) {
-	s.mu.Lock() // a copy marks the nodes
-	t := s.index[space]
-	if t == nil {
+	s.mu.Lock() // not RLock: Copy marks the tree's nodes as shared
+	tree := s.index[space]
+	if tree == nil {
 		s.mu.Unlock()
 		return 0, 0
 	}
-	t = t.Copy()
+	tree = tree.Copy()
 	s.mu.Unlock()
-	t.Scan(func(e entry) bool {
+	tree.Scan(func(e entry) bool {
 		size += e.size
 		return true
 	})
-	return t.Len(), size
+	return tree.Len(), size
 }
 
-// Condition is what must hold for a write or delete to happen.
+// Condition is a precondition of a write or delete. The zero value always holds.
 type Condition struct {
-	Version uint64 // the blob must have this version; 0: any
+	Version uint64 // required version of the blob; 0: any
 	Absent  bool   // the blob must not exist
 }
 
-func (c Condition) check(e entry, there bool) error {
-	if c.Absent && there || c.Version != 0 && (!there || e.version != c.Version) {
+// check returns ErrVersionMismatch if the condition does not hold for the current
+// entry.
+func (c Condition) check(current entry, exists bool) error {
+	if c.Absent && exists || c.Version != 0 && (!exists || current.version != c.Version) {
 		return ErrVersionMismatch
 	}
 	return nil
 }
 
-// Put writes a blob of size bytes from body, in place of one of its name, and
-// returns when it is durable. It returns what was stored and, if there was
-// one, what it replaced. sums, unless nil, are the body's checksums as its
-// writer made them; a body that is not theirs is refused (ErrSums).
-func (s *Store) Put(ctx context.Context, space string, info Info, body io.Reader, sums []uint32, c Condition) (Info, *Info, error) {
+// Put stores a blob whose info.Size bytes are read from body, replacing any blob
+// of the same name, and returns once it is durable. It returns the stored info
+// and, if a blob was replaced, that blob's info. If sums is not nil, it holds the
+// checksums computed by the writer; a body that does not match them is rejected
+// with ErrChecksumMismatch.
+func (s *Store) Put(ctx context.Context, space string, info Info, body io.Reader, sums []uint32, cond Condition) (Info, *Info, error) {
 	if len(info.Name)+len(info.Meta) > record.MaxNameAndMetaBytes || len(space) > 255 || info.Size < 0 || info.Size > record.MaxChecksums*record.BlockSize {
 		return Info{}, nil, ErrTooLarge
 	}
-	if err := s.admit(space, info, c); err != nil {
+	if err := s.checkEarly(space, info, cond); err != nil {
 		return Info{}, nil, err
 	}
-	o := &op{space: space, cond: c, rec: record.Record{Kind: record.KindPut, Space: space, Name: info.Name, Meta: info.Meta, Size: info.Size}}
+	op := &operation{space: space, cond: cond, rec: record.Record{Kind: record.KindPut, Space: space, Name: info.Name, Meta: info.Meta, Size: info.Size}}
 	if info.Whole {
-		o.rec.Flags |= record.FlagWhole
+		op.rec.Flags |= record.FlagWhole
 	}
-	if err := s.place(ctx, o, body, sums); err != nil {
+	if err := s.submitWithBody(ctx, op, body, sums); err != nil {
 		return Info{}, nil, err
 	}
-	e := entryOf(&o.rec, place{})
+	e := newEntry(&op.rec, location{})
 	stored := e.info()
-	if o.there {
-		was := o.was.info()
-		return stored, &was, nil
+	if op.replaces {
+		previous := op.previous.info()
+		return stored, &previous, nil
 	}
 	return stored, nil, nil
 }
 
-// place takes an operation's body and has the committer write its record.
-func (s *Store) place(ctx context.Context, o *op, body io.Reader, sums []uint32) error {
-	err := s.takeBody(o, body)
-	if err == nil && sums != nil && !slices.Equal(sums, o.rec.Checksums) {
+// submitWithBody reads the operation's body, verifies it against sums unless sums
+// is nil, and waits until the committer has written the record.
+func (s *Store) submitWithBody(ctx context.Context, op *operation, body io.Reader, sums []uint32) error {
+	err := s.receiveBody(op, body)
+	if err == nil && sums != nil && !slices.Equal(sums, op.rec.Checksums) {
 		err = ErrChecksumMismatch
 	}
 	if err == nil {
 		err = ctx.Err()
 	}
 	if err == nil {
-		err = s.submit(o)
+		err = s.submit(op)
 	}
-	if err != nil && o.rec.BodyFile != 0 && !o.logged { // else the next start decides
-		s.dropBody(o.rec.BodyFile)
+	if err != nil && op.rec.BodyFile != 0 && !op.maybeLogged { // a record that may be on disk is resolved by recovery
+		s.removeBodyFile(op.rec.BodyFile)
 	}
 	return err
 }
 
-// admit refuses early what would be refused late.
-func (s *Store) admit(space string, info Info, c Condition) error {
+// checkEarly rejects a write before its body is read if its condition does not
+// hold or if free space is short. The committer checks the condition again.
+func (s *Store) checkEarly(space string, info Info, cond Condition) error {
 	s.mu.RLock()
-	e, there := s.index.get(space, info.Name)
+	current, exists := s.index.get(space, info.Name)
 	s.mu.RUnlock()
-	if err := c.check(e, there); err != nil {
+	if err := cond.check(current, exists); err != nil {
 		return err
 	}
 	free, err := s.fs.Free()
 	if err != nil {
 		return err
 	}
-	if free < s.reserve()+info.Size {
+	if free < s.reservedBytes()+info.Size {
 		return ErrNoSpace
 	}
 	return nil
 }
 
-// reserve returns the bytes that writes leave free: for deletes, for what
-// compaction moves before it frees, and for the next checkpoint.
-func (s *Store) reserve() int64 {
+// reservedBytes returns the free space that writes must leave: for deletes, for
+// records that compaction copies before it can free their segment, and for the
+// next checkpoint.
+func (s *Store) reservedBytes() int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.opt.ReserveBytes + 2*s.checkSize
+	return s.opt.ReserveBytes + 2*s.encodedIndexBytes
 }
 
-// takeBody reads the body into memory or, where it is large, its own file.
-func (s *Store) takeBody(o *op, body io.Reader) error {
-	if o.rec.Size <= s.opt.MaxInlineBytes {
-		o.body = make([]byte, o.rec.Size)
-		if _, err := io.ReadFull(body, o.body); err != nil {
-			return cutShort(err)
+// receiveBody reads the body into memory or, if it is larger than MaxInlineBytes,
+// into a new synced file, and computes its checksums.
+func (s *Store) receiveBody(op *operation, body io.Reader) error {
+	if op.rec.Size <= s.opt.MaxInlineBytes {
+		op.body = make([]byte, op.rec.Size)
+		if _, err := io.ReadFull(body, op.body); err != nil {
+			return unexpectedEOF(err)
 		}
-		o.rec.Checksums = record.AppendChecksums(nil, o.body)
+		op.rec.Checksums = record.AppendChecksums(nil, op.body)
 		return nil
 	}
-	s.counts.BodyFiles.Add(1)
-	o.rec.Flags |= record.FlagBodyFile
+	s.counters.BodyFiles.Add(1)
+	op.rec.Flags |= record.FlagBodyFile
 	s.mu.Lock()
-	s.files++
-	o.rec.BodyFile = s.files
-	s.flying[s.files] = true
+	s.lastBodyFile++
+	op.rec.BodyFile = s.lastBodyFile
+	s.unreferencedFiles[s.lastBodyFile] = true
 	s.mu.Unlock()
-	if err := s.fs.MkdirAll(bodyDir(o.rec.BodyFile)); err != nil {
+	if err := s.fs.MkdirAll(bodyDir(op.rec.BodyFile)); err != nil {
 		return err
 	}
-	f, err := s.fs.Create(bodyFile(o.rec.BodyFile))
+	f, err := s.fs.Create(bodyFile(op.rec.BodyFile))
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	buf := blocks.Get().(*[record.BlockSize]byte)
-	defer blocks.Put(buf)
-	for at := int64(0); at < o.rec.Size; {
-		part := buf[:min(record.BlockSize, o.rec.Size-at)]
-		if _, err := io.ReadFull(body, part); err != nil {
-			return cutShort(err)
+	buf := blockPool.Get().(*[record.BlockSize]byte)
+	defer blockPool.Put(buf)
+	for offset := int64(0); offset < op.rec.Size; {
+		block := buf[:min(record.BlockSize, op.rec.Size-offset)]
+		if _, err := io.ReadFull(body, block); err != nil {
+			return unexpectedEOF(err)
 		}
-		o.rec.Checksums = append(o.rec.Checksums, record.Checksum(part))
-		if _, err := f.WriteAt(part, at); err != nil {
+		op.rec.Checksums = append(op.rec.Checksums, record.Checksum(block))
+		if _, err := f.WriteAt(block, offset); err != nil {
 			return err
 		}
-		at += int64(len(part))
+		offset += int64(len(block))
 	}
 	return f.Sync()
 }
 
-var blocks = sync.Pool{New: func() any { return new([record.BlockSize]byte) }}
+var blockPool = sync.Pool{New: func() any { return new([record.BlockSize]byte) }}
 
-func cutShort(err error) error {
+// unexpectedEOF replaces io.EOF, which means that the body is too short.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// bodiesMost is how many bodies' files a directory has.
-const bodiesMost = 4096
+// bodiesPerDir is the number of body files in one directory.
+const bodiesPerDir = 4096
 
-func bodyDir(file uint64) string  { return fmt.Sprintf("bodies/%08x", file/bodiesMost) }
+func bodyDir(file uint64) string  { return fmt.Sprintf("bodies/%08x", file/bodiesPerDir) }
 func bodyFile(file uint64) string { return fmt.Sprintf("%s/%016x", bodyDir(file), file) }
 
-// Delete removes a blob and returns what it was, when that is durable.
-func (s *Store) Delete(space, name string, c Condition) (Info, error) {
+// Delete removes a blob and returns its info once the removal is durable.
+func (s *Store) Delete(space, name string, cond Condition) (Info, error) {
 	s.mu.RLock()
-	e, there := s.index.get(space, name)
+	current, exists := s.index.get(space, name)
 	s.mu.RUnlock()
-	if err := c.check(e, there); err != nil {
+	if err := cond.check(current, exists); err != nil {
 		return Info{}, err
 	}
-	if !there {
+	if !exists {
 		return Info{}, ErrNotFound
 	}
-	o := &op{space: space, cond: c, rec: record.Record{Kind: record.KindDelete, Space: space, Name: name}}
-	if err := s.submit(o); err != nil {
+	op := &operation{space: space, cond: cond, rec: record.Record{Kind: record.KindDelete, Space: space, Name: name}}
+	if err := s.submit(op); err != nil {
 		return Info{}, err
 	}
-	return o.was.info(), nil
+	return op.previous.info(), nil
 }
 
-// segment is one of the log's files, open while it is in the index or a
-// reader holds it.
+// segment is an open log file. It is reference-counted: the store's segment table
+// and every reader hold a reference, and the last release closes the file.
 type segment struct {
-	number uint32
-	file   disk.File
-	size   int64 // of what was acknowledged, with its header; guarded by Store.mu
-	live   int64 // bytes that entries hold; guarded by Store.mu
-	born   int64 // the number of its first group, for its age
-	refs   atomic.Int64
+	number     uint32
+	file       disk.File
+	size       int64 // header and acknowledged groups; guarded by Store.mu
+	liveBytes  int64 // bytes of records that the index refers to; guarded by Store.mu
+	firstGroup int64 // number of its first group, from which its age is derived
+	refs       atomic.Int64
 }
 
+// newSegment returns a segment with one reference, for the store's table.
 func newSegment(number uint32, f disk.File) *segment {
 	seg := &segment{number: number, file: f}
 	seg.refs.Store(1)
 	return seg
 }
 
-func (g *segment) hold() *segment {
-	g.refs.Add(1)
-	return g
+// retain adds a reference, which the caller must release.
+func (seg *segment) retain() *segment {
+	seg.refs.Add(1)
+	return seg
 }
 
-func (g *segment) release() {
-	if g.refs.Add(-1) == 0 {
-		g.file.Close()
+func (seg *segment) release() {
+	if seg.refs.Add(-1) == 0 {
+		seg.file.Close()
 	}
 }
 
@@ -420,4 +438,5 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-func newID() uint64 { return rand.Uint64() | 1 }
+// newStoreID returns a random identity; 0 is not a valid one.
+func newStoreID() uint64 { return rand.Uint64() | 1 }
