--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -68,7 +68,7 @@
 }
 
 // nextGroup waits for operations and returns those of the next group: at least
-// one, and no more than fit into maxBytes. After close it returns nil once the
+// one, and no more than fit into maxBytes. After close it returns none once the
 // queue is empty.
 func (q *queue) nextGroup(maxBytes int64, delay time.Duration) []*operation {
 	q.mu.Lock()
--- a/internal/store/maintpolicy/maintpolicy.go
+++ b/internal/store/maintpolicy/maintpolicy.go
@@ -79,8 +79,9 @@
 //
 // The schedule is even progress until the deadline. On an idle brick the pass runs
 // ahead of it by up to MaxLead. Under live load it slows down, less so the further
-// it is behind. If even half of the maximum rate hardly meets the deadline, the
-// deadline takes precedence over live latency.
+// it is behind. Once meeting the deadline requires at least half of the maximum
+// rate, the deadline takes precedence over live latency, but the rate never
+// exceeds the maximum.
 func (p *ScrubPacer) NextBudget(elapsed time.Duration, done int64, load Load) (bytes int64, interval time.Duration) {
 	interval = 50 * time.Millisecond
 	remaining := p.TotalBytes - done
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -113,7 +113,8 @@
 	CorruptBlocks, CompactedSegments, MovedRecords, Checkpoints, BodyFiles atomic.Int64
 }
 
-// Damage describes stored data that is missing or differs from what was written.
+// Damage describes stored data that is missing, differs from what was written, or
+// is not referred to.
 type Damage struct {
 	File        string `json:"file"`
 	Offset      int64  `json:"offset"`
