--- a/cmd/arrowwalk/volume.go
+++ b/cmd/arrowwalk/volume.go
@@ -40,7 +40,7 @@
 		if v.Superseded {
 			socket += " (attached anew elsewhere)"
 		}
-		fmt.Fprintf(w, "%s\t%.1f\t%d\t%s\t%s\t%d\t%d\t%d\t%s\n", v.Name, float64(v.Bytes)/(1<<20), v.Block, v.Plan, v.Holder, v.Epoch, v.Requests, v.Errors, socket)
+		fmt.Fprintf(w, "%s\t%.1f\t%d\t%s\t%s\t%d\t%d\t%d\t%s\n", v.Name, float64(v.SizeBytes)/(1<<20), v.BlockBytes, v.Plan, v.Holder, v.Epoch, v.Requests, v.Errors, socket)
 	}
 	return w.Flush()
 }
--- a/internal/bench/rings.go
+++ b/internal/bench/rings.go
@@ -112,7 +112,7 @@
 		}
 	}
 	copySocket := filepath.Join(dir, "copy.sock")
-	plain, err := vhost.Listen(copySocket, vhost.Disk{Name: "copy", Bytes: ringDisk, Block: 512, Extent: 64 << 10, Backend: &memory{data: make([]byte, ringDisk)}}, nil)
+	plain, err := vhost.Listen(copySocket, vhost.Disk{Name: "copy", SizeBytes: ringDisk, BlockBytes: 512, ExtentBytes: 64 << 10, Backend: &memory{data: make([]byte, ringDisk)}}, nil)
 	if err != nil {
 		return err
 	}
--- a/internal/control/protocol.go
+++ b/internal/control/protocol.go
@@ -66,7 +66,7 @@
 
 // VolumeInfo is a block volume as operators see it.
 type VolumeInfo struct {
-	extent.Record
+	extent.VolumeRecord
 	Socket     string `json:"socket,omitempty"` // where this host exports it
 	Requests   int64  `json:"requests,omitempty"`
 	Errors     int64  `json:"errors,omitempty"`
--- a/internal/front/vhost/blk/blk.go
+++ b/internal/front/vhost/blk/blk.go
@@ -7,7 +7,7 @@
 	"errors"
 	"fmt"
 
-	"arrowwalk/internal/front/vhost/ring"
+	"arrowwalk/internal/front/vhost/virtqueue"
 )
 
 // SectorSize is the unit of a request's addresses.
@@ -52,15 +52,15 @@
 
 // Range is a part of a disk for Discard and WriteZeroes, in bytes.
 type Range struct {
-	From, Bytes int64
-	Unmap       bool
+	Offset, Bytes int64
+	Unmap         bool
 }
 
 // Request is one request. Data is guest memory: what Out writes to the disk, or
 // what In fills.
 type Request struct {
 	Kind   Kind
-	From   int64 // bytes
+	Offset int64 // bytes
 	Bytes  int64
 	Data   [][]byte
 	Ranges []Range
@@ -70,40 +70,40 @@
 const (
 	headSize = 16
 	idSize   = 20
-	// RangesMost is how many ranges a request may name.
-	RangesMost = 16
-	rangeSize  = 16
+	// MaxRanges is how many ranges a request may name.
+	MaxRanges = 16
+	rangeSize = 16
 )
 
-// ErrBad says that a chain is no request: there may be no place for a status.
-var ErrBad = errors.New("virtio-blk: no request")
+// ErrMalformed says that a chain is no request: there may be no place for a status.
+var ErrMalformed = errors.New("virtio-blk: no request")
 
 // Disk is what requests are checked against.
 type Disk struct {
-	Bytes    int64
-	Block    int64 // requests are of whole blocks
-	ReadOnly bool
+	SizeBytes  int64
+	BlockBytes int64 // requests are of whole blocks
+	ReadOnly   bool
 }
 
 // Parse reads a request out of a chain, which may be split in any way. Where
 // the chain has a place for a status, a bad request is answered there: status
 // is then not OK, and err nil.
-func (r *Request) Parse(c *ring.Chain, d *Disk) (Status, error) {
+func (r *Request) Parse(c *virtqueue.Chain, d *Disk) (Status, error) {
 	r.Data, r.Ranges, r.status = r.Data[:0], r.Ranges[:0], nil
 	segments := c.Segments
-	if len(segments) < 2 || segments[0].Write || !segments[len(segments)-1].Write {
-		return IOErr, fmt.Errorf("%w: %d segments", ErrBad, len(segments))
+	if len(segments) < 2 || segments[0].DeviceWrites || !segments[len(segments)-1].DeviceWrites {
+		return IOErr, fmt.Errorf("%w: %d segments", ErrMalformed, len(segments))
 	}
 	last := segments[len(segments)-1].Data
 	if len(last) == 0 {
-		return IOErr, fmt.Errorf("%w: no room for a status", ErrBad)
+		return IOErr, fmt.Errorf("%w: no room for a status", ErrMalformed)
 	}
 	r.status = last[len(last)-1:]
 	var head [headSize]byte
 	rest, got := segments, 0
 	for got < headSize { // the head may be split over segments
-		if len(rest) == 0 || rest[0].Write {
-			return IOErr, fmt.Errorf("%w: a head of %d bytes", ErrBad, got)
+		if len(rest) == 0 || rest[0].DeviceWrites {
+			return IOErr, fmt.Errorf("%w: a head of %d bytes", ErrMalformed, got)
 		}
 		n := copy(head[got:], rest[0].Data)
 		got += n
@@ -122,7 +122,7 @@
 	}
 }
 
-func (r *Request) parse(head []byte, rest []ring.Segment, d *Disk) Status {
+func (r *Request) parse(head []byte, rest []virtqueue.Segment, d *Disk) Status {
 	r.Bytes = 0
 	for _, b := range r.Data {
 		r.Bytes += int64(len(b))
@@ -138,7 +138,7 @@
 		if i == len(rest)-1 {
 			data = data[:len(data)-1] // the status
 		}
-		if s.Write != writes && len(data) > 0 {
+		if s.DeviceWrites != writes && len(data) > 0 {
 			return IOErr
 		}
 		r.add(data)
@@ -160,11 +160,11 @@
 }
 
 func (r *Request) checkTransfer(sector uint64, d *Disk) Status {
-	if sector > uint64(d.Bytes)/SectorSize {
+	if sector > uint64(d.SizeBytes)/SectorSize {
 		return IOErr
 	}
-	r.From = int64(sector) * SectorSize
-	if r.Bytes == 0 || r.Bytes%d.Block != 0 || r.From%d.Block != 0 || r.Bytes > d.Bytes-r.From || r.Kind == Out && d.ReadOnly {
+	r.Offset = int64(sector) * SectorSize
+	if r.Bytes == 0 || r.Bytes%d.BlockBytes != 0 || r.Offset%d.BlockBytes != 0 || r.Bytes > d.SizeBytes-r.Offset || r.Kind == Out && d.ReadOnly {
 		return IOErr
 	}
 	return OK
@@ -173,10 +173,10 @@
 // ranges reads the ranges of a Discard or WriteZeroes, once, out of memory
 // that the guest may change meanwhile.
 func (r *Request) ranges(d *Disk) Status {
-	if r.Bytes == 0 || r.Bytes%rangeSize != 0 || r.Bytes > RangesMost*rangeSize || d.ReadOnly {
+	if r.Bytes == 0 || r.Bytes%rangeSize != 0 || r.Bytes > MaxRanges*rangeSize || d.ReadOnly {
 		return IOErr
 	}
-	var text [RangesMost * rangeSize]byte
+	var text [MaxRanges * rangeSize]byte
 	n := 0
 	for _, b := range r.Data {
 		n += copy(text[n:], b)
@@ -188,7 +188,7 @@
 		if flags&^1 != 0 || flags != 0 && r.Kind == Discard {
 			return Unsupported
 		}
-		if sector > uint64(d.Bytes)/SectorSize || bytes > d.Bytes-int64(sector)*SectorSize || bytes%d.Block != 0 || int64(sector)*SectorSize%d.Block != 0 {
+		if sector > uint64(d.SizeBytes)/SectorSize || bytes > d.SizeBytes-int64(sector)*SectorSize || bytes%d.BlockBytes != 0 || int64(sector)*SectorSize%d.BlockBytes != 0 {
 			return IOErr
 		}
 		r.Ranges = append(r.Ranges, Range{int64(sector) * SectorSize, bytes, flags&1 != 0})
@@ -197,9 +197,9 @@
 	return OK
 }
 
-// Finish writes the status, and returns how many bytes of the chain were
+// WriteStatus writes the status, and returns how many bytes of the chain were
 // written in all.
-func (r *Request) Finish(s Status) uint32 {
+func (r *Request) WriteStatus(s Status) uint32 {
 	r.status[0] = byte(s)
 	if s == OK && r.Kind == In {
 		return uint32(r.Bytes) + 1
@@ -210,8 +210,8 @@
 	return 1
 }
 
-// FillID writes a device's name into a GetID's data.
-func (r *Request) FillID(name string) {
+// WriteID writes a device's name into a GetID's data.
+func (r *Request) WriteID(name string) {
 	var id [idSize]byte
 	copy(id[:], name)
 	rest := id[:]
@@ -222,25 +222,25 @@
 
 // Config is the configuration space of a device.
 type Config struct {
-	Bytes  int64
-	Block  int64
-	Queues uint16
-	SegMax uint32
+	SizeBytes  int64
+	BlockBytes int64
+	Queues     uint16
+	SegMax     uint32
 }
 
 // Append writes the configuration space (virtio 1.2, section 5.2.4).
 func (c Config) Append(b []byte) []byte {
 	le := binary.LittleEndian
 	var p [60]byte
-	le.PutUint64(p[0:], uint64(c.Bytes)/SectorSize)
+	le.PutUint64(p[0:], uint64(c.SizeBytes)/SectorSize)
 	le.PutUint32(p[12:], c.SegMax)
-	le.PutUint32(p[20:], uint32(c.Block))
+	le.PutUint32(p[20:], uint32(c.BlockBytes))
 	le.PutUint16(p[34:], c.Queues)
 	le.PutUint32(p[36:], 1<<16) // max_discard_sectors
-	le.PutUint32(p[40:], RangesMost)
-	le.PutUint32(p[44:], uint32(c.Block)/SectorSize)
+	le.PutUint32(p[40:], MaxRanges)
+	le.PutUint32(p[44:], uint32(c.BlockBytes)/SectorSize)
 	le.PutUint32(p[48:], 1<<16) // max_write_zeroes_sectors
-	le.PutUint32(p[52:], RangesMost)
+	le.PutUint32(p[52:], MaxRanges)
 	p[56] = 1 // write_zeroes_may_unmap
 	return append(b, p[:]...)
 }
--- a/internal/front/vhost/device.go
+++ b/internal/front/vhost/device.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sys/unix"
 
 	"arrowwalk/internal/front/vhost/blk"
-	"arrowwalk/internal/front/vhost/memory"
-	"arrowwalk/internal/front/vhost/ring"
-	"arrowwalk/internal/volume/order"
+	"arrowwalk/internal/front/vhost/guestmem"
+	"arrowwalk/internal/front/vhost/virtqueue"
+	"arrowwalk/internal/volume/ordering"
 )
 
 // Backend is what a device's requests are done by (volume.Volume). Buffers are
@@ -26,11 +26,11 @@
 
 // Disk is a device's disk.
 type Disk struct {
-	Name    string
-	Bytes   int64
-	Block   int64
-	Extent  int64
-	Backend Backend
+	Name        string
+	SizeBytes   int64
+	BlockBytes  int64
+	ExtentBytes int64
+	Backend     Backend
 }
 
 // Stats are counts of a device.
@@ -47,7 +47,7 @@
 	end   context.CancelFunc
 
 	mu    sync.Mutex // board and ops
-	board *order.Board
+	board *ordering.Tracker
 	ops   []*op
 	free  []uint32
 	wg    sync.WaitGroup
@@ -60,16 +60,16 @@
 type op struct {
 	id    uint32
 	queue *queue
-	chain ring.Chain
+	chain virtqueue.Chain
 	req   blk.Request
-	parts []order.Op
+	parts []ordering.Op
 }
 
 // workersMost is how many requests of a device run side by side.
 const workersMost = 256
 
 func newDevice(disk Disk, stats *Stats) *device {
-	d := &device{disk: disk, stats: stats, board: order.NewBoard(disk.Extent), work: make(chan *op, workersMost)}
+	d := &device{disk: disk, stats: stats, board: ordering.NewTracker(disk.ExtentBytes), work: make(chan *op, workersMost)}
 	d.ctx, d.end = context.WithCancel(context.Background())
 	return d
 }
@@ -117,26 +117,26 @@
 
 // whole is the op of the order board: where a request names several ranges it
 // stands for all that is between.
-func (o *op) whole() order.Op {
+func (o *op) whole() ordering.Op {
 	switch o.req.Kind {
 	case blk.In:
-		return order.Op{Kind: order.Read, From: o.req.From, Bytes: o.req.Bytes}
+		return ordering.Op{Kind: ordering.Read, Offset: o.req.Offset, Bytes: o.req.Bytes}
 	case blk.Out:
-		return order.Op{Kind: order.Write, From: o.req.From, Bytes: o.req.Bytes}
+		return ordering.Op{Kind: ordering.Write, Offset: o.req.Offset, Bytes: o.req.Bytes}
 	case blk.Discard, blk.WriteZeroes:
 		from, to := int64(1)<<62, int64(0)
 		for _, r := range o.req.Ranges {
-			from, to = min(from, r.From), max(to, r.From+r.Bytes)
+			from, to = min(from, r.Offset), max(to, r.Offset+r.Bytes)
 		}
-		return order.Op{Kind: order.Write, From: from, Bytes: max(0, to-from)}
+		return ordering.Op{Kind: ordering.Write, Offset: from, Bytes: max(0, to-from)}
 	}
-	return order.Op{Kind: order.Flush}
+	return ordering.Op{Kind: ordering.Flush}
 }
 
 // take parses a chain and has it run when its turn is. The error says that the
 // driver broke the rules.
 func (d *device) take(o *op) error {
-	status, err := o.req.Parse(&o.chain, &blk.Disk{Bytes: d.disk.Bytes, Block: d.disk.Block})
+	status, err := o.req.Parse(&o.chain, &blk.Disk{SizeBytes: d.disk.SizeBytes, BlockBytes: d.disk.BlockBytes})
 	if err != nil {
 		return err
 	}
@@ -146,7 +146,7 @@
 		return nil
 	}
 	if o.req.Kind == blk.GetID {
-		o.req.FillID(d.disk.Name)
+		o.req.WriteID(d.disk.Name)
 		d.finish(o, blk.OK)
 		return nil
 	}
@@ -184,19 +184,19 @@
 }
 
 func (d *device) run(o *op) {
-	err := memory.Guarded(func() error { return d.do(&o.req) })
+	err := guestmem.RecoverFaults(func() error { return d.do(&o.req) })
 	status := blk.OK
 	if err != nil {
 		status = blk.IOErr
 	}
 	d.mu.Lock()
-	ready := d.board.Done(o.id, nil)
+	ready := d.board.Complete(o.id, nil)
 	next := make([]*op, len(ready))
 	for i, id := range ready {
 		next[i] = d.ops[id]
 	}
 	d.mu.Unlock()
-	if errors.Is(err, memory.ErrFault) {
+	if errors.Is(err, guestmem.ErrFault) {
 		o.queue.fail(err)
 	}
 	d.finish(o, status)
@@ -208,12 +208,12 @@
 func (d *device) do(r *blk.Request) error {
 	switch r.Kind {
 	case blk.In:
-		return d.disk.Backend.Read(d.ctx, r.From, r.Data)
+		return d.disk.Backend.Read(d.ctx, r.Offset, r.Data)
 	case blk.Out:
-		return d.disk.Backend.Write(d.ctx, r.From, r.Data)
+		return d.disk.Backend.Write(d.ctx, r.Offset, r.Data)
 	case blk.Discard, blk.WriteZeroes:
 		for _, one := range r.Ranges {
-			if err := d.disk.Backend.Zero(d.ctx, one.From, one.Bytes); err != nil {
+			if err := d.disk.Backend.Zero(d.ctx, one.Offset, one.Bytes); err != nil {
 				return err
 			}
 		}
@@ -230,13 +230,13 @@
 	q := o.queue
 	q.mu.Lock()
 	if d.ctx.Err() == nil && q.broken == nil {
-		err := memory.Guarded(func() error {
+		err := guestmem.RecoverFaults(func() error {
 			q.inflight.giving(o.chain.Head)
-			q.ring.Put(o.chain.Head, o.req.Finish(status))
+			q.ring.PushUsed(o.chain.Head, o.req.WriteStatus(status))
 			q.inflight.gave(o.chain.Head, q.ring.UsedIndex())
 			return nil
 		})
-		if err == nil && q.ring.Notify() {
+		if err == nil && q.ring.ShouldNotify() {
 			q.signal()
 		}
 	}
@@ -258,7 +258,7 @@
 type queue struct {
 	index    int
 	d        *device
-	ring     *ring.Queue
+	ring     *virtqueue.Queue
 	inflight *inflight
 	kick     *os.File
 	call     int // eventfd; -1: none
@@ -312,7 +312,7 @@
 func (q *queue) run(restore []uint16) {
 	defer close(q.ended)
 	for _, head := range restore {
-		if !q.handle(func(o *op) (bool, error) { return true, q.ring.Chain(head, &o.chain) }, false) {
+		if !q.handle(func(o *op) (bool, error) { return true, q.ring.ReadChain(head, &o.chain) }, false) {
 			return
 		}
 	}
@@ -327,7 +327,7 @@
 				continue
 			}
 			armed := false
-			if err := memory.Guarded(func() error { armed = !q.ring.Arm(); return nil }); err != nil {
+			if err := guestmem.RecoverFaults(func() error { armed = !q.ring.EnableKicks(); return nil }); err != nil {
 				q.fail(err)
 				return
 			}
@@ -346,7 +346,7 @@
 func (q *queue) pop() (more, ok bool) {
 	ok = q.handle(func(o *op) (bool, error) {
 		var err error
-		more, err = q.ring.Next(&o.chain)
+		more, err = q.ring.PopAvail(&o.chain)
 		return more, err
 	}, true)
 	return more, ok
@@ -356,7 +356,7 @@
 func (q *queue) handle(next func(o *op) (bool, error), mark bool) bool {
 	o := q.d.newOp()
 	taken := false
-	err := memory.Guarded(func() error {
+	err := guestmem.RecoverFaults(func() error {
 		var err error
 		taken, err = next(o)
 		if err != nil || !taken {
--- a/internal/front/vhost/memory/memory.go
+++ b/internal/front/vhost/guestmem/memory.go
@@ -2,7 +2,7 @@
 // addresses or the front-end's. Nothing outside the regions is ever touched. A
 // region whose file shrank after it was mapped faults when touched (SIGBUS):
 // Guarded turns that into an error for the goroutine that met it.
-package memory
+package guestmem
 
 import (
 	"errors"
@@ -15,8 +15,8 @@
 	"arrowwalk/internal/front/vhost/wire"
 )
 
-// ErrOutside says that an address range is not whole inside one region.
-var ErrOutside = errors.New("guest memory: outside the regions")
+// ErrOutOfRange says that an address range is not whole inside one region.
+var ErrOutOfRange = errors.New("guest memory: outside the regions")
 
 // ErrFault says that mapped memory has gone from under the mapping.
 var ErrFault = errors.New("guest memory: the region's file shrank")
@@ -44,7 +44,7 @@
 	total := uint64(0)
 	for i, r := range list {
 		for j := range i {
-			if o := list[j]; r.Guest < o.Guest+o.Size && o.Guest < r.Guest+r.Size {
+			if o := list[j]; r.GuestAddr < o.GuestAddr+o.Size && o.GuestAddr < r.GuestAddr+r.Size {
 				t.Unmap()
 				return nil, fmt.Errorf("memory table: regions %d and %d overlap", j, i)
 			}
@@ -66,11 +66,11 @@
 	if err := unix.Fstat(fd, &st); err != nil {
 		return err
 	}
-	if st.Mode&unix.S_IFMT == unix.S_IFREG && r.Offset+r.Size > uint64(st.Size) {
-		return fmt.Errorf("%d bytes at %d of a file of %d", r.Size, r.Offset, st.Size)
+	if st.Mode&unix.S_IFMT == unix.S_IFREG && r.FileOffset+r.Size > uint64(st.Size) {
+		return fmt.Errorf("%d bytes at %d of a file of %d", r.Size, r.FileOffset, st.Size)
 	}
-	skip := r.Offset % page
-	mapped, err := unix.Mmap(fd, int64(r.Offset-skip), int(r.Size+skip), unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED)
+	skip := r.FileOffset % page
+	mapped, err := unix.Mmap(fd, int64(r.FileOffset-skip), int(r.Size+skip), unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED)
 	if err != nil {
 		return fmt.Errorf("mmap: %w", err)
 	}
@@ -90,27 +90,27 @@
 func (t *Table) Guest(addr, n uint64) ([]byte, error) {
 	for i := range t.regions {
 		r := &t.regions[i]
-		if at := addr - r.Guest; addr >= r.Guest && at < r.Size && n <= r.Size-at {
+		if at := addr - r.GuestAddr; addr >= r.GuestAddr && at < r.Size && n <= r.Size-at {
 			return r.data[at : at+n : at+n], nil
 		}
 	}
-	return nil, fmt.Errorf("%w: %d bytes at %#x", ErrOutside, n, addr)
+	return nil, fmt.Errorf("%w: %d bytes at %#x", ErrOutOfRange, n, addr)
 }
 
 // User returns n bytes at an address of the front-end's process.
 func (t *Table) User(addr, n uint64) ([]byte, error) {
 	for i := range t.regions {
 		r := &t.regions[i]
-		if at := addr - r.User; addr >= r.User && at < r.Size && n <= r.Size-at {
+		if at := addr - r.UserAddr; addr >= r.UserAddr && at < r.Size && n <= r.Size-at {
 			return r.data[at : at+n : at+n], nil
 		}
 	}
-	return nil, fmt.Errorf("%w: %d bytes at the front-end's %#x", ErrOutside, n, addr)
+	return nil, fmt.Errorf("%w: %d bytes at the front-end's %#x", ErrOutOfRange, n, addr)
 }
 
-// Guarded calls do, and returns ErrFault where it touched memory that has gone
+// RecoverFaults calls do, and returns ErrFault where it touched memory that has gone
 // from under its mapping. Other panics go on.
-func Guarded(do func() error) (err error) {
+func RecoverFaults(do func() error) (err error) {
 	old := debug.SetPanicOnFault(true)
 	defer func() {
 		debug.SetPanicOnFault(old)
--- a/internal/front/vhost/memory/memory_test.go
+++ b/internal/front/vhost/guestmem/memory_test.go
@@ -1,4 +1,4 @@
-package memory
+package guestmem
 
 import (
 	"errors"
@@ -27,7 +27,7 @@
 // sum overflows or two regions touch.
 func TestAddresses(t *testing.T) {
 	a, b := file(t, 16384), file(t, 8192)
-	table, err := Map([]wire.Region{{Guest: 0x1000, Size: 8192, User: 0x70000, Offset: 100}, {Guest: 0x3000, Size: 8192, User: 0x90000}}, []int{a, b})
+	table, err := Map([]wire.Region{{GuestAddr: 0x1000, Size: 8192, UserAddr: 0x70000, FileOffset: 100}, {GuestAddr: 0x3000, Size: 8192, UserAddr: 0x90000}}, []int{a, b})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 		}
 	}
 	for _, c := range [][2]uint64{{0xfff, 1}, {0x1000, 8193}, {0x2fff, 2}, {0x5000, 1}, {0x3000, ^uint64(0)}, {^uint64(0), 2}, {0x4fff, 2}} {
-		if _, err := table.Guest(c[0], c[1]); !errors.Is(err, ErrOutside) {
+		if _, err := table.Guest(c[0], c[1]); !errors.Is(err, ErrOutOfRange) {
 			t.Errorf("%d bytes at %#x: %v", c[1], c[0], err)
 		}
 	}
@@ -51,7 +51,7 @@
 // the program goes on; other panics go on too.
 func TestShrinks(t *testing.T) {
 	fd := file(t, 8192)
-	table, err := Map([]wire.Region{{Guest: 0, Size: 8192}}, []int{fd})
+	table, err := Map([]wire.Region{{GuestAddr: 0, Size: 8192}}, []int{fd})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 	if err := unix.Ftruncate(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	if err := Guarded(func() error { data[0] = 1; return nil }); !errors.Is(err, ErrFault) {
+	if err := RecoverFaults(func() error { data[0] = 1; return nil }); !errors.Is(err, ErrFault) {
 		t.Errorf("touched what is gone: %v", err)
 	}
 	defer func() {
@@ -71,7 +71,7 @@
 			t.Error("another panic was swallowed")
 		}
 	}()
-	Guarded(func() error { panic("other") })
+	RecoverFaults(func() error { panic("other") })
 }
 
 // Tables that make no sense are not mapped.
@@ -82,7 +82,7 @@
 		fds  []int
 	}{
 		"descriptors": {[]wire.Region{{Size: 1}}, nil},
-		"overlap":     {[]wire.Region{{Guest: 0, Size: 4096}, {Guest: 4095, Size: 1}}, []int{fd, fd}},
+		"overlap":     {[]wire.Region{{GuestAddr: 0, Size: 4096}, {GuestAddr: 4095, Size: 1}}, []int{fd, fd}},
 		"of a file":   {[]wire.Region{{Size: 8192}}, []int{fd}},
 		"more than":   {[]wire.Region{{Size: 1 << 50}}, []int{fd}},
 		"region 0":    {[]wire.Region{{Size: 1}}, []int{-1}},
--- a/internal/front/vhost/server.go
+++ b/internal/front/vhost/server.go
@@ -17,8 +17,8 @@
 	"golang.org/x/sys/unix"
 
 	"arrowwalk/internal/front/vhost/blk"
-	"arrowwalk/internal/front/vhost/memory"
-	"arrowwalk/internal/front/vhost/ring"
+	"arrowwalk/internal/front/vhost/guestmem"
+	"arrowwalk/internal/front/vhost/virtqueue"
 	"arrowwalk/internal/front/vhost/wire"
 )
 
@@ -110,7 +110,7 @@
 	d        *device
 	features uint64
 	protocol uint64
-	mem      *memory.Table
+	mem      *guestmem.Table
 	regions  []wire.Region
 	fds      []int // of the regions, until they are mapped anew
 	queues   [queuesMost]vring
@@ -161,7 +161,7 @@
 
 // message is one that was received.
 type message struct {
-	wire.Head
+	wire.Header
 	payload []byte
 	fds     []int
 }
@@ -176,7 +176,7 @@
 // takeFD returns the one descriptor that a message carries.
 func (m *message) takeFD() (int, error) {
 	if len(m.fds) != 1 {
-		return 0, fmt.Errorf("%w: request %d with %d descriptors, want 1", wire.ErrBad, m.Request, len(m.fds))
+		return 0, fmt.Errorf("%w: request %d with %d descriptors, want 1", wire.ErrMalformed, m.Request, len(m.fds))
 	}
 	fd := m.fds[0]
 	m.fds = nil
@@ -186,8 +186,8 @@
 // receive reads one message; a front-end that stops in the middle of one has a
 // few seconds.
 func (x *session) receive(m *message) error {
-	var head [wire.HeadSize]byte
-	oob := make([]byte, unix.CmsgSpace(wire.FDsMost*4))
+	var head [wire.HeaderSize]byte
+	oob := make([]byte, unix.CmsgSpace(wire.MaxFDs*4))
 	x.nc.SetReadDeadline(time.Time{})
 	n, oobn, flags, _, err := x.nc.ReadMsgUnix(head[:], oob)
 	if err != nil {
@@ -198,13 +198,13 @@
 	}
 	m.fds = parseFDs(oob[:oobn])
 	if flags&unix.MSG_CTRUNC != 0 {
-		return fmt.Errorf("%w: more than %d descriptors", wire.ErrBad, wire.FDsMost)
+		return fmt.Errorf("%w: more than %d descriptors", wire.ErrMalformed, wire.MaxFDs)
 	}
 	x.nc.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := io.ReadFull(x.nc, head[n:]); err != nil {
 		return err
 	}
-	if m.Head, err = wire.ParseHead(head[:]); err != nil {
+	if m.Header, err = wire.ParseHeader(head[:]); err != nil {
 		return err
 	}
 	m.payload = make([]byte, m.Size)
@@ -266,7 +266,7 @@
 
 func (x *session) answer(r wire.Request, payload []byte) error {
 	x.nc.SetWriteDeadline(time.Now().Add(5 * time.Second))
-	b := wire.AppendHead(make([]byte, 0, wire.HeadSize+len(payload)), wire.Head{Request: r, Reply: true, Size: uint32(len(payload))})
+	b := wire.AppendHeader(make([]byte, 0, wire.HeaderSize+len(payload)), wire.Header{Request: r, Reply: true, Size: uint32(len(payload))})
 	_, err := x.nc.Write(append(b, payload...))
 	return err
 }
@@ -277,18 +277,18 @@
 	case wire.GetFeatures:
 		return wire.AppendU64(nil, features), nil
 	case wire.SetFeatures:
-		v, err := wire.U64(m.payload)
+		v, err := wire.ParseU64(m.payload)
 		if err == nil && v&^uint64(features) != 0 {
-			err = fmt.Errorf("%w: features %#x were not offered", wire.ErrBad, v&^uint64(features))
+			err = fmt.Errorf("%w: features %#x were not offered", wire.ErrMalformed, v&^uint64(features))
 		}
 		x.features = v
 		return nil, err
 	case wire.GetProtocolFeatures:
 		return wire.AppendU64(nil, protocolFeatures), nil
 	case wire.SetProtocolFeatures:
-		v, err := wire.U64(m.payload)
+		v, err := wire.ParseU64(m.payload)
 		if err == nil && v&^uint64(protocolFeatures) != 0 {
-			err = fmt.Errorf("%w: protocol features %#x were not offered", wire.ErrBad, v&^uint64(protocolFeatures))
+			err = fmt.Errorf("%w: protocol features %#x were not offered", wire.ErrMalformed, v&^uint64(protocolFeatures))
 		}
 		x.protocol = v
 		return nil, err
@@ -333,7 +333,7 @@
 	switch m.Request {
 	case wire.SetVringNum, wire.SetVringBase, wire.GetVringBase, wire.SetVringEnable:
 	default:
-		return nil, fmt.Errorf("%w: request %d is not known", wire.ErrBad, m.Request)
+		return nil, fmt.Errorf("%w: request %d is not known", wire.ErrMalformed, m.Request)
 	}
 	st, err := wire.ParseVringState(m.payload)
 	if err != nil {
@@ -345,8 +345,8 @@
 	}
 	switch m.Request {
 	case wire.SetVringNum:
-		if st.Num == 0 || st.Num > ring.SizeMost || v.run != nil {
-			return nil, fmt.Errorf("%w: queue %d of %d entries", wire.ErrBad, st.Index, st.Num)
+		if st.Num == 0 || st.Num > virtqueue.MaxSize || v.run != nil {
+			return nil, fmt.Errorf("%w: queue %d of %d entries", wire.ErrMalformed, st.Index, st.Num)
 		}
 		v.num = uint16(st.Num)
 	case wire.SetVringBase:
@@ -367,14 +367,14 @@
 
 func (x *session) vring(index uint32) (*vring, error) {
 	if index >= queuesMost {
-		return nil, fmt.Errorf("%w: queue %d of %d", wire.ErrBad, index, queuesMost)
+		return nil, fmt.Errorf("%w: queue %d of %d", wire.ErrMalformed, index, queuesMost)
 	}
 	return &x.queues[index], nil
 }
 
 // setFD takes a queue's kick, call or error descriptor.
 func (x *session) setFD(m *message) error {
-	n, err := wire.U64(m.payload)
+	n, err := wire.ParseU64(m.payload)
 	if err != nil {
 		return err
 	}
@@ -408,7 +408,7 @@
 	closeFD(&v.kick)
 	v.kick = fd + 1
 	if fd < 0 {
-		return fmt.Errorf("%w: queue %d without a kick descriptor: polling is not offered", wire.ErrBad, n&0xff)
+		return fmt.Errorf("%w: queue %d without a kick descriptor: polling is not offered", wire.ErrMalformed, n&0xff)
 	}
 	if x.features&blk.FeatureProtocol == 0 {
 		v.enabled = true
@@ -425,9 +425,9 @@
 	if err != nil {
 		return err
 	}
-	table, err := memory.Map(regions, m.fds)
+	table, err := guestmem.Map(regions, m.fds)
 	if err != nil {
-		return fmt.Errorf("%w: %w", wire.ErrBad, err)
+		return fmt.Errorf("%w: %w", wire.ErrMalformed, err)
 	}
 	var running []int
 	for i := range x.queues {
@@ -456,8 +456,8 @@
 	if m.Request == wire.SetConfig {
 		return nil, nil // nothing in it can be written but the cache mode, which is not offered
 	}
-	space := blk.Config{Bytes: x.s.disk.Bytes, Block: x.s.disk.Block, Queues: queuesMost, SegMax: segMax}.Append(nil)
-	space = append(space, make([]byte, wire.ConfigMost-len(space))...)
+	space := blk.Config{SizeBytes: x.s.disk.SizeBytes, BlockBytes: x.s.disk.BlockBytes, Queues: queuesMost, SegMax: segMax}.Append(nil)
+	space = append(space, make([]byte, wire.ConfigSpaceSize-len(space))...)
 	c.Data = space[c.Offset : int(c.Offset)+len(c.Data)]
 	return c.Append(nil), nil
 }
@@ -468,8 +468,8 @@
 	if err != nil {
 		return err
 	}
-	if in.Queues == 0 || in.Queues > queuesMost || in.QueueSize == 0 || in.QueueSize > ring.SizeMost {
-		return fmt.Errorf("%w: inflight region for %d queues of %d", wire.ErrBad, in.Queues, in.QueueSize)
+	if in.Queues == 0 || in.Queues > queuesMost || in.QueueSize == 0 || in.QueueSize > virtqueue.MaxSize {
+		return fmt.Errorf("%w: inflight region for %d queues of %d", wire.ErrMalformed, in.Queues, in.QueueSize)
 	}
 	in.MmapSize, in.MmapOffset = uint64(in.Queues)*inflightSize(in.QueueSize), 0
 	fd, err := unix.MemfdCreate("inflight", unix.MFD_CLOEXEC)
@@ -484,7 +484,7 @@
 		return err
 	}
 	payload := in.Append(nil)
-	b := wire.AppendHead(nil, wire.Head{Request: m.Request, Reply: true, Size: uint32(len(payload))})
+	b := wire.AppendHeader(nil, wire.Header{Request: m.Request, Reply: true, Size: uint32(len(payload))})
 	x.nc.SetWriteDeadline(time.Now().Add(5 * time.Second))
 	_, _, err = x.nc.WriteMsgUnix(append(b, payload...), unix.UnixRights(fd), nil)
 	return err
@@ -501,12 +501,12 @@
 		return err
 	}
 	defer unix.Close(fd)
-	if in.Queues == 0 || in.Queues > queuesMost || in.QueueSize == 0 || in.QueueSize > ring.SizeMost || in.MmapSize != uint64(in.Queues)*inflightSize(in.QueueSize) || in.MmapOffset != 0 {
-		return fmt.Errorf("%w: inflight region of %d bytes at %d for %d queues of %d", wire.ErrBad, in.MmapSize, in.MmapOffset, in.Queues, in.QueueSize)
+	if in.Queues == 0 || in.Queues > queuesMost || in.QueueSize == 0 || in.QueueSize > virtqueue.MaxSize || in.MmapSize != uint64(in.Queues)*inflightSize(in.QueueSize) || in.MmapOffset != 0 {
+		return fmt.Errorf("%w: inflight region of %d bytes at %d for %d queues of %d", wire.ErrMalformed, in.MmapSize, in.MmapOffset, in.Queues, in.QueueSize)
 	}
 	var st unix.Stat_t
 	if err := unix.Fstat(fd, &st); err != nil || uint64(st.Size) < in.MmapSize {
-		return fmt.Errorf("%w: inflight region: a file of %d bytes, %v", wire.ErrBad, st.Size, err)
+		return fmt.Errorf("%w: inflight region: a file of %d bytes, %v", wire.ErrMalformed, st.Size, err)
 	}
 	return x.mapInflight(fd, in)
 }
@@ -534,12 +534,12 @@
 	}
 	q := &queue{index: i, d: x.d, call: v.call - 1, ended: make(chan struct{}), lost: x.broken}
 	var restore []uint16
-	err := memory.Guarded(func() error {
+	err := guestmem.RecoverFaults(func() error {
 		layout, err := x.layout(v)
 		if err != nil {
 			return err
 		}
-		if q.ring, err = ring.New(layout, v.num, v.base, x.features&blk.FeatureEventIdx != 0, x.features&blk.FeatureIndirect != 0, x.mem); err != nil {
+		if q.ring, err = virtqueue.New(layout, v.num, v.base, x.features&blk.FeatureEventIdx != 0, x.features&blk.FeatureIndirect != 0, x.mem); err != nil {
 			return err
 		}
 		if x.inflight != nil {
@@ -553,7 +553,7 @@
 		return nil
 	})
 	if err != nil {
-		return fmt.Errorf("%w: queue %d: %w", wire.ErrBad, i, err)
+		return fmt.Errorf("%w: queue %d: %w", wire.ErrMalformed, i, err)
 	}
 	fd, err := unix.FcntlInt(uintptr(v.kick-1), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
@@ -569,9 +569,9 @@
 	return nil
 }
 
-func (x *session) layout(v *vring) (ring.Layout, error) {
-	d, a, u := ring.Sizes(v.num)
-	var l ring.Layout
+func (x *session) layout(v *vring) (virtqueue.Layout, error) {
+	d, a, u := virtqueue.LayoutSizes(v.num)
+	var l virtqueue.Layout
 	var err error
 	if l.Desc, err = x.mem.User(v.addr.Desc, d); err != nil {
 		return l, err
@@ -596,7 +596,7 @@
 	if c := q.settled(); c != nil {
 		<-c
 	}
-	v.base = q.ring.Base()
+	v.base = q.ring.NextAvailIndex()
 	v.run = nil
 }
 
--- a/internal/front/vhost/vhost_test.go
+++ b/internal/front/vhost/vhost_test.go
@@ -82,7 +82,7 @@
 		r.data = make([]byte, diskBytes)
 	}
 	path := filepath.Join(t.TempDir(), "disk.sock")
-	s, err := Listen(path, Disk{Name: "disk-one", Bytes: diskBytes, Block: 512, Extent: 64 << 10, Backend: r}, nil)
+	s, err := Listen(path, Disk{Name: "disk-one", SizeBytes: diskBytes, BlockBytes: 512, ExtentBytes: 64 << 10, Backend: r}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -180,7 +180,7 @@
 				}
 				copy(part, x.Data)
 			case 3:
-				x.Kind, x.Ranges = blk.WriteZeroes, []blk.Range{{From: x.From, Bytes: int64(x.Bytes)}}
+				x.Kind, x.Ranges = blk.WriteZeroes, []blk.Range{{Offset: x.From, Bytes: int64(x.Bytes)}}
 				clear(part)
 			case 4:
 				x.Kind = blk.Flush
@@ -234,7 +234,7 @@
 		{vmm.IO{Kind: blk.In, From: 1 << 50, Bytes: 512}, blk.IOErr},
 		{vmm.IO{Kind: blk.Out, Bytes: 100, Data: make([]byte, 100)}, blk.IOErr},
 		{vmm.IO{Kind: 99}, blk.Unsupported},
-		{vmm.IO{Kind: blk.Discard, Ranges: []blk.Range{{From: diskBytes, Bytes: 512}}}, blk.IOErr},
+		{vmm.IO{Kind: blk.Discard, Ranges: []blk.Range{{Offset: diskBytes, Bytes: 512}}}, blk.IOErr},
 		{vmm.IO{Kind: blk.GetID, Bytes: 20}, blk.OK},
 		{vmm.IO{Kind: blk.Flush}, blk.OK},
 	} {
@@ -338,7 +338,7 @@
 	}
 	m.Disconnect()
 	r.held = nil
-	again, err := Listen(path, Disk{Name: "disk-one", Bytes: diskBytes, Block: 512, Extent: 64 << 10, Backend: r}, nil)
+	again, err := Listen(path, Disk{Name: "disk-one", SizeBytes: diskBytes, BlockBytes: 512, ExtentBytes: 64 << 10, Backend: r}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/front/vhost/ring/ring.go
+++ b/internal/front/vhost/virtqueue/ring.go
@@ -3,7 +3,7 @@
 // used elements back, with notifications suppressed as both sides ask. It takes
 // nothing that a driver writes at its word: indices, lengths and links are
 // checked before use, and all that it reads of a descriptor it reads once.
-package ring
+package virtqueue
 
 import (
 	"encoding/binary"
@@ -13,12 +13,12 @@
 	"unsafe"
 )
 
-// ErrBad is what every error of a driver that breaks the rules wraps. The
+// ErrMalformed is what every error of a driver that breaks the rules wraps. The
 // queue cannot go on after it.
-var ErrBad = errors.New("virtqueue: broken by the driver")
+var ErrMalformed = errors.New("virtqueue: broken by the driver")
 
 func bad(format string, args ...any) error {
-	return fmt.Errorf("%w: %s", ErrBad, fmt.Sprintf(format, args...))
+	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
 // Memory is guest memory.
@@ -32,12 +32,12 @@
 	flagIndirect = 4
 
 	descSize = 16
-	// SizeMost is the largest ring (virtio 1.2, section 2.7).
-	SizeMost = 32768
-	// ChainMost is how many descriptors one chain may have.
-	ChainMost = 1024
-	// BytesMost is how many bytes the descriptors of one chain may cover.
-	BytesMost = 32 << 20
+	// MaxSize is the largest ring (virtio 1.2, section 2.7).
+	MaxSize = 32768
+	// MaxChainDescriptors is how many descriptors one chain may have.
+	MaxChainDescriptors = 1024
+	// MaxChainBytes is how many bytes the descriptors of one chain may cover.
+	MaxChainBytes = 32 << 20
 
 	availNoInterrupt = 1
 	usedNoNotify     = 1
@@ -45,8 +45,8 @@
 
 // Segment is a part of a request in guest memory.
 type Segment struct {
-	Data  []byte
-	Write bool // the device writes it
+	Data         []byte
+	DeviceWrites bool // the device writes it
 }
 
 // Chain is one request of the driver. Its segments are valid while the memory
@@ -75,8 +75,8 @@
 // Layout is where a ring's parts are. Lengths are checked by New.
 type Layout struct{ Desc, Avail, Used []byte }
 
-// Sizes returns how many bytes the three parts of a ring of size entries have.
-func Sizes(size uint16) (desc, avail, used uint64) {
+// LayoutSizes returns how many bytes the three parts of a ring of size entries have.
+func LayoutSizes(size uint16) (desc, avail, used uint64) {
 	n := uint64(size)
 	return n * descSize, 6 + 2*n, 6 + 8*n
 }
@@ -84,9 +84,9 @@
 // New returns a queue whose next available index is base, with the used index
 // that stands in memory.
 func New(l Layout, size uint16, base uint16, event, indirect bool, m Memory) (*Queue, error) {
-	d, a, u := Sizes(size)
+	d, a, u := LayoutSizes(size)
 	switch {
-	case size == 0 || size > SizeMost || size&(size-1) != 0:
+	case size == 0 || size > MaxSize || size&(size-1) != 0:
 		return nil, bad("a ring of %d entries", size)
 	case uint64(len(l.Desc)) < d || uint64(len(l.Avail)) < a || uint64(len(l.Used)) < u:
 		return nil, bad("a ring that is not whole in memory")
@@ -128,15 +128,15 @@
 // Size returns the number of entries.
 func (q *Queue) Size() uint16 { return q.size }
 
-// Base returns the index of the next available entry.
-func (q *Queue) Base() uint16 { return q.next }
+// NextAvailIndex returns the index of the next available entry.
+func (q *Queue) NextAvailIndex() uint16 { return q.next }
 
 // UsedIndex returns the used index.
 func (q *Queue) UsedIndex() uint16 { return q.usedIdx }
 
-// Next takes the next chain that the driver has made available into c; false:
+// PopAvail takes the next chain that the driver has made available into c; false:
 // there is none.
-func (q *Queue) Next(c *Chain) (bool, error) {
+func (q *Queue) PopAvail(c *Chain) (bool, error) {
 	ready := load16(q.avail[2:])
 	waiting := ready - q.next
 	if waiting == 0 {
@@ -146,15 +146,15 @@
 		return false, bad("available index %d runs away from %d", ready, q.next)
 	}
 	head := binary.LittleEndian.Uint16(q.avail[4+2*int(q.next%q.size):])
-	if err := q.Chain(head, c); err != nil {
+	if err := q.ReadChain(head, c); err != nil {
 		return false, err
 	}
 	q.next++
 	return true, nil
 }
 
-// Chain reads the chain that begins with a descriptor.
-func (q *Queue) Chain(head uint16, c *Chain) error {
+// ReadChain reads the chain that begins with a descriptor.
+func (q *Queue) ReadChain(head uint16, c *Chain) error {
 	c.Head, c.Segments = head, c.Segments[:0]
 	if head >= q.size {
 		return bad("descriptor %d of %d", head, q.size)
@@ -165,7 +165,7 @@
 
 func (q *Queue) walk(table []byte, size, at uint16, c *Chain, total *uint64, inside bool) error {
 	for steps := uint16(0); ; steps++ {
-		if steps == size || len(c.Segments) >= ChainMost {
+		if steps == size || len(c.Segments) >= MaxChainDescriptors {
 			return bad("a chain of more than %d descriptors, or a loop", steps)
 		}
 		d := table[int(at)*descSize:]
@@ -174,16 +174,16 @@
 		if flags&flagIndirect != 0 {
 			return q.walkIndirect(addr, n, flags, c, total, inside)
 		}
-		if *total += n; *total > BytesMost {
-			return bad("a chain of more than %d bytes", BytesMost)
+		if *total += n; *total > MaxChainBytes {
+			return bad("a chain of more than %d bytes", MaxChainBytes)
 		}
 		write := flags&flagWrite != 0
-		if k := len(c.Segments); k > 0 && c.Segments[k-1].Write && !write {
+		if k := len(c.Segments); k > 0 && c.Segments[k-1].DeviceWrites && !write {
 			return bad("a part to be read after one to be written")
 		}
 		data, err := q.memory.Guest(addr, n)
 		if err != nil {
-			return fmt.Errorf("%w: %w", ErrBad, err)
+			return fmt.Errorf("%w: %w", ErrMalformed, err)
 		}
 		c.Segments = append(c.Segments, Segment{data, write})
 		if flags&flagNext == 0 {
@@ -204,18 +204,18 @@
 		return bad("an indirect table inside another")
 	case flags&flagNext != 0:
 		return bad("an indirect table with a next descriptor")
-	case n == 0 || n%descSize != 0 || n/descSize > ChainMost:
+	case n == 0 || n%descSize != 0 || n/descSize > MaxChainDescriptors:
 		return bad("an indirect table of %d bytes", n)
 	}
 	table, err := q.memory.Guest(addr, n)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrBad, err)
+		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return q.walk(table, uint16(n/descSize), 0, c, total, true)
 }
 
-// Put gives a chain back with the number of bytes that were written to it.
-func (q *Queue) Put(head uint16, written uint32) {
+// PushUsed gives a chain back with the number of bytes that were written to it.
+func (q *Queue) PushUsed(head uint16, written uint32) {
 	at := q.used[4+8*int(q.usedIdx%q.size):]
 	binary.LittleEndian.PutUint32(at, uint32(head))
 	binary.LittleEndian.PutUint32(at[4:], written)
@@ -223,9 +223,9 @@
 	store16(q.used[2:], q.usedIdx)
 }
 
-// Notify tells whether the driver wants to hear of what was put since the last
+// ShouldNotify tells whether the driver wants to hear of what was put since the last
 // call (virtio 1.2, section 2.7.7).
-func (q *Queue) Notify() bool {
+func (q *Queue) ShouldNotify() bool {
 	old, now := q.signaled, q.usedIdx
 	first := q.fresh
 	q.signaled, q.fresh = now, false
@@ -239,9 +239,9 @@
 	return now-want-1 < now-old
 }
 
-// Arm asks the driver to kick when it makes more available, and tells whether
+// EnableKicks asks the driver to kick when it makes more available, and tells whether
 // there is more already.
-func (q *Queue) Arm() bool {
+func (q *Queue) EnableKicks() bool {
 	if q.event {
 		store16(q.used[4+8*int(q.size):], q.next)
 	} else {
@@ -250,8 +250,8 @@
 	return load16(q.avail[2:]) != q.next
 }
 
-// Disarm tells the driver that kicks are not needed for now.
-func (q *Queue) Disarm() {
+// DisableKicks tells the driver that kicks are not needed for now.
+func (q *Queue) DisableKicks() {
 	if !q.event {
 		store16(q.used, usedNoNotify)
 	}
--- a/internal/front/vhost/ring/ring_test.go
+++ b/internal/front/vhost/virtqueue/ring_test.go
@@ -1,4 +1,4 @@
-package ring
+package virtqueue
 
 import (
 	"encoding/binary"
@@ -64,18 +64,18 @@
 			if event { // the driver wants to hear of each fourth
 				binary.LittleEndian.PutUint16(mem[128+4+2*size:], uint16(i)&^3+3)
 			}
-			ok, err := q.Next(&c)
-			if err != nil || !ok || int(c.Head) != i%size || len(c.Segments) != 2 || c.Segments[0].Write || !c.Segments[1].Write {
+			ok, err := q.PopAvail(&c)
+			if err != nil || !ok || int(c.Head) != i%size || len(c.Segments) != 2 || c.Segments[0].DeviceWrites || !c.Segments[1].DeviceWrites {
 				t.Fatalf("%d: %+v, %v, %v", i, c, ok, err)
 			}
-			q.Put(c.Head, 4)
-			if q.Notify() {
+			q.PushUsed(c.Head, 4)
+			if q.ShouldNotify() {
 				signals++
 			}
-			if ok, err := q.Next(&c); ok || err != nil {
+			if ok, err := q.PopAvail(&c); ok || err != nil {
 				t.Fatalf("%d: one more, %v", i, err)
 			}
-			if q.Arm() {
+			if q.EnableKicks() {
 				t.Fatalf("%d: more was said to be there", i)
 			}
 		}
@@ -106,8 +106,8 @@
 		}
 		var c Chain
 		for range size + 1 {
-			ok, err := q.Next(&c)
-			if err != nil && !errors.Is(err, ErrBad) {
+			ok, err := q.PopAvail(&c)
+			if err != nil && !errors.Is(err, ErrMalformed) {
 				t.Fatalf("%v", err)
 			}
 			if err != nil || !ok {
@@ -117,11 +117,11 @@
 			for _, s := range c.Segments {
 				total += len(s.Data)
 			}
-			if len(c.Segments) > ChainMost || total > BytesMost {
+			if len(c.Segments) > MaxChainDescriptors || total > MaxChainBytes {
 				t.Fatalf("%d segments, %d bytes", len(c.Segments), total)
 			}
-			q.Put(c.Head, 1)
-			q.Notify()
+			q.PushUsed(c.Head, 1)
+			q.ShouldNotify()
 		}
 	})
 }
@@ -140,10 +140,10 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		offer(mem, 0)
-		if ok, err := q.Next(&c); !ok || err != nil {
+		if ok, err := q.PopAvail(&c); !ok || err != nil {
 			b.Fatal(ok, err)
 		}
-		q.Put(c.Head, 513)
-		q.Notify()
+		q.PushUsed(c.Head, 513)
+		q.ShouldNotify()
 	}
 }
--- a/internal/front/vhost/wire/wire.go
+++ b/internal/front/vhost/wire/wire.go
@@ -52,54 +52,54 @@
 	flagReply   = 1 << 2
 	flagNeedAck = 1 << 3
 
-	// HeadSize is the number of bytes of a head.
-	HeadSize = 12
-	// SizeMost is the largest payload that the device takes: a memory table of
+	// HeaderSize is the number of bytes of a head.
+	HeaderSize = 12
+	// MaxPayload is the largest payload that the device takes: a memory table of
 	// RegionsMost regions, or a configuration space.
-	SizeMost = 8 + RegionsMost*32
-	// RegionsMost is how many regions a memory table may have.
-	RegionsMost = 32
-	// FDsMost is how many file descriptors a message may carry.
-	FDsMost = RegionsMost
-	// ConfigMost is the size of a configuration space.
-	ConfigMost = 256
+	MaxPayload = 8 + MaxRegions*32
+	// MaxRegions is how many regions a memory table may have.
+	MaxRegions = 32
+	// MaxFDs is how many file descriptors a message may carry.
+	MaxFDs = MaxRegions
+	// ConfigSpaceSize is the size of a configuration space.
+	ConfigSpaceSize = 256
 	// NoFD in the value of a vring message says that no descriptor comes with it.
 	NoFD = 1 << 8
 )
 
-// ErrBad is what every error of a bad message wraps.
-var ErrBad = errors.New("vhost-user: bad message")
+// ErrMalformed is what every error of a bad message wraps.
+var ErrMalformed = errors.New("vhost-user: bad message")
 
 func bad(format string, args ...any) error {
-	return fmt.Errorf("%w: %s", ErrBad, fmt.Sprintf(format, args...))
+	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
-// Head is the head of a message.
-type Head struct {
+// Header is the head of a message.
+type Header struct {
 	Request Request
 	NeedAck bool // REPLY_ACK: the sender waits for a number, 0 for success
 	Reply   bool
 	Size    uint32
 }
 
-// ParseHead reads a head out of HeadSize bytes.
-func ParseHead(b []byte) (Head, error) {
-	if len(b) < HeadSize {
-		return Head{}, bad("a head of %d bytes", len(b))
+// ParseHeader reads a head out of HeadSize bytes.
+func ParseHeader(b []byte) (Header, error) {
+	if len(b) < HeaderSize {
+		return Header{}, bad("a head of %d bytes", len(b))
 	}
 	flags := binary.LittleEndian.Uint32(b[4:])
-	h := Head{Request: Request(binary.LittleEndian.Uint32(b)), NeedAck: flags&flagNeedAck != 0, Reply: flags&flagReply != 0, Size: binary.LittleEndian.Uint32(b[8:])}
+	h := Header{Request: Request(binary.LittleEndian.Uint32(b)), NeedAck: flags&flagNeedAck != 0, Reply: flags&flagReply != 0, Size: binary.LittleEndian.Uint32(b[8:])}
 	switch {
 	case flags&3 != version:
 		return h, bad("flags %#x: version is not 1", flags)
-	case h.Size > SizeMost:
-		return h, bad("request %d: size %d is over %d", h.Request, h.Size, SizeMost)
+	case h.Size > MaxPayload:
+		return h, bad("request %d: size %d is over %d", h.Request, h.Size, MaxPayload)
 	}
 	return h, nil
 }
 
-// AppendHead writes a head.
-func AppendHead(b []byte, h Head) []byte {
+// AppendHeader writes a head.
+func AppendHeader(b []byte, h Header) []byte {
 	flags := uint32(version)
 	if h.NeedAck {
 		flags |= flagNeedAck
@@ -112,8 +112,8 @@
 	return binary.LittleEndian.AppendUint32(b, h.Size)
 }
 
-// U64 reads a payload of one number.
-func U64(p []byte) (uint64, error) {
+// ParseU64 reads a payload of one number.
+func ParseU64(p []byte) (uint64, error) {
 	if len(p) != 8 {
 		return 0, bad("a number of %d bytes", len(p))
 	}
@@ -141,8 +141,8 @@
 
 // VringAddr says where a ring's parts are, as user addresses of the front-end.
 type VringAddr struct {
-	Index, Flags                 uint32
-	Desc, Used, Avail, LogUnused uint64
+	Index, Flags           uint32
+	Desc, Used, Avail, Log uint64
 }
 
 // ParseVringAddr reads a vring address.
@@ -158,7 +158,7 @@
 func (v VringAddr) Append(b []byte) []byte {
 	le := binary.LittleEndian
 	b = le.AppendUint32(le.AppendUint32(b, v.Index), v.Flags)
-	for _, x := range [...]uint64{v.Desc, v.Used, v.Avail, v.LogUnused} {
+	for _, x := range [...]uint64{v.Desc, v.Used, v.Avail, v.Log} {
 		b = le.AppendUint64(b, x)
 	}
 	return b
@@ -166,7 +166,7 @@
 
 // Region is a part of guest memory: Size bytes at Guest in the guest's
 // addresses and at User in the front-end's, which are Offset bytes into a file.
-type Region struct{ Guest, Size, User, Offset uint64 }
+type Region struct{ GuestAddr, Size, UserAddr, FileOffset uint64 }
 
 // ParseMemTable reads a memory table.
 func ParseMemTable(p []byte) ([]Region, error) {
@@ -175,7 +175,7 @@
 	}
 	le := binary.LittleEndian
 	n := le.Uint32(p)
-	if n == 0 || n > RegionsMost || len(p) != 8+int(n)*32 {
+	if n == 0 || n > MaxRegions || len(p) != 8+int(n)*32 {
 		return nil, bad("a memory table of %d regions in %d bytes", n, len(p))
 	}
 	out := make([]Region, n)
@@ -183,8 +183,8 @@
 		q := p[8+i*32:]
 		out[i] = Region{le.Uint64(q), le.Uint64(q[8:]), le.Uint64(q[16:]), le.Uint64(q[24:])}
 		r := &out[i]
-		if r.Size == 0 || r.Guest+r.Size < r.Guest || r.User+r.Size < r.User || r.Offset+r.Size < r.Offset {
-			return nil, bad("region %d: %#x bytes at %#x overflow", i, r.Size, r.Guest)
+		if r.Size == 0 || r.GuestAddr+r.Size < r.GuestAddr || r.UserAddr+r.Size < r.UserAddr || r.FileOffset+r.Size < r.FileOffset {
+			return nil, bad("region %d: %#x bytes at %#x overflow", i, r.Size, r.GuestAddr)
 		}
 	}
 	return out, nil
@@ -195,7 +195,7 @@
 	le := binary.LittleEndian
 	b = le.AppendUint32(le.AppendUint32(b, uint32(len(list))), 0)
 	for _, r := range list {
-		for _, x := range [...]uint64{r.Guest, r.Size, r.User, r.Offset} {
+		for _, x := range [...]uint64{r.GuestAddr, r.Size, r.UserAddr, r.FileOffset} {
 			b = le.AppendUint64(b, x)
 		}
 	}
@@ -216,7 +216,7 @@
 	le := binary.LittleEndian
 	c := Config{Offset: le.Uint32(p), Flags: le.Uint32(p[8:]), Data: p[12:]}
 	size := le.Uint32(p[4:])
-	if int(size) != len(c.Data) || size > ConfigMost || c.Offset > ConfigMost-size {
+	if int(size) != len(c.Data) || size > ConfigSpaceSize || c.Offset > ConfigSpaceSize-size {
 		return Config{}, bad("a configuration of %d bytes at %d", size, c.Offset)
 	}
 	return c, nil
--- a/internal/front/vhost/wire/wire_test.go
+++ b/internal/front/vhost/wire/wire_test.go
@@ -9,8 +9,8 @@
 
 // What is written is read again.
 func TestRoundTrips(t *testing.T) {
-	h := Head{Request: SetMemTable, NeedAck: true, Size: 40}
-	if got, err := ParseHead(AppendHead(nil, h)); err != nil || got != h {
+	h := Header{Request: SetMemTable, NeedAck: true, Size: 40}
+	if got, err := ParseHeader(AppendHeader(nil, h)); err != nil || got != h {
 		t.Errorf("head %+v, %v", got, err)
 	}
 	regions := []Region{{0x1000, 0x2000, 0x7000, 0}, {0x9000, 1, 0, 5}}
@@ -39,16 +39,16 @@
 func TestBad(t *testing.T) {
 	huge := AppendMemTable(nil, []Region{{^uint64(0) - 5, 10, 0, 0}})
 	for name, err := range map[string]error{
-		"short head":    second(ParseHead(make([]byte, 11))),
-		"version":       second(ParseHead([]byte{1, 0, 0, 0, 2, 0, 0, 0, 0, 0, 0, 0})),
-		"size":          second(ParseHead(AppendHead(nil, Head{Request: 1, Size: SizeMost + 1}))),
+		"short head":    second(ParseHeader(make([]byte, 11))),
+		"version":       second(ParseHeader([]byte{1, 0, 0, 0, 2, 0, 0, 0, 0, 0, 0, 0})),
+		"size":          second(ParseHeader(AppendHeader(nil, Header{Request: 1, Size: MaxPayload + 1}))),
 		"no regions":    second(ParseMemTable(make([]byte, 8))),
-		"many regions":  second(ParseMemTable(AppendMemTable(nil, make([]Region, RegionsMost+1)))),
+		"many regions":  second(ParseMemTable(AppendMemTable(nil, make([]Region, MaxRegions+1)))),
 		"cut table":     second(ParseMemTable(AppendMemTable(nil, make([]Region, 2))[:50])),
 		"overflow":      second(ParseMemTable(huge)),
 		"config window": second(ParseConfig(Config{Offset: 250, Data: make([]byte, 10)}.Append(nil))),
 	} {
-		if !errors.Is(err, ErrBad) {
+		if !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -57,20 +57,20 @@
 func second[T any](_ T, err error) error { return err }
 
 func FuzzMessages(f *testing.F) {
-	f.Add(AppendHead(nil, Head{Request: GetFeatures, Size: 8}))
+	f.Add(AppendHeader(nil, Header{Request: GetFeatures, Size: 8}))
 	f.Add(AppendMemTable(nil, []Region{{1, 2, 3, 4}}))
 	f.Add(Config{0, 0, []byte("x")}.Append(nil))
 	f.Fuzz(func(t *testing.T, p []byte) {
-		ParseHead(p)
+		ParseHeader(p)
 		if list, err := ParseMemTable(p); err == nil && !bytes.Equal(AppendMemTable(nil, list)[8:], p[8:]) {
 			t.Error("a table changed on its way")
 		}
-		if c, err := ParseConfig(p); err == nil && int(c.Offset)+len(c.Data) > ConfigMost {
+		if c, err := ParseConfig(p); err == nil && int(c.Offset)+len(c.Data) > ConfigSpaceSize {
 			t.Errorf("window %d+%d", c.Offset, len(c.Data))
 		}
 		ParseVringAddr(p)
 		ParseVringState(p)
 		ParseInflight(p)
-		U64(p)
+		ParseU64(p)
 	})
 }
--- a/internal/gateway/volumes.go
+++ b/internal/gateway/volumes.go
@@ -47,8 +47,8 @@
 const attachWait = 10 * time.Second
 
 func (g *Gateway) openExports() error {
-	store, err := volume.New(volume.Options{Config: g.opt.Config, Host: g.host, Pool: g.pool, Log: g.opt.Log, NoFence: g.opt.DisabledGuard == "fence", Seen: g.seen,
-		Ended: func(name string, plan, shard int, end host.TaskStatus) { g.ended("volume/"+name, plan, shard, end) }})
+	store, err := volume.New(volume.Options{Config: g.opt.Config, Host: g.host, Pool: g.pool, Log: g.opt.Log, DisableFencing: g.opt.DisabledGuard == "fence", Observe: g.seen,
+		OnTaskEnd: func(name string, plan, shard int, end host.TaskStatus) { g.ended("volume/"+name, plan, shard, end) }})
 	if err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 	x := g.exports
 	for x.ctx.Err() == nil {
 		err := x.attach(name, socket, false)
-		var held *extent.Held
+		var held *extent.HeldError
 		if err == nil {
 			return
 		}
@@ -111,7 +111,7 @@
 	_, open := x.open[name]
 	x.mu.Unlock()
 	if open {
-		return fmt.Errorf("volume %s: %w", name, &extent.Held{Volume: name, Holder: x.holder})
+		return fmt.Errorf("volume %s: %w", name, &extent.HeldError{Volume: name, Holder: x.holder})
 	}
 	v, err := x.store.Attach(ctx, name, x.holder, steal)
 	if err != nil {
@@ -121,7 +121,7 @@
 		return err
 	}
 	r := v.Record()
-	server, err := vhost.Listen(socket, vhost.Disk{Name: name, Bytes: r.Bytes, Block: r.Block, Extent: r.Extent, Backend: v}, nil)
+	server, err := vhost.Listen(socket, vhost.Disk{Name: name, SizeBytes: r.SizeBytes, BlockBytes: r.BlockBytes, ExtentBytes: r.ExtentBytes, Backend: v}, nil)
 	if err != nil {
 		return err
 	}
@@ -235,10 +235,10 @@
 		if name != "" && r.Name != name {
 			continue
 		}
-		one := control.VolumeInfo{Record: *r}
+		one := control.VolumeInfo{VolumeRecord: *r}
 		x.mu.Lock()
 		if e := x.open[r.Name]; e != nil {
-			one.Socket, one.Requests, one.Errors, one.Superseded = e.socket, e.server.Stats.Requests.Load(), e.server.Stats.Errors.Load(), e.volume.Over()
+			one.Socket, one.Requests, one.Errors, one.Superseded = e.socket, e.server.Stats.Requests.Load(), e.server.Stats.Errors.Load(), e.volume.IsFenced()
 		}
 		x.mu.Unlock()
 		out = append(out, one)
--- a/internal/prove/rings.go
+++ b/internal/prove/rings.go
@@ -427,7 +427,7 @@
 	case 0, 1:
 		x.Kind, x.Data = blk.Out, fill(d.next, x.Bytes)
 	case 2:
-		x.Kind, x.Ranges = blk.WriteZeroes, []blk.Range{{From: x.From, Bytes: int64(x.Bytes)}}
+		x.Kind, x.Ranges = blk.WriteZeroes, []blk.Range{{Offset: x.From, Bytes: int64(x.Bytes)}}
 	}
 	return x
 }
--- a/internal/standin/vmm/vmm.go
+++ b/internal/standin/vmm/vmm.go
@@ -18,7 +18,7 @@
 	"golang.org/x/sys/unix"
 
 	"arrowwalk/internal/front/vhost/blk"
-	"arrowwalk/internal/front/vhost/ring"
+	"arrowwalk/internal/front/vhost/virtqueue"
 	"arrowwalk/internal/front/vhost/wire"
 )
 
@@ -93,7 +93,7 @@
 func (o *Options) slotBytes() int { return (slotData + o.Buffer + page - 1) / page * page }
 
 func (o *Options) queueBytes() int {
-	d, a, u := ring.Sizes(o.Size)
+	d, a, u := virtqueue.LayoutSizes(o.Size)
 	return up(int(d)) + up(int(a)) + up(int(u)) + o.Slots*o.slotBytes()
 }
 
@@ -116,7 +116,7 @@
 	if m.Mem, err = unix.Mmap(m.fd, 0, size, unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED); err != nil {
 		return nil, err
 	}
-	d, a, _ := ring.Sizes(opt.Size)
+	d, a, _ := virtqueue.LayoutSizes(opt.Size)
 	for i := range opt.Queues {
 		at := i * opt.queueBytes()
 		q := &Queue{m: m, index: i, size: opt.Size, desc: at, avail: at + up(int(d)), out: map[int]*IO{}}
@@ -166,7 +166,7 @@
 
 // Send sends a message, with descriptors.
 func (m *Machine) Send(r wire.Request, payload []byte, fds ...int) error {
-	b := append(wire.AppendHead(nil, wire.Head{Request: r, Size: uint32(len(payload))}), payload...)
+	b := append(wire.AppendHeader(nil, wire.Header{Request: r, Size: uint32(len(payload))}), payload...)
 	var oob []byte
 	if len(fds) > 0 {
 		oob = unix.UnixRights(fds...)
@@ -181,7 +181,7 @@
 		return nil, -1, err
 	}
 	m.nc.SetReadDeadline(time.Now().Add(5 * time.Second))
-	head, oob := make([]byte, wire.HeadSize), make([]byte, unix.CmsgSpace(4))
+	head, oob := make([]byte, wire.HeaderSize), make([]byte, unix.CmsgSpace(4))
 	n, oobn, _, _, err := m.nc.ReadMsgUnix(head, oob)
 	if err != nil {
 		return nil, -1, err
@@ -189,7 +189,7 @@
 	if _, err := io.ReadFull(m.nc, head[n:]); err != nil {
 		return nil, -1, err
 	}
-	h, err := wire.ParseHead(head)
+	h, err := wire.ParseHeader(head)
 	if err != nil || !h.Reply || h.Request != r {
 		return nil, -1, fmt.Errorf("vmm: answer %+v to request %d, %v", h, r, err)
 	}
@@ -268,7 +268,7 @@
 
 // Table is the memory table's payload.
 func (m *Machine) Table() []byte {
-	return wire.AppendMemTable(nil, []wire.Region{{Guest: guestBase, Size: uint64(len(m.Mem)), User: userBase}})
+	return wire.AppendMemTable(nil, []wire.Region{{GuestAddr: guestBase, Size: uint64(len(m.Mem)), UserAddr: userBase}})
 }
 
 func (m *Machine) setInflight() error {
@@ -412,7 +412,7 @@
 	case blk.Discard, blk.WriteZeroes:
 		n = 0
 		for _, r := range x.Ranges {
-			binary.LittleEndian.PutUint64(data[n:], uint64(r.From/blk.SectorSize))
+			binary.LittleEndian.PutUint64(data[n:], uint64(r.Offset/blk.SectorSize))
 			binary.LittleEndian.PutUint32(data[n+8:], uint32(r.Bytes/blk.SectorSize))
 			binary.LittleEndian.PutUint32(data[n+12:], 0)
 			n += 16
--- a/internal/volume/extent/extent_test.go
+++ b/internal/volume/extent/extent_test.go
@@ -9,17 +9,17 @@
 
 // Pieces cover a range whole, in order, each inside one extent.
 func TestSplit(t *testing.T) {
-	r, err := New("v", 10*ExtentBytes+4096, 4096, "basic")
+	r, err := New("v", 10*DefaultExtentBytes+4096, 4096, "basic")
 	if err != nil {
 		t.Fatal(err)
 	}
 	rnd := rand.New(rand.NewPCG(1, 1))
 	for range 2000 {
-		from := rnd.Int64N(r.Bytes)
-		bytes := 1 + rnd.Int64N(r.Bytes-from)
+		from := rnd.Int64N(r.SizeBytes)
+		bytes := 1 + rnd.Int64N(r.SizeBytes-from)
 		at := from
-		for _, p := range r.Split(from, bytes, nil) {
-			if p.Index*r.Extent+p.Offset != at || p.Bytes <= 0 || p.Offset+p.Bytes > r.Extent {
+		for _, p := range r.SplitRange(from, bytes, nil) {
+			if p.ExtentIndex*r.ExtentBytes+p.Offset != at || p.Bytes <= 0 || p.Offset+p.Bytes > r.ExtentBytes {
 				t.Fatalf("%d bytes from %d: piece %+v at %d", bytes, from, p, at)
 			}
 			at += p.Bytes
@@ -28,8 +28,8 @@
 			t.Fatalf("%d bytes from %d end at %d", bytes, from, at)
 		}
 	}
-	if r.Extents() != 11 || r.ExtentName(3) != "v/3" {
-		t.Errorf("%d extents, %q", r.Extents(), r.ExtentName(3))
+	if r.ExtentCount() != 11 || r.ExtentName(3) != "v/3" {
+		t.Errorf("%d extents, %q", r.ExtentCount(), r.ExtentName(3))
 	}
 }
 
@@ -43,7 +43,7 @@
 	if err != nil || a.Epoch != 1 || a.Holder != "host-a" {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	var held *Held
+	var held *HeldError
 	if _, err := a.Attach("host-b", false, 6); !errors.As(err, &held) || held.Holder != "host-a" {
 		t.Errorf("a second holder: %v", err)
 	}
@@ -66,7 +66,7 @@
 		t.Errorf("%+v, %v", free, err)
 	}
 	small, err := free.Resize(1 << 19)
-	if err != nil || small.Version != 2 {
+	if err != nil || small.MapVersion != 2 {
 		t.Errorf("%+v, %v", small, err)
 	}
 	if got, err := Decode(small.Encode()); err != nil || *got != *small {
@@ -76,12 +76,14 @@
 
 // A bad record is refused, and the field named.
 func TestBadRecords(t *testing.T) {
-	for want, make := range map[string]func() (*Record, error){
-		"name":       func() (*Record, error) { return New("Über", 4096, 512, "") },
-		"block size": func() (*Record, error) { return New("v", 4096, 1000, "") },
-		"size 100":   func() (*Record, error) { return New("v", 100, 512, "") },
-		"record":     func() (*Record, error) { return Decode([]byte("{")) },
-		"extent":     func() (*Record, error) { return Decode([]byte(`{"name":"v","bytes":4096,"block":512,"extent":700}`)) },
+	for want, make := range map[string]func() (*VolumeRecord, error){
+		"name":       func() (*VolumeRecord, error) { return New("Über", 4096, 512, "") },
+		"block size": func() (*VolumeRecord, error) { return New("v", 4096, 1000, "") },
+		"size 100":   func() (*VolumeRecord, error) { return New("v", 100, 512, "") },
+		"record":     func() (*VolumeRecord, error) { return Decode([]byte("{")) },
+		"extent": func() (*VolumeRecord, error) {
+			return Decode([]byte(`{"name":"v","bytes":4096,"block":512,"extent":700}`))
+		},
 	} {
 		if _, err := make(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
@@ -97,7 +99,7 @@
 	f.Add(r.Encode())
 	f.Fuzz(func(t *testing.T, text []byte) {
 		r, err := Decode(text)
-		if err == nil && (r.Extents() < 1 || len(r.Split(0, min(r.Bytes, 1<<20), nil)) == 0) {
+		if err == nil && (r.ExtentCount() < 1 || len(r.SplitRange(0, min(r.SizeBytes, 1<<20), nil)) == 0) {
 			t.Errorf("%+v", r)
 		}
 	})
--- a/internal/volume/order/order.go
+++ b/internal/volume/ordering/order.go
@@ -4,7 +4,7 @@
 // by number; a read waits for earlier writes of the bytes that it reads, and a
 // write for earlier reads of the bytes that it changes; a flush waits for all
 // earlier writes. It is pure.
-package order
+package ordering
 
 // Kind is what a request does.
 type Kind uint8
@@ -18,12 +18,12 @@
 
 // Op is a request: Bytes bytes from From.
 type Op struct {
-	Kind        Kind
-	From, Bytes int64
+	Kind          Kind
+	Offset, Bytes int64
 }
 
-// Board holds the requests that are not done, in the order in which they came.
-type Board struct {
+// Tracker holds the requests that are not done, in the order in which they came.
+type Tracker struct {
 	extent int64
 	list   []*entry
 	free   []*entry
@@ -36,14 +36,14 @@
 	runs bool
 }
 
-// NewBoard returns an empty board for extents of so many bytes.
-func NewBoard(extent int64) *Board { return &Board{extent: extent} }
+// NewTracker returns an empty board for extents of so many bytes.
+func NewTracker(extent int64) *Tracker { return &Tracker{extent: extent} }
 
 // Len returns the number of requests that are not done.
-func (b *Board) Len() int { return len(b.list) }
+func (b *Tracker) Len() int { return len(b.list) }
 
 // holds tells whether an earlier request holds a later one back.
-func (b *Board) holds(early, late *Op) bool {
+func (b *Tracker) holds(early, late *Op) bool {
 	switch {
 	case late.Kind == Flush:
 		return early.Kind == Write
@@ -52,14 +52,14 @@
 	case early.Kind == Read && late.Kind == Read:
 		return false
 	case early.Kind == Write && late.Kind == Write:
-		return early.From/b.extent <= (late.From+late.Bytes-1)/b.extent && late.From/b.extent <= (early.From+early.Bytes-1)/b.extent
+		return early.Offset/b.extent <= (late.Offset+late.Bytes-1)/b.extent && late.Offset/b.extent <= (early.Offset+early.Bytes-1)/b.extent
 	}
-	return early.From < late.From+late.Bytes && late.From < early.From+early.Bytes
+	return early.Offset < late.Offset+late.Bytes && late.Offset < early.Offset+early.Bytes
 }
 
 // Add takes in a request under a number of the caller's, and tells whether it
 // may run at once.
-func (b *Board) Add(id uint32, op Op) bool {
+func (b *Tracker) Add(id uint32, op Op) bool {
 	var e *entry
 	if n := len(b.free); n > 0 {
 		e, b.free = b.free[n-1], b.free[:n-1]
@@ -77,8 +77,8 @@
 	return e.runs
 }
 
-// Done takes a request off the board, and appends those that may run now.
-func (b *Board) Done(id uint32, ready []uint32) []uint32 {
+// Complete takes a request off the board, and appends those that may run now.
+func (b *Tracker) Complete(id uint32, ready []uint32) []uint32 {
 	at := -1
 	for i, e := range b.list {
 		if e.id == id {
--- a/internal/volume/order/order_test.go
+++ b/internal/volume/ordering/order_test.go
@@ -1,4 +1,4 @@
-package order
+package ordering
 
 import (
 	"math/rand/v2"
@@ -13,7 +13,7 @@
 	const extent, blocks = 4, 32
 	for seed := range uint64(300) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		b := NewBoard(extent)
+		b := NewTracker(extent)
 		ops := make([]Op, 60)
 		disk, model := make([]uint32, blocks), make([][]uint32, len(ops)) // model: what each read must show
 		plain := make([]uint32, blocks)
@@ -25,9 +25,9 @@
 				ops[next] = Op{Kind(rnd.IntN(3)), from, 1 + rnd.Int64N(min(6, blocks-from))}
 				op := &ops[next]
 				if op.Kind == Flush {
-					op.From, op.Bytes = 0, 0
+					op.Offset, op.Bytes = 0, 0
 				}
-				for i := op.From; i < op.From+op.Bytes && op.Kind == Write; i++ {
+				for i := op.Offset; i < op.Offset+op.Bytes && op.Kind == Write; i++ {
 					plain[i] = uint32(next) + 1
 				}
 				model[next] = slices.Clone(plain)
@@ -44,7 +44,7 @@
 			id := runs[k]
 			runs = append(runs[:k], runs[k+1:]...)
 			op := ops[id]
-			for i := op.From; i < op.From+op.Bytes; i++ {
+			for i := op.Offset; i < op.Offset+op.Bytes; i++ {
 				switch op.Kind {
 				case Write:
 					disk[i] = id + 1
@@ -55,11 +55,11 @@
 				}
 			}
 			for _, other := range runs {
-				if o := ops[other]; op.Kind == Write && o.Kind == Write && o.From/extent == op.From/extent {
+				if o := ops[other]; op.Kind == Write && o.Kind == Write && o.Offset/extent == op.Offset/extent {
 					t.Fatalf("seed %d: two writes of one extent run at once", seed)
 				}
 			}
-			runs = b.Done(id, runs)
+			runs = b.Complete(id, runs)
 			done++
 		}
 		if b.Len() != 0 || !slices.Equal(disk, plain) {
@@ -70,7 +70,7 @@
 
 // A flush waits for the writes before it and for no later one.
 func TestFlush(t *testing.T) {
-	b := NewBoard(4)
+	b := NewTracker(4)
 	b.Add(1, Op{Write, 0, 1})
 	if b.Add(2, Op{Kind: Flush}) {
 		t.Error("a flush overtook a write")
@@ -78,7 +78,7 @@
 	if !b.Add(3, Op{Write, 8, 1}) || !b.Add(4, Op{Read, 8, 1}) == false {
 		t.Error("a later write waits for a flush, or a read overtakes it")
 	}
-	if ready := b.Done(1, nil); !slices.Equal(ready, []uint32{2}) {
+	if ready := b.Complete(1, nil); !slices.Equal(ready, []uint32{2}) {
 		t.Errorf("ready: %v", ready)
 	}
 }
--- a/internal/volume/retry/retry.go
+++ b/internal/volume/retry/retry.go
@@ -20,12 +20,12 @@
 	Write
 )
 
-// End is how a call ended without an answer.
-type End int
+// Outcome is how a call ended without an answer.
+type Outcome int
 
 const (
 	// Refused means that it never ran.
-	Refused End = iota
+	Refused Outcome = iota
 	// Failed promises nothing.
 	Failed
 	// Fenced means that another holds the volume: nothing will ever run.
@@ -34,55 +34,55 @@
 
 // Policy are the bounds. Its zero value gives up at once.
 type Policy struct {
-	Patience   time.Duration // for which a request is asked again
-	LeastWait  time.Duration // between two calls
-	MostWait   time.Duration
-	FailedWait time.Duration // after a read that failed, the first time; it doubles
-	FailedMost int           // reads that may fail before it is an error
+	MaxElapsed     time.Duration // for which a request is asked again
+	MinWait        time.Duration // between two calls
+	MaxWait        time.Duration
+	FailureBackoff time.Duration // after a read that failed, the first time; it doubles
+	MaxFailures    int           // reads that may fail before it is an error
 }
 
-// Default is what a guest's disk bears: kernels warn of a request after 30 s
+// DefaultPolicy is what a guest's disk bears: kernels warn of a request after 30 s
 // to two minutes.
-var Default = Policy{Patience: 30 * time.Second, LeastWait: 5 * time.Millisecond, MostWait: 500 * time.Millisecond,
-	FailedWait: 50 * time.Millisecond, FailedMost: 3}
+var DefaultPolicy = Policy{MaxElapsed: 30 * time.Second, MinWait: 5 * time.Millisecond, MaxWait: 500 * time.Millisecond,
+	FailureBackoff: 50 * time.Millisecond, MaxFailures: 3}
 
-// Why says why a request is given up.
-type Why string
+// GiveUpReason says why a request is given up.
+type GiveUpReason string
 
 // Reasons to give a request up.
 const (
-	Patience Why = "patience is over"
-	MayHave  Why = "it may have run"
-	TooMany  Why = "it failed too often"
-	Over     Why = "another holds the volume"
+	ReasonTimeout         GiveUpReason = "patience is over"
+	ReasonMayHaveRun      GiveUpReason = "it may have run"
+	ReasonTooManyFailures GiveUpReason = "it failed too often"
+	ReasonFenced          GiveUpReason = "another holds the volume"
 )
 
-// Request is what is known of one request. Its zero value has none behind it.
-type Request struct {
+// State is what is known of one request. Its zero value has none behind it.
+type State struct {
 	failed int
 	calls  int
 }
 
-// Next decides after a call ended, age after the request began: wait and ask
+// NextWait decides after a call ended, age after the request began: wait and ask
 // again, or give up, and why. advice is how long the module asks to wait.
-func (p *Policy) Next(r *Request, kind Kind, end End, age, advice time.Duration) (wait time.Duration, why Why) {
+func (p *Policy) NextWait(r *State, kind Kind, end Outcome, age, advice time.Duration) (wait time.Duration, why GiveUpReason) {
 	r.calls++
 	switch {
 	case end == Fenced:
-		return 0, Over
+		return 0, ReasonFenced
 	case end == Failed && kind == Write:
-		return 0, MayHave
+		return 0, ReasonMayHaveRun
 	case end == Failed:
-		if r.failed++; r.failed > p.FailedMost {
-			return 0, TooMany
+		if r.failed++; r.failed > p.MaxFailures {
+			return 0, ReasonTooManyFailures
 		}
-		wait = p.FailedWait << (r.failed - 1)
+		wait = p.FailureBackoff << (r.failed - 1)
 	default:
 		wait = advice
 	}
-	wait = min(max(wait, p.LeastWait), p.MostWait)
-	if age+wait > p.Patience {
-		return 0, Patience
+	wait = min(max(wait, p.MinWait), p.MaxWait)
+	if age+wait > p.MaxElapsed {
+		return 0, ReasonTimeout
 	}
 	return wait, ""
 }
--- a/internal/volume/task.go
+++ b/internal/volume/task.go
@@ -26,13 +26,13 @@
 	Host   *host.Host
 	Pool   *brick.Pool
 	Log    *slog.Logger
-	// Seen is told what attempts showed of bricks; may be nil.
-	Seen func(attempts.Observation)
-	// Ended is told how each task of a volume ended; may be nil.
-	Ended func(volume string, plan, shard int, end host.TaskStatus)
-	// NoFence takes a guard out, so that a proof is seen to fail: bricks are
+	// Observe is told what attempts showed of bricks; may be nil.
+	Observe func(attempts.Observation)
+	// OnTaskEnd is told how each task of a volume ended; may be nil.
+	OnTaskEnd func(volume string, plan, shard int, end host.TaskStatus)
+	// DisableFencing takes a guard out, so that a proof is seen to fail: bricks are
 	// not told that earlier attachments are over.
-	NoFence bool
+	DisableFencing bool
 }
 
 // Store finds, makes and attaches volumes.
@@ -52,7 +52,7 @@
 	if opt.Log == nil {
 		opt.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Store{opt: opt, slots: slots, sender: attempts.Sender{Pool: opt.Pool, Host: opt.Host, Config: opt.Config, Observe: opt.Seen}}, nil
+	return &Store{opt: opt, slots: slots, sender: attempts.Sender{Pool: opt.Pool, Host: opt.Host, Config: opt.Config, Observe: opt.Observe}}, nil
 }
 
 // ErrIO says that a request has failed for good: for a write, it may have run.
@@ -128,8 +128,8 @@
 // do has the module decide on a call. nil means that a brick answered.
 func (s *Store) do(c *call, volume string) (after time.Duration, err error) {
 	v := c.Do()
-	if s.opt.Ended != nil {
-		s.opt.Ended(volume, c.Task.Volume.Plan, c.Task.Shard, v.Status)
+	if s.opt.OnTaskEnd != nil {
+		s.opt.OnTaskEnd(volume, c.Task.Volume.Plan, c.Task.Shard, v.Status)
 	}
 	switch v.Status {
 	case host.Served:
--- a/internal/volume/volume.go
+++ b/internal/volume/volume.go
@@ -36,7 +36,7 @@
 
 // again runs do until it is served, package retry gives it up or ctx ends.
 func again(ctx context.Context, kind retry.Kind, do func() (time.Duration, error)) error {
-	began, r := time.Now(), &retry.Request{}
+	began, r := time.Now(), &retry.State{}
 	for {
 		after, err := do()
 		end := retry.Refused
@@ -47,7 +47,7 @@
 		default:
 			return err
 		}
-		wait, why := retry.Default.Next(r, kind, end, time.Since(began), after)
+		wait, why := retry.DefaultPolicy.NextWait(r, kind, end, time.Since(began), after)
 		switch {
 		case why != "" && end == retry.Failed:
 			return err
@@ -64,8 +64,8 @@
 	}
 }
 
-// Find reads a volume's record, and the version that a change must meet.
-func (s *Store) Find(ctx context.Context, name string) (rec *extent.Record, version uint64, err error) {
+// ReadRecord reads a volume's record, and the version that a change must meet.
+func (s *Store) ReadRecord(ctx context.Context, name string) (rec *extent.VolumeRecord, version uint64, err error) {
 	err = again(ctx, retry.Read, func() (time.Duration, error) {
 		c := s.newCall(recordVolume, recordPlan, config.ClassRead, s.home(name), 0, brick.Request{Method: "GET", Space: brick.SpaceVolumes, Name: name})
 		c.HandleResponse = c.takeRecord(s)
@@ -84,7 +84,7 @@
 }
 
 // keep writes a record over the version that it comes from; 0: there is none.
-func (s *Store) keep(ctx context.Context, rec *extent.Record, version uint64) error {
+func (s *Store) keep(ctx context.Context, rec *extent.VolumeRecord, version uint64) error {
 	return again(ctx, retry.Write, func() (time.Duration, error) {
 		text := rec.Encode()
 		c := s.newCall(recordVolume, recordPlan, config.ClassWrite, s.home(rec.Name), int64(len(text)),
@@ -101,7 +101,7 @@
 }
 
 // Create makes a volume. Thin: nothing is stored of what was never written.
-func (s *Store) Create(ctx context.Context, name string, bytes, block int64, plan string) (*extent.Record, error) {
+func (s *Store) Create(ctx context.Context, name string, bytes, block int64, plan string) (*extent.VolumeRecord, error) {
 	if _, err := s.planOf(plan); err != nil {
 		return nil, err
 	}
@@ -118,9 +118,9 @@
 }
 
 // change reads a record, changes it and writes it, until nobody came between.
-func (s *Store) change(ctx context.Context, name string, do func(*extent.Record) (*extent.Record, error)) (*extent.Record, error) {
+func (s *Store) change(ctx context.Context, name string, do func(*extent.VolumeRecord) (*extent.VolumeRecord, error)) (*extent.VolumeRecord, error) {
 	for range 8 {
-		rec, version, err := s.Find(ctx, name)
+		rec, version, err := s.ReadRecord(ctx, name)
 		if err != nil {
 			return nil, err
 		}
@@ -136,21 +136,21 @@
 }
 
 // Resize changes a volume's size. What a smaller one loses is dropped.
-func (s *Store) Resize(ctx context.Context, name string, bytes int64) (*extent.Record, error) {
+func (s *Store) Resize(ctx context.Context, name string, bytes int64) (*extent.VolumeRecord, error) {
 	var before int64
-	rec, err := s.change(ctx, name, func(r *extent.Record) (*extent.Record, error) {
-		before = r.Extents()
+	rec, err := s.change(ctx, name, func(r *extent.VolumeRecord) (*extent.VolumeRecord, error) {
+		before = r.ExtentCount()
 		return r.Resize(bytes)
 	})
-	if err != nil || rec.Extents() >= before {
+	if err != nil || rec.ExtentCount() >= before {
 		return rec, err
 	}
-	return rec, s.drop(ctx, rec, rec.Extents())
+	return rec, s.drop(ctx, rec, rec.ExtentCount())
 }
 
 // Delete removes a volume that nobody has, and its extents.
 func (s *Store) Delete(ctx context.Context, name string) error {
-	rec, err := s.change(ctx, name, func(r *extent.Record) (*extent.Record, error) {
+	rec, err := s.change(ctx, name, func(r *extent.VolumeRecord) (*extent.VolumeRecord, error) {
 		return r.Attach("deleted", false, time.Now().UnixMicro())
 	})
 	if err != nil {
@@ -195,15 +195,15 @@
 }
 
 // drop deletes the extents from one on.
-func (s *Store) drop(ctx context.Context, rec *extent.Record, from int64) error {
+func (s *Store) drop(ctx context.Context, rec *extent.VolumeRecord, from int64) error {
 	for shard := range s.slots.Shards() {
-		names, err := s.names(ctx, brick.SpaceExtents, rec.Prefix(), shard)
+		names, err := s.names(ctx, brick.SpaceExtents, rec.ExtentPrefix(), shard)
 		if err != nil {
 			return err
 		}
 		for _, name := range names {
 			var index int64
-			if _, err := fmt.Sscanf(strings.TrimPrefix(name, rec.Prefix()), "%d", &index); err != nil || index < from {
+			if _, err := fmt.Sscanf(strings.TrimPrefix(name, rec.ExtentPrefix()), "%d", &index); err != nil || index < from {
 				continue
 			}
 			err := again(ctx, retry.Write, func() (time.Duration, error) {
@@ -218,15 +218,15 @@
 }
 
 // List returns all volumes' records, by name.
-func (s *Store) List(ctx context.Context) ([]*extent.Record, error) {
-	var out []*extent.Record
+func (s *Store) List(ctx context.Context) ([]*extent.VolumeRecord, error) {
+	var out []*extent.VolumeRecord
 	for shard := range s.slots.Shards() {
 		names, err := s.names(ctx, brick.SpaceVolumes, "", shard)
 		if err != nil {
 			return nil, err
 		}
 		for _, name := range names {
-			rec, _, err := s.Find(ctx, name)
+			rec, _, err := s.ReadRecord(ctx, name)
 			if errors.Is(err, ErrNotFound) {
 				continue
 			}
@@ -236,7 +236,7 @@
 			out = append(out, rec)
 		}
 	}
-	slices.SortFunc(out, func(a, b *extent.Record) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b *extent.VolumeRecord) int { return strings.Compare(a.Name, b.Name) })
 	return out, nil
 }
 
@@ -244,7 +244,7 @@
 // extent must not run at once (package order sees to that).
 type Volume struct {
 	s      *Store
-	rec    *extent.Record
+	rec    *extent.VolumeRecord
 	plan   int
 	number atomic.Uint64 // of writes, over all extents
 	over   atomic.Bool   // it was attached anew elsewhere
@@ -257,7 +257,7 @@
 // Requests of an earlier attachment are refused by each brick from the first
 // request of this one there.
 func (s *Store) Attach(ctx context.Context, name, holder string, steal bool) (*Volume, error) {
-	rec, err := s.change(ctx, name, func(r *extent.Record) (*extent.Record, error) {
+	rec, err := s.change(ctx, name, func(r *extent.VolumeRecord) (*extent.VolumeRecord, error) {
 		return r.Attach(holder, steal, time.Now().UnixMicro())
 	})
 	if err != nil {
@@ -275,14 +275,14 @@
 }
 
 // Record returns the volume's record as it was attached.
-func (v *Volume) Record() *extent.Record { return v.rec }
+func (v *Volume) Record() *extent.VolumeRecord { return v.rec }
 
-// Over tells whether the volume was attached anew elsewhere.
-func (v *Volume) Over() bool { return v.over.Load() }
+// IsFenced tells whether the volume was attached anew elsewhere.
+func (v *Volume) IsFenced() bool { return v.over.Load() }
 
 // Detach gives the volume free.
 func (v *Volume) Detach(ctx context.Context) error {
-	_, err := v.s.change(ctx, v.rec.Name, func(r *extent.Record) (*extent.Record, error) { return r.Detach(v.rec.Epoch) })
+	_, err := v.s.change(ctx, v.rec.Name, func(r *extent.VolumeRecord) (*extent.VolumeRecord, error) { return r.Detach(v.rec.Epoch) })
 	return err
 }
 
@@ -310,7 +310,7 @@
 			}
 			continue // it failed: try it ourselves
 		}
-		if v.s.opt.NoFence {
+		if v.s.opt.DisableFencing {
 			close(wait)
 			return nil
 		}
@@ -377,7 +377,7 @@
 		total += int64(len(b))
 	}
 	at := int64(0)
-	for _, p := range v.rec.Split(from, total, nil) {
+	for _, p := range v.rec.SplitRange(from, total, nil) {
 		if err := v.readPiece(ctx, p, cut(bufs, at, p.Bytes, nil)); err != nil {
 			return err
 		}
@@ -387,7 +387,7 @@
 }
 
 func (v *Volume) readPiece(ctx context.Context, p extent.Piece, into [][]byte) error {
-	name := v.rec.ExtentName(p.Index)
+	name := v.rec.ExtentName(p.ExtentIndex)
 	shard := v.s.slots.Shard(name)
 	if err := v.ready(ctx, shard); err != nil {
 		return err
@@ -440,7 +440,7 @@
 		total += int64(len(b))
 	}
 	at := int64(0)
-	for _, p := range v.rec.Split(from, total, nil) {
+	for _, p := range v.rec.SplitRange(from, total, nil) {
 		b := &body{cut(bufs, at, p.Bytes, nil), p.Bytes}
 		if err := v.patch(ctx, p, b, false); err != nil {
 			return err
@@ -451,7 +451,7 @@
 }
 
 func (v *Volume) patch(ctx context.Context, p extent.Piece, b brick.Body, truncate bool) error {
-	name := v.rec.ExtentName(p.Index)
+	name := v.rec.ExtentName(p.ExtentIndex)
 	shard := v.s.slots.Shard(name)
 	if err := v.ready(ctx, shard); err != nil {
 		return err
@@ -474,12 +474,12 @@
 }
 
 // zeros is what parts of extents are overwritten with.
-var zeros [extent.ExtentBytes]byte
+var zeros [extent.DefaultExtentBytes]byte
 
 // Zero makes a range of the volume read as zeros. Whole extents are emptied.
 func (v *Volume) Zero(ctx context.Context, from, bytes int64) error {
-	for _, p := range v.rec.Split(from, bytes, nil) {
-		whole := p.Offset == 0 && (p.Bytes == v.rec.Extent || p.Index*v.rec.Extent+p.Bytes == v.rec.Bytes)
+	for _, p := range v.rec.SplitRange(from, bytes, nil) {
+		whole := p.Offset == 0 && (p.Bytes == v.rec.ExtentBytes || p.ExtentIndex*v.rec.ExtentBytes+p.Bytes == v.rec.SizeBytes)
 		b := brick.Bytes(nil)
 		if !whole {
 			b = brick.Bytes(zeros[:min(p.Bytes, int64(len(zeros)))])
