--- a/internal/volume/retry/retry.go
+++ b/internal/volume/retry/retry.go
@@ -1,82 +1,85 @@
-// Package retry decides what becomes of a block request's call that was not
-// served: whether it is asked again, when, and until when. It is pure: times
-// are durations since the request began.
+// Package retry decides whether a block request whose call was refused or
+// failed is sent again, and after which wait. It has no side effects: times are
+// durations since the request began.
 //
-// A guest has no deadline of its own, and an error may cost it its file
-// system, so what never ran waits for long; what may have run is an error, as
-// sending it again is its class's to allow, which the module has done already
-// (rule 2); what is harmless to repeat is asked again a few times.
+// A guest sets no deadline for its requests, and an I/O error may make its file
+// system unusable. So a call that never ran is retried for a long time. A write that may have run is reported as an error: only its class
+// can allow a repeat, and the module has made those already (rule 2). A failed
+// read is harmless to repeat and is retried a few times.
 package retry
 
 import "time"
 
-// Kind is what a call does.
+// Kind says whether a call changes data.
 type Kind int
 
 const (
-	// Read changes nothing: it may always be asked again.
+	// Read changes nothing, so it may always be repeated.
 	Read Kind = iota
-	// Write may have run when it failed.
+	// Write may have run even though it failed.
 	Write
 )
 
-// Outcome is how a call ended without an answer.
+// Outcome is how a call ended that got no answer.
 type Outcome int
 
 const (
-	// Refused means that it never ran.
+	// Refused means that the call never ran.
 	Refused Outcome = iota
-	// Failed promises nothing.
+	// Failed means that the call may or may not have run.
 	Failed
-	// Fenced means that another holds the volume: nothing will ever run.
+	// Fenced means that a newer attachment holds the volume; no later call will
+	// run either.
 	Fenced
 )
 
-// Policy are the bounds. Its zero value gives up at once.
+// Policy holds the bounds of the retries of one request. The zero value gives up
+// as soon as any time has passed since the request began.
 type Policy struct {
-	MaxElapsed     time.Duration // for which a request is asked again
-	MinWait        time.Duration // between two calls
+	MaxElapsed     time.Duration // from the start of a request to its last retry
+	MinWait        time.Duration // between two calls, at least
 	MaxWait        time.Duration
-	FailureBackoff time.Duration // after a read that failed, the first time; it doubles
-	MaxFailures    int           // reads that may fail before it is an error
+	FailureBackoff time.Duration // wait after the first failed read; doubles with each failure
+	MaxFailures    int           // failed reads that are retried
 }
 
-// DefaultPolicy is what a guest's disk bears: kernels warn of a request after 30 s
-// to two minutes.
+// DefaultPolicy is the policy for a guest's disk. It ends a request after 30 s,
+// because guest kernels report a hung request after 30 s to two minutes.
 var DefaultPolicy = Policy{MaxElapsed: 30 * time.Second, MinWait: 5 * time.Millisecond, MaxWait: 500 * time.Millisecond,
 	FailureBackoff: 50 * time.Millisecond, MaxFailures: 3}
 
-// GiveUpReason says why a request is given up.
+// GiveUpReason says why a request is not retried; "" means that it is.
 type GiveUpReason string
 
-// Reasons to give a request up.
+// Reasons to stop retrying a request.
 const (
-	ReasonTimeout         GiveUpReason = "patience is over"
-	ReasonMayHaveRun      GiveUpReason = "it may have run"
-	ReasonTooManyFailures GiveUpReason = "it failed too often"
-	ReasonFenced          GiveUpReason = "another holds the volume"
+	ReasonTimeout         GiveUpReason = "the retry time is over"
+	ReasonMayHaveRun      GiveUpReason = "the write may have run"
+	ReasonTooManyFailures GiveUpReason = "the read failed too often"
+	ReasonFenced          GiveUpReason = "a newer attachment holds the volume"
 )
 
-// State is what is known of one request. Its zero value has none behind it.
+// State counts the calls of one request. The zero value is ready for use.
 type State struct {
-	failed int
-	calls  int
+	failures int
+	calls    int
 }
 
-// NextWait decides after a call ended, age after the request began: wait and ask
-// again, or give up, and why. advice is how long the module asks to wait.
-func (p *Policy) NextWait(r *State, kind Kind, end Outcome, age, advice time.Duration) (wait time.Duration, why GiveUpReason) {
-	r.calls++
+// NextWait decides what follows a call that ended with outcome, age after its
+// request began. It returns either the wait before the next call or the reason
+// to give up. advice is the wait that the module asks for after a refusal.
+func (p *Policy) NextWait(state *State, kind Kind, outcome Outcome, age, advice time.Duration) (wait time.Duration, reason GiveUpReason) {
+	state.calls++
 	switch {
-	case end == Fenced:
+	case outcome == Fenced:
 		return 0, ReasonFenced
-	case end == Failed && kind == Write:
+	case outcome == Failed && kind == Write:
 		return 0, ReasonMayHaveRun
-	case end == Failed:
-		if r.failed++; r.failed > p.MaxFailures {
+	case outcome == Failed:
+		if state.failures++; state.failures > p.MaxFailures {
 			return 0, ReasonTooManyFailures
 		}
-		wait = p.FailureBackoff << (r.failed - 1)
+		wait = p.FailureBackoff << (state.failures - 1)
 	default:
 		wait = advice
 	}
--- a/internal/volume/retry/retry_test.go
+++ b/internal/volume/retry/retry_test.go
@@ -8,66 +8,69 @@
 
 const ms = time.Millisecond
 
+// TestNext checks the wait or the reason to give up for each kind of call and
+// outcome.
 func TestNext(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		kind        Kind
-		end         Outcome
+		outcome     Outcome
 		age, advice time.Duration
-		wait        time.Duration
-		why         GiveUpReason
+		wantWait    time.Duration
+		wantReason  GiveUpReason
 	}{
-		{"a refused write waits as the module asks", Write, Refused, 0, 100 * ms, 100 * ms, ""},
-		{"not at once", Read, Refused, 0, 0, 5 * ms, ""},
-		{"not for long", Write, Refused, 0, 5 * time.Second, 500 * ms, ""},
-		{"until patience is over", Write, Refused, 29_600 * ms, time.Second, 0, ReasonTimeout},
-		{"up to its end", Write, Refused, 29_500 * ms, time.Second, 500 * ms, ""},
+		{"a refused write waits as long as the module advises", Write, Refused, 0, 100 * ms, 100 * ms, ""},
+		{"the minimum wait holds", Read, Refused, 0, 0, 5 * ms, ""},
+		{"the maximum wait holds", Write, Refused, 0, 5 * time.Second, 500 * ms, ""},
+		{"a wait past the maximum elapsed time gives up", Write, Refused, 29_600 * ms, time.Second, 0, ReasonTimeout},
+		{"a wait up to exactly the maximum elapsed time", Write, Refused, 29_500 * ms, time.Second, 500 * ms, ""},
 		{"a failed write is an error", Write, Failed, 0, 0, 0, ReasonMayHaveRun},
-		{"a failed read is asked again", Read, Failed, 0, 0, 50 * ms, ""},
-		{"a fenced one never", Read, Fenced, 0, 0, 0, ReasonFenced},
+		{"a failed read is retried", Read, Failed, 0, 0, 50 * ms, ""},
+		{"a fenced read is not retried", Read, Fenced, 0, 0, 0, ReasonFenced},
 	} {
-		if wait, why := DefaultPolicy.NextWait(&State{}, c.kind, c.end, c.age, c.advice); wait != c.wait || why != c.why {
-			t.Errorf("%s: %s %q, want %s %q", c.name, wait, why, c.wait, c.why)
+		if wait, reason := DefaultPolicy.NextWait(&State{}, c.kind, c.outcome, c.age, c.advice); wait != c.wantWait || reason != c.wantReason {
+			t.Errorf("%s: %s %q, want %s %q", c.name, wait, reason, c.wantWait, c.wantReason)
 		}
 	}
-	r := &State{}
+	state := &State{}
 	for i, want := range []time.Duration{50 * ms, 100 * ms, 200 * ms} {
-		if wait, why := DefaultPolicy.NextWait(r, Read, Failed, 0, 0); wait != want || why != "" {
-			t.Errorf("failure %d: %s %q", i+1, wait, why)
+		if wait, reason := DefaultPolicy.NextWait(state, Read, Failed, 0, 0); wait != want || reason != "" {
+			t.Errorf("failure %d: wait %s, reason %q", i+1, wait, reason)
 		}
-		DefaultPolicy.NextWait(r, Read, Refused, 0, 0) // does not count
+		DefaultPolicy.NextWait(state, Read, Refused, 0, 0) // a refusal does not count as a failure
 	}
-	if _, why := DefaultPolicy.NextWait(r, Read, Failed, 0, 0); why != ReasonTooManyFailures {
-		t.Errorf("a fourth failure: %q", why)
+	if _, reason := DefaultPolicy.NextWait(state, Read, Failed, 0, 0); reason != ReasonTooManyFailures {
+		t.Errorf("reason after the fourth failure: %q", reason)
 	}
-	if _, why := (&Policy{}).NextWait(&State{}, Read, Refused, 0, 0); why != "" && why != ReasonTimeout {
-		t.Errorf("no policy: %q", why)
+	if _, reason := (&Policy{}).NextWait(&State{}, Read, Refused, 0, 0); reason != "" && reason != ReasonTimeout {
+		t.Errorf("zero policy: reason %q", reason)
 	}
 }
 
-// Whatever comes, a request ends within its patience, is asked no more often
-// than the least wait allows, and a write that may have run is never asked again.
+// TestNextIsBounded checks with random outcomes that a request ends within
+// MaxElapsed, that its waits keep to MinWait and MaxWait, and that a write that
+// may have run is never repeated.
 func TestNextIsBounded(t *testing.T) {
-	rnd := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
-		r, age, calls := &State{}, time.Duration(0), 0
-		kind := Kind(rnd.IntN(2))
+		state, age, calls := &State{}, time.Duration(0), 0
+		kind := Kind(random.IntN(2))
 		for {
-			age += time.Duration(rnd.IntN(400)) * ms
-			end := Outcome(rnd.IntN(10) / 9) // one in ten fails
-			wait, why := DefaultPolicy.NextWait(r, kind, end, age, time.Duration(rnd.IntN(3000))*ms)
-			if kind == Write && end == Failed && why != ReasonMayHaveRun {
-				t.Fatalf("a write that may have run is asked again after %s", wait)
+			age += time.Duration(random.IntN(400)) * ms
+			outcome := Outcome(random.IntN(10) / 9) // one in ten fails
+			wait, reason := DefaultPolicy.NextWait(state, kind, outcome, age, time.Duration(random.IntN(3000))*ms)
+			if kind == Write && outcome == Failed && reason != ReasonMayHaveRun {
+				t.Fatalf("a write that may have run is repeated after %s", wait)
 			}
-			if why != "" {
+			if reason != "" {
 				break
 			}
 			if wait < DefaultPolicy.MinWait || wait > DefaultPolicy.MaxWait || age+wait > DefaultPolicy.MaxElapsed {
-				t.Fatalf("waits %s at %s", wait, age)
+				t.Fatalf("wait of %s at age %s", wait, age)
 			}
 			age += wait
 			if calls++; calls > int(DefaultPolicy.MaxElapsed/DefaultPolicy.MinWait) {
-				t.Fatal("without end")
+				t.Fatal("the request is retried without end")
 			}
 		}
 	}
