--- a/internal/volume/volume.go
+++ b/internal/volume/volume.go
@@ -18,196 +18,204 @@
 	"arrowwalk/internal/volume/retry"
 )
 
-// ErrNotFound says that there is no such volume.
+// ErrNotFound reports that a volume does not exist.
 var ErrNotFound = errors.New("no such volume")
 
-// errChanged says that a record was written by another meanwhile.
-var errChanged = errors.New("the volume's record was changed by another at the same time")
+// errConflict reports that a record was changed between its read and its write.
+var errConflict = errors.New("the volume's record was changed concurrently")
 
-// Records are read and written, and what is deleted goes, under the first plan
-// and a volume of their own: the module keeps the plan with which it first saw
-// a volume, and a disk's own requests must find theirs.
+// Records are read and written, and extents deleted, under the first plan and a
+// volume ID of their own. The module keeps the plan with which it first saw a
+// volume, so these requests must not use the ID of a disk that may have another
+// plan.
 const (
 	recordPlan   = 0
 	recordVolume = ""
 )
 
-func (s *Store) home(name string) int { return s.slots.Shard("volume/" + name) }
+// recordShard returns the shard that stores a volume's record.
+func (s *Store) recordShard(name string) int { return s.slots.Shard("volume/" + name) }
 
-// again runs do until it is served, package retry gives it up or ctx ends.
-func again(ctx context.Context, kind retry.Kind, do func() (time.Duration, error)) error {
-	began, r := time.Now(), &retry.State{}
+// retryUntilServed runs call until it ends with neither errRefused nor ErrIO, the
+// retry policy gives up or ctx ends. It returns the error of the last call.
+func retryUntilServed(ctx context.Context, kind retry.Kind, call func() (time.Duration, error)) error {
+	began, state := time.Now(), &retry.State{}
 	for {
-		after, err := do()
-		end := retry.Refused
+		retryAfter, err := call()
+		outcome := retry.Refused
 		switch {
 		case errors.Is(err, errRefused):
 		case errors.Is(err, ErrIO):
-			end = retry.Failed
+			outcome = retry.Failed
 		default:
 			return err
 		}
-		wait, why := retry.DefaultPolicy.NextWait(r, kind, end, time.Since(began), after)
+		wait, reason := retry.DefaultPolicy.NextWait(state, kind, outcome, time.Since(began), retryAfter)
 		switch {
-		case why != "" && end == retry.Failed:
+		case reason != "" && outcome == retry.Failed:
 			return err
-		case why != "":
-			return fmt.Errorf("%w: refused, and %s", ErrIO, why)
+		case reason != "":
+			return fmt.Errorf("%w: the request was refused, and %s", ErrIO, reason)
 		}
-		t := time.NewTimer(wait)
+		timer := time.NewTimer(wait)
 		select {
-		case <-t.C:
+		case <-timer.C:
 		case <-ctx.Done():
-			t.Stop()
+			timer.Stop()
 			return ctx.Err()
 		}
 	}
 }
 
-// ReadRecord reads a volume's record, and the version that a change must meet.
+// ReadRecord reads a volume's record. version is the stored version, which a
+// conditional write must match. It returns ErrNotFound if there is no such volume.
 func (s *Store) ReadRecord(ctx context.Context, name string) (rec *extent.VolumeRecord, version uint64, err error) {
-	err = again(ctx, retry.Read, func() (time.Duration, error) {
-		c := s.newCall(recordVolume, recordPlan, config.ClassRead, s.home(name), 0, brick.Request{Method: "GET", Space: brick.SpaceVolumes, Name: name})
-		c.HandleResponse = c.takeRecord(s)
-		after, err := s.do(c, name)
+	err = retryUntilServed(ctx, retry.Read, func() (time.Duration, error) {
+		c := s.newCall(recordVolume, recordPlan, config.ClassRead, s.recordShard(name), 0, brick.Request{Method: "GET", Space: brick.SpaceVolumes, Name: name})
+		c.HandleResponse = c.readRecordBody(s)
+		retryAfter, err := s.perform(c, name)
 		if err != nil {
-			return after, err
+			return retryAfter, err
 		}
 		if c.Response.Status == 404 {
 			return 0, fmt.Errorf("volume %s: %w", name, ErrNotFound)
 		}
-		rec, err = extent.Decode(c.text)
+		rec, err = extent.Decode(c.recordBytes)
 		version = c.Response.Version
 		return 0, err
 	})
 	return rec, version, err
 }
 
-// keep writes a record over the version that it comes from; 0: there is none.
-func (s *Store) keep(ctx context.Context, rec *extent.VolumeRecord, version uint64) error {
-	return again(ctx, retry.Write, func() (time.Duration, error) {
-		text := rec.Encode()
-		c := s.newCall(recordVolume, recordPlan, config.ClassWrite, s.home(rec.Name), int64(len(text)),
-			brick.Request{Method: "PUT", Space: brick.SpaceVolumes, Name: rec.Name, Body: brick.Bytes(text), IfVersion: version, IfAbsent: version == 0})
-		after, err := s.do(c, rec.Name)
+// writeRecord writes a record if version is still the stored one, or, with version
+// 0, if there is no record. Otherwise it returns errConflict.
+func (s *Store) writeRecord(ctx context.Context, rec *extent.VolumeRecord, version uint64) error {
+	return retryUntilServed(ctx, retry.Write, func() (time.Duration, error) {
+		encoded := rec.Encode()
+		c := s.newCall(recordVolume, recordPlan, config.ClassWrite, s.recordShard(rec.Name), int64(len(encoded)),
+			brick.Request{Method: "PUT", Space: brick.SpaceVolumes, Name: rec.Name, Body: brick.Bytes(encoded), IfVersion: version, IfAbsent: version == 0})
+		retryAfter, err := s.perform(c, rec.Name)
 		if err == nil && c.Response.Status == 412 {
-			err = fmt.Errorf("volume %s: %w", rec.Name, errChanged)
+			err = fmt.Errorf("volume %s: %w", rec.Name, errConflict)
 		}
 		if err == nil && c.Response.Status == 507 {
-			err = fmt.Errorf("volume %s: its brick has no room", rec.Name)
+			err = fmt.Errorf("volume %s: its brick has no free space", rec.Name)
 		}
-		return after, err
+		return retryAfter, err
 	})
 }
 
-// Create makes a volume. Thin: nothing is stored of what was never written.
-func (s *Store) Create(ctx context.Context, name string, bytes, block int64, plan string) (*extent.VolumeRecord, error) {
-	if _, err := s.planOf(plan); err != nil {
+// Create creates a volume with sizes in bytes. It is thinly provisioned: an extent
+// is stored once it is written.
+func (s *Store) Create(ctx context.Context, name string, sizeBytes, blockBytes int64, plan string) (*extent.VolumeRecord, error) {
+	if _, err := s.planIndex(plan); err != nil {
 		return nil, err
 	}
-	rec, err := extent.New(name, bytes, block, plan)
+	rec, err := extent.New(name, sizeBytes, blockBytes, plan)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.keep(ctx, rec, 0); errors.Is(err, errChanged) {
-		return nil, fmt.Errorf("volume %s is there already", name)
+	if err := s.writeRecord(ctx, rec, 0); errors.Is(err, errConflict) {
+		return nil, fmt.Errorf("volume %s already exists", name)
 	} else if err != nil {
 		return nil, err
 	}
 	return rec, nil
 }
 
-// change reads a record, changes it and writes it, until nobody came between.
-func (s *Store) change(ctx context.Context, name string, do func(*extent.VolumeRecord) (*extent.VolumeRecord, error)) (*extent.VolumeRecord, error) {
+// updateRecord reads a record, applies modify and writes the result. It starts over
+// if the record was changed meanwhile.
+func (s *Store) updateRecord(ctx context.Context, name string, modify func(*extent.VolumeRecord) (*extent.VolumeRecord, error)) (*extent.VolumeRecord, error) {
 	for range 8 {
 		rec, version, err := s.ReadRecord(ctx, name)
 		if err != nil {
 			return nil, err
 		}
-		next, err := do(rec)
+		next, err := modify(rec)
 		if err != nil {
 			return nil, err
 		}
-		if err = s.keep(ctx, next, version); !errors.Is(err, errChanged) {
+		if err = s.writeRecord(ctx, next, version); !errors.Is(err, errConflict) {
 			return next, err
 		}
 	}
-	return nil, fmt.Errorf("volume %s: %w, eight times", name, errChanged)
+	return nil, fmt.Errorf("volume %s: %w in each of 8 tries", name, errConflict)
 }
 
-// Resize changes a volume's size. What a smaller one loses is dropped.
-func (s *Store) Resize(ctx context.Context, name string, bytes int64) (*extent.VolumeRecord, error) {
-	var before int64
-	rec, err := s.change(ctx, name, func(r *extent.VolumeRecord) (*extent.VolumeRecord, error) {
-		before = r.ExtentCount()
-		return r.Resize(bytes)
+// Resize changes a volume's size. The extents past the end of a smaller one are
+// deleted.
+func (s *Store) Resize(ctx context.Context, name string, sizeBytes int64) (*extent.VolumeRecord, error) {
+	var oldCount int64
+	rec, err := s.updateRecord(ctx, name, func(r *extent.VolumeRecord) (*extent.VolumeRecord, error) {
+		oldCount = r.ExtentCount()
+		return r.Resize(sizeBytes)
 	})
-	if err != nil || rec.ExtentCount() >= before {
+	if err != nil || rec.ExtentCount() >= oldCount {
 		return rec, err
 	}
-	return rec, s.drop(ctx, rec, rec.ExtentCount())
+	return rec, s.deleteExtents(ctx, rec, rec.ExtentCount())
 }
 
-// Delete removes a volume that nobody has, and its extents.
+// Delete deletes a volume that is not attached, and its extents.
 func (s *Store) Delete(ctx context.Context, name string) error {
-	rec, err := s.change(ctx, name, func(r *extent.VolumeRecord) (*extent.VolumeRecord, error) {
+	rec, err := s.updateRecord(ctx, name, func(r *extent.VolumeRecord) (*extent.VolumeRecord, error) {
 		return r.Attach("deleted", false, time.Now().UnixMicro())
 	})
 	if err != nil {
 		return err
 	}
-	if err := s.drop(ctx, rec, 0); err != nil {
+	if err := s.deleteExtents(ctx, rec, 0); err != nil {
 		return err
 	}
-	return again(ctx, retry.Write, func() (time.Duration, error) {
-		c := s.newCall(recordVolume, recordPlan, config.ClassWrite, s.home(name), 0, brick.Request{Method: "DELETE", Space: brick.SpaceVolumes, Name: name})
-		return s.do(c, name)
+	return retryUntilServed(ctx, retry.Write, func() (time.Duration, error) {
+		c := s.newCall(recordVolume, recordPlan, config.ClassWrite, s.recordShard(name), 0, brick.Request{Method: "DELETE", Space: brick.SpaceVolumes, Name: name})
+		return s.perform(c, name)
 	})
 }
 
-// names lists a space's names with a prefix at a shard.
-func (s *Store) names(ctx context.Context, space, prefix string, shard int) ([]string, error) {
-	var out []string
+// listNames returns the names of a space at a shard that begin with prefix.
+func (s *Store) listNames(ctx context.Context, space, prefix string, shard int) ([]string, error) {
+	var names []string
 	after := ""
 	for {
-		var p brick.ListResponse
-		err := again(ctx, retry.Read, func() (time.Duration, error) {
+		var page brick.ListResponse
+		err := retryUntilServed(ctx, retry.Read, func() (time.Duration, error) {
 			c := s.newCall(recordVolume, recordPlan, config.ClassRead, shard, 0, brick.Request{Method: "GET", Space: space, List: &brick.ListQuery{Prefix: prefix, After: after, MaxItems: 100}})
-			c.HandleResponse = c.takeRecord(s)
-			wait, err := s.do(c, prefix)
+			c.HandleResponse = c.readRecordBody(s)
+			wait, err := s.perform(c, prefix)
 			if err != nil {
 				return wait, err
 			}
-			p = brick.ListResponse{}
-			return 0, json.Unmarshal(c.text, &p)
+			page = brick.ListResponse{}
+			return 0, json.Unmarshal(c.recordBytes, &page)
 		})
 		if err != nil {
 			return nil, err
 		}
-		for _, it := range p.Items {
-			out = append(out, string(it.Name))
-			after = string(it.Name)
+		for _, item := range page.Items {
+			names = append(names, string(item.Name))
+			after = string(item.Name)
 		}
-		if !p.More {
-			return out, nil
+		if !page.More {
+			return names, nil
 		}
 	}
 }
 
-// drop deletes the extents from one on.
-func (s *Store) drop(ctx context.Context, rec *extent.VolumeRecord, from int64) error {
+// deleteExtents deletes the extents whose index is first or higher.
+func (s *Store) deleteExtents(ctx context.Context, rec *extent.VolumeRecord, first int64) error {
 	for shard := range s.slots.Shards() {
-		names, err := s.names(ctx, brick.SpaceExtents, rec.ExtentPrefix(), shard)
+		names, err := s.listNames(ctx, brick.SpaceExtents, rec.ExtentPrefix(), shard)
 		if err != nil {
 			return err
 		}
 		for _, name := range names {
 			var index int64
-			if _, err := fmt.Sscanf(strings.TrimPrefix(name, rec.ExtentPrefix()), "%d", &index); err != nil || index < from {
+			if _, err := fmt.Sscanf(strings.TrimPrefix(name, rec.ExtentPrefix()), "%d", &index); err != nil || index < first {
 				continue
 			}
-			err := again(ctx, retry.Write, func() (time.Duration, error) {
-				return s.do(s.newCall(recordVolume, recordPlan, config.ClassWrite, shard, 0, brick.Request{Method: "DELETE", Space: brick.SpaceExtents, Name: name}), rec.Name)
+			err := retryUntilServed(ctx, retry.Write, func() (time.Duration, error) {
+				return s.perform(s.newCall(recordVolume, recordPlan, config.ClassWrite, shard, 0, brick.Request{Method: "DELETE", Space: brick.SpaceExtents, Name: name}), rec.Name)
 			})
 			if err != nil {
 				return err
@@ -217,11 +225,11 @@
 	return nil
 }
 
-// List returns all volumes' records, by name.
+// List returns the records of all volumes, sorted by name.
 func (s *Store) List(ctx context.Context) ([]*extent.VolumeRecord, error) {
-	var out []*extent.VolumeRecord
+	var records []*extent.VolumeRecord
 	for shard := range s.slots.Shards() {
-		names, err := s.names(ctx, brick.SpaceVolumes, "", shard)
+		names, err := s.listNames(ctx, brick.SpaceVolumes, "", shard)
 		if err != nil {
 			return nil, err
 		}
@@ -233,182 +241,187 @@
 			if err != nil {
 				return nil, err
 			}
-			out = append(out, rec)
+			records = append(records, rec)
 		}
 	}
-	slices.SortFunc(out, func(a, b *extent.VolumeRecord) int { return strings.Compare(a.Name, b.Name) })
-	return out, nil
+	slices.SortFunc(records, func(a, b *extent.VolumeRecord) int { return strings.Compare(a.Name, b.Name) })
+	return records, nil
 }
 
-// Volume is an attached volume. It is safe for concurrent use; writes of one
-// extent must not run at once (package order sees to that).
+// Volume is an attached volume. It is safe for concurrent use, except that writes
+// of the same extent must not run at once; package ordering keeps them apart.
 type Volume struct {
-	s      *Store
-	rec    *extent.VolumeRecord
-	plan   int
-	number atomic.Uint64 // of writes, over all extents
-	over   atomic.Bool   // it was attached anew elsewhere
-
-	mu     sync.Mutex
-	fenced map[int]chan struct{} // by shard: closed once its brick knows the epoch
+	store           *Store
+	record          *extent.VolumeRecord
+	plan            int
+	lastWriteNumber atomic.Uint64 // counts writes over all extents
+	fenced          atomic.Bool   // set once a brick reports a newer attachment
+
+	mu        sync.Mutex
+	fenceDone map[int]chan struct{} // by shard: closed once the attempt to fence its brick has ended
 }
 
-// Attach takes a volume for holder; the *extent.Held error names who has it.
-// Requests of an earlier attachment are refused by each brick from the first
-// request of this one there.
+// Attach attaches a volume to holder. It returns an *extent.HeldError if another
+// holder has it and steal is false. From the first request of the new attachment at
+// a brick on, that brick refuses the requests of earlier ones.
 func (s *Store) Attach(ctx context.Context, name, holder string, steal bool) (*Volume, error) {
-	rec, err := s.change(ctx, name, func(r *extent.VolumeRecord) (*extent.VolumeRecord, error) {
+	rec, err := s.updateRecord(ctx, name, func(r *extent.VolumeRecord) (*extent.VolumeRecord, error) {
 		return r.Attach(holder, steal, time.Now().UnixMicro())
 	})
 	if err != nil {
 		return nil, err
 	}
-	plan, err := s.planOf(rec.Plan)
+	plan, err := s.planIndex(rec.Plan)
 	if err != nil {
 		return nil, err
 	}
-	v := &Volume{s: s, rec: rec, plan: plan, fenced: map[int]chan struct{}{}}
-	for shard := range s.slots.Shards() { // now where bricks are ready; else before the first use
+	v := &Volume{store: s, record: rec, plan: plan, fenceDone: map[int]chan struct{}{}}
+	for shard := range s.slots.Shards() { // an error is ignored: the first use of the shard fences it then
 		v.fence(ctx, shard)
 	}
 	return v, nil
 }
 
 // Record returns the volume's record as it was attached.
-func (v *Volume) Record() *extent.VolumeRecord { return v.rec }
+func (v *Volume) Record() *extent.VolumeRecord { return v.record }
 
-// IsFenced tells whether the volume was attached anew elsewhere.
-func (v *Volume) IsFenced() bool { return v.over.Load() }
+// IsFenced reports whether a newer attachment is known to have replaced this one.
+func (v *Volume) IsFenced() bool { return v.fenced.Load() }
 
-// Detach gives the volume free.
+// Detach detaches the volume, so that another holder can attach it.
 func (v *Volume) Detach(ctx context.Context) error {
-	_, err := v.s.change(ctx, v.rec.Name, func(r *extent.VolumeRecord) (*extent.VolumeRecord, error) { return r.Detach(v.rec.Epoch) })
+	_, err := v.store.updateRecord(ctx, v.record.Name, func(r *extent.VolumeRecord) (*extent.VolumeRecord, error) { return r.Detach(v.record.Epoch) })
 	return err
 }
 
-// fence has a shard's brick refuse earlier attachments, once.
+// fence tells a shard's brick the epoch of this attachment, so that it refuses the
+// requests of earlier ones. Concurrent callers wait for the one that sends it.
 func (v *Volume) fence(ctx context.Context, shard int) error {
 	for {
 		v.mu.Lock()
-		wait, begun := v.fenced[shard]
-		if !begun {
-			wait = make(chan struct{})
-			v.fenced[shard] = wait
+		done, started := v.fenceDone[shard]
+		if !started {
+			done = make(chan struct{})
+			v.fenceDone[shard] = done
 		}
 		v.mu.Unlock()
-		if begun {
+		if started {
 			select {
-			case <-wait:
+			case <-done:
 			case <-ctx.Done():
 				return ctx.Err()
 			}
 			v.mu.Lock()
-			_, still := v.fenced[shard]
+			_, fenced := v.fenceDone[shard]
 			v.mu.Unlock()
-			if still {
+			if fenced {
 				return nil
 			}
-			continue // it failed: try it ourselves
+			continue // the other attempt failed: try again
 		}
-		if v.s.opt.DisableFencing {
-			close(wait)
+		if v.store.options.DisableFencing {
+			close(done)
 			return nil
 		}
-		c := v.s.newCall(v.rec.Name, v.plan, config.ClassWrite, shard, 0, brick.Request{Method: "PUT", Space: brick.SpaceFences, Name: v.rec.Name, Epoch: v.rec.Epoch, Body: brick.Bytes(nil)})
-		_, err := v.s.do(c, v.rec.Name)
+		c := v.store.newCall(v.record.Name, v.plan, config.ClassWrite, shard, 0, brick.Request{Method: "PUT", Space: brick.SpaceFences, Name: v.record.Name, Epoch: v.record.Epoch, Body: brick.Bytes(nil)})
+		_, err := v.store.perform(c, v.record.Name)
 		if err == nil && c.Response.Status != 200 {
-			err = fmt.Errorf("%w: fence: status %d", ErrIO, c.Response.Status)
+			err = fmt.Errorf("%w: fencing a brick: status %d", ErrIO, c.Response.Status)
 		}
 		if err != nil {
 			v.mu.Lock()
-			delete(v.fenced, shard)
+			delete(v.fenceDone, shard)
 			v.mu.Unlock()
 		}
-		close(wait)
-		v.note(err)
+		close(done)
+		v.recordFencing(err)
 		return err
 	}
 }
 
-func (v *Volume) note(err error) {
+// recordFencing notes that the volume was replaced by a newer attachment if err
+// says so.
+func (v *Volume) recordFencing(err error) {
 	if errors.Is(err, ErrFenced) {
-		v.over.Store(true)
+		v.fenced.Store(true)
 	}
 }
 
-// ready makes sure that a shard's brick knows the epoch.
-func (v *Volume) ready(ctx context.Context, shard int) error {
+// ensureFenced fences a shard's brick unless that is done, and retries a failure.
+func (v *Volume) ensureFenced(ctx context.Context, shard int) error {
 	v.mu.Lock()
-	wait := v.fenced[shard]
+	done := v.fenceDone[shard]
 	v.mu.Unlock()
-	if wait != nil {
+	if done != nil {
 		select {
-		case <-wait:
+		case <-done:
 			return nil
 		default:
 		}
 	}
-	return again(ctx, retry.Write, func() (time.Duration, error) { return 0, v.fence(ctx, shard) })
+	return retryUntilServed(ctx, retry.Write, func() (time.Duration, error) { return 0, v.fence(ctx, shard) })
 }
 
-// cut returns the part of buffers that holds bytes from an offset.
-func cut(bufs [][]byte, from, bytes int64, into [][]byte) [][]byte {
-	for _, b := range bufs {
-		n := int64(len(b))
-		if from >= n {
-			from -= n
+// sliceBuffers appends to parts the subslices of bufs that cover the given number
+// of bytes at an offset.
+func sliceBuffers(bufs [][]byte, offset, bytes int64, parts [][]byte) [][]byte {
+	for _, buf := range bufs {
+		n := int64(len(buf))
+		if offset >= n {
+			offset -= n
 			continue
 		}
-		part := b[from:min(n, from+bytes)]
-		into = append(into, part)
+		part := buf[offset:min(n, offset+bytes)]
+		parts = append(parts, part)
 		bytes -= int64(len(part))
-		if from = 0; bytes == 0 {
+		if offset = 0; bytes == 0 {
 			break
 		}
 	}
-	return into
+	return parts
 }
 
-// Read fills buffers from an offset of the volume. A read that failed is safe
-// to repeat, and is, as far as package retry has it.
-func (v *Volume) Read(ctx context.Context, from int64, bufs [][]byte) error {
+// Read fills bufs from an offset of the volume, in bytes. Failed reads are retried
+// within the bounds of package retry.
+func (v *Volume) Read(ctx context.Context, offset int64, bufs [][]byte) error {
 	total := int64(0)
 	for _, b := range bufs {
 		total += int64(len(b))
 	}
-	at := int64(0)
-	for _, p := range v.rec.SplitRange(from, total, nil) {
-		if err := v.readPiece(ctx, p, cut(bufs, at, p.Bytes, nil)); err != nil {
+	done := int64(0)
+	for _, p := range v.record.SplitRange(offset, total, nil) {
+		if err := v.readPiece(ctx, p, sliceBuffers(bufs, done, p.Bytes, nil)); err != nil {
 			return err
 		}
-		at += p.Bytes
+		done += p.Bytes
 	}
 	return nil
 }
 
-func (v *Volume) readPiece(ctx context.Context, p extent.Piece, into [][]byte) error {
-	name := v.rec.ExtentName(p.ExtentIndex)
-	shard := v.s.slots.Shard(name)
-	if err := v.ready(ctx, shard); err != nil {
+// readPiece reads one piece into bufs, retrying as the policy allows.
+func (v *Volume) readPiece(ctx context.Context, p extent.Piece, bufs [][]byte) error {
+	name := v.record.ExtentName(p.ExtentIndex)
+	shard := v.store.slots.Shard(name)
+	if err := v.ensureFenced(ctx, shard); err != nil {
 		return err
 	}
-	return again(ctx, retry.Read, func() (time.Duration, error) {
-		c := v.s.newCall(v.rec.Name, v.plan, config.ClassRead, shard, p.Bytes,
-			brick.Request{Method: "GET", Space: brick.SpaceExtents, Name: name, Epoch: v.rec.Epoch, Range: fmt.Sprintf("bytes=%d-%d", p.Offset, p.Offset+p.Bytes-1)})
-		c.into = into
-		c.HandleResponse = c.takeInto(v.s)
-		after, err := v.s.do(c, v.rec.Name)
-		v.note(err)
+	return retryUntilServed(ctx, retry.Read, func() (time.Duration, error) {
+		c := v.store.newCall(v.record.Name, v.plan, config.ClassRead, shard, p.Bytes,
+			brick.Request{Method: "GET", Space: brick.SpaceExtents, Name: name, Epoch: v.record.Epoch, Range: fmt.Sprintf("bytes=%d-%d", p.Offset, p.Offset+p.Bytes-1)})
+		c.readBuffers = bufs
+		c.HandleResponse = c.readExtentBody(v.store)
+		retryAfter, err := v.store.perform(c, v.record.Name)
+		v.recordFencing(err)
 		if err != nil {
-			return after, err
+			return retryAfter, err
 		}
 		status := c.Response.Status
 		switch status {
 		case 200, 206:
 			return 0, nil
-		case 404, 416: // never written
-			for _, b := range into {
-				clear(b)
+		case 404, 416: // the extent was never written
+			for _, buf := range bufs {
+				clear(buf)
 			}
 			return 0, nil
 		}
@@ -416,54 +429,56 @@
 	})
 }
 
-// body is a Body of parts that are not copied.
-type body struct {
-	parts [][]byte
-	n     int64
+// bufferBody is a brick.Body that sends buffers without copying them.
+type bufferBody struct {
+	parts  [][]byte
+	length int64
 }
 
-func (b *body) Len() int64 { return b.n }
+func (b *bufferBody) Len() int64 { return b.length }
 
-// Parts returns a copy of the list: who writes it consumes it.
-func (b *body) Parts() ([][]byte, io.Reader) { return slices.Clone(b.parts), nil }
+// Parts returns a copy of the list, because the writer consumes it.
+func (b *bufferBody) Parts() ([][]byte, io.Reader) { return slices.Clone(b.parts), nil }
 
-// Sums returns none: the memory is the guest's, who may change it while it is
-// sent, as with any disk. The brick makes them of what came.
-func (b *body) Sums() []uint32 { return nil }
+// Sums returns no checksums, because the guest may change its memory while it is
+// sent. The brick computes them over the bytes that it received.
+func (b *bufferBody) Sums() []uint32 { return nil }
 
-// Write stores buffers at an offset of the volume; it is durable when it
-// returns. A write that was refused never ran and is tried again; one that
-// failed may have run, or may still, and is an error.
-func (v *Volume) Write(ctx context.Context, from int64, bufs [][]byte) error {
+// Write writes bufs at an offset of the volume, in bytes. The data is durable when
+// it returns nil. A refused write never ran and is retried. A failed write may have
+// run or may run later, and is returned as an error.
+func (v *Volume) Write(ctx context.Context, offset int64, bufs [][]byte) error {
 	total := int64(0)
 	for _, b := range bufs {
 		total += int64(len(b))
 	}
-	at := int64(0)
-	for _, p := range v.rec.SplitRange(from, total, nil) {
-		b := &body{cut(bufs, at, p.Bytes, nil), p.Bytes}
-		if err := v.patch(ctx, p, b, false); err != nil {
+	done := int64(0)
+	for _, p := range v.record.SplitRange(offset, total, nil) {
+		b := &bufferBody{sliceBuffers(bufs, done, p.Bytes, nil), p.Bytes}
+		if err := v.writePiece(ctx, p, b, false); err != nil {
 			return err
 		}
-		at += p.Bytes
+		done += p.Bytes
 	}
 	return nil
 }
 
-func (v *Volume) patch(ctx context.Context, p extent.Piece, b brick.Body, truncate bool) error {
-	name := v.rec.ExtentName(p.ExtentIndex)
-	shard := v.s.slots.Shard(name)
-	if err := v.ready(ctx, shard); err != nil {
+// writePiece writes body at the offset of a piece, and truncates the extent after it
+// if truncate is set.
+func (v *Volume) writePiece(ctx context.Context, p extent.Piece, body brick.Body, truncate bool) error {
+	name := v.record.ExtentName(p.ExtentIndex)
+	shard := v.store.slots.Shard(name)
+	if err := v.ensureFenced(ctx, shard); err != nil {
 		return err
 	}
-	number := v.number.Add(1)
-	return again(ctx, retry.Write, func() (time.Duration, error) {
-		c := v.s.newCall(v.rec.Name, v.plan, config.ClassWrite, shard, b.Len(), brick.Request{Method: "PATCH", Space: brick.SpaceExtents, Name: name,
-			Epoch: v.rec.Epoch, Offset: p.Offset, Number: number, Truncate: truncate, Body: b})
-		after, err := v.s.do(c, v.rec.Name)
-		v.note(err)
+	number := v.lastWriteNumber.Add(1)
+	return retryUntilServed(ctx, retry.Write, func() (time.Duration, error) {
+		c := v.store.newCall(v.record.Name, v.plan, config.ClassWrite, shard, body.Len(), brick.Request{Method: "PATCH", Space: brick.SpaceExtents, Name: name,
+			Epoch: v.record.Epoch, Offset: p.Offset, Number: number, Truncate: truncate, Body: body})
+		retryAfter, err := v.store.perform(c, v.record.Name)
+		v.recordFencing(err)
 		if err != nil {
-			return after, err
+			return retryAfter, err
 		}
 		status := c.Response.Status
 		if status != 200 {
@@ -473,18 +488,19 @@
 	})
 }
 
-// zeros is what parts of extents are overwritten with.
-var zeros [extent.DefaultExtentBytes]byte
+// zeroBytes overwrites partial extents in Zero.
+var zeroBytes [extent.DefaultExtentBytes]byte
 
-// Zero makes a range of the volume read as zeros. Whole extents are emptied.
-func (v *Volume) Zero(ctx context.Context, from, bytes int64) error {
-	for _, p := range v.rec.SplitRange(from, bytes, nil) {
-		whole := p.Offset == 0 && (p.Bytes == v.rec.ExtentBytes || p.ExtentIndex*v.rec.ExtentBytes+p.Bytes == v.rec.SizeBytes)
-		b := brick.Bytes(nil)
+// Zero makes a range of bytes read as zeros. It truncates extents that the range
+// covers completely.
+func (v *Volume) Zero(ctx context.Context, offset, bytes int64) error {
+	for _, p := range v.record.SplitRange(offset, bytes, nil) {
+		whole := p.Offset == 0 && (p.Bytes == v.record.ExtentBytes || p.ExtentIndex*v.record.ExtentBytes+p.Bytes == v.record.SizeBytes)
+		body := brick.Bytes(nil)
 		if !whole {
-			b = brick.Bytes(zeros[:min(p.Bytes, int64(len(zeros)))])
+			body = brick.Bytes(zeroBytes[:min(p.Bytes, int64(len(zeroBytes)))])
 		}
-		if err := v.patch(ctx, p, b, whole); err != nil {
+		if err := v.writePiece(ctx, p, body, whole); err != nil {
 			return err
 		}
 	}
