--- a/internal/front/vhost/blk/blk.go
+++ b/internal/front/vhost/blk/blk.go
@@ -68,8 +68,8 @@
 }
 
 const (
-	headSize = 16
-	idSize   = 20
+	headerSize = 16
+	idSize     = 20
 	// MaxRanges is how many ranges a request may name.
 	MaxRanges = 16
 	rangeSize = 16
@@ -99,30 +99,30 @@
 		return IOErr, fmt.Errorf("%w: no room for a status", ErrMalformed)
 	}
 	r.status = last[len(last)-1:]
-	var head [headSize]byte
+	var head [headerSize]byte
 	rest, got := segments, 0
-	for got < headSize { // the head may be split over segments
+	for got < headerSize { // the head may be split over segments
 		if len(rest) == 0 || rest[0].DeviceWrites {
 			return IOErr, fmt.Errorf("%w: a head of %d bytes", ErrMalformed, got)
 		}
 		n := copy(head[got:], rest[0].Data)
 		got += n
 		if n < len(rest[0].Data) {
-			r.add(rest[0].Data[n:])
+			r.addData(rest[0].Data[n:])
 		}
 		rest = rest[1:]
 	}
-	return r.parse(head[:], rest, d), nil
+	return r.parseBody(head[:], rest, d), nil
 }
 
-func (r *Request) add(b []byte) {
+func (r *Request) addData(b []byte) {
 	if len(b) > 0 {
 		r.Data = append(r.Data, b)
 		r.Bytes += int64(len(b))
 	}
 }
 
-func (r *Request) parse(head []byte, rest []virtqueue.Segment, d *Disk) Status {
+func (r *Request) parseBody(head []byte, rest []virtqueue.Segment, d *Disk) Status {
 	r.Bytes = 0
 	for _, b := range r.Data {
 		r.Bytes += int64(len(b))
@@ -141,7 +141,7 @@
 		if s.DeviceWrites != writes && len(data) > 0 {
 			return IOErr
 		}
-		r.add(data)
+		r.addData(data)
 	}
 	switch r.Kind {
 	case In, Out:
@@ -154,7 +154,7 @@
 		}
 		return OK
 	case Discard, WriteZeroes:
-		return r.ranges(d)
+		return r.parseRanges(d)
 	}
 	return Unsupported
 }
@@ -170,9 +170,9 @@
 	return OK
 }
 
-// ranges reads the ranges of a Discard or WriteZeroes, once, out of memory
+// parseRanges reads the parseRanges of a Discard or WriteZeroes, once, out of memory
 // that the guest may change meanwhile.
-func (r *Request) ranges(d *Disk) Status {
+func (r *Request) parseRanges(d *Disk) Status {
 	if r.Bytes == 0 || r.Bytes%rangeSize != 0 || r.Bytes > MaxRanges*rangeSize || d.ReadOnly {
 		return IOErr
 	}
--- a/internal/front/vhost/blk/blk_test.go
+++ b/internal/front/vhost/blk/blk_test.go
@@ -7,7 +7,7 @@
 	"arrowwalk/internal/front/vhost/virtqueue"
 )
 
-func head(kind Kind, sector uint64) []byte {
+func requestHeader(kind Kind, sector uint64) []byte {
 	b := make([]byte, 16)
 	binary.LittleEndian.PutUint32(b, uint32(kind))
 	binary.LittleEndian.PutUint64(b[8:], sector)
@@ -23,7 +23,7 @@
 		d := &Disk{SizeBytes: 1 << 20, BlockBytes: 512}
 		body := make([]byte, n)
 		write := Kind(kind) == In || Kind(kind) == GetID
-		h := head(Kind(kind), sector)
+		h := requestHeader(Kind(kind), sector)
 		plain := &virtqueue.Chain{Segments: []virtqueue.Segment{{Data: h}, {Data: body, DeviceWrites: write}, {Data: make([]byte, 1), DeviceWrites: true}}}
 		var a, b Request
 		want, err := a.Parse(plain, d)
--- a/internal/front/vhost/device.go
+++ b/internal/front/vhost/device.go
@@ -41,23 +41,23 @@
 // device runs the requests of all queues of one session. What it starts ends
 // before stop returns.
 type device struct {
-	disk  Disk
-	stats *Stats
-	ctx   context.Context
-	end   context.CancelFunc
+	disk   Disk
+	stats  *Stats
+	ctx    context.Context
+	cancel context.CancelFunc
 
-	mu    sync.Mutex // board and ops
-	board *ordering.Tracker
-	ops   []*op
-	free  []uint32
-	wg    sync.WaitGroup
-	work  chan *op
-	idle  int
-	count int
+	mu          sync.Mutex // board and ops
+	tracker     *ordering.Tracker
+	requests    []*pendingRequest
+	freeIDs     []uint32
+	wg          sync.WaitGroup
+	runnable    chan *pendingRequest
+	idleWorkers int
+	workers     int
 }
 
-// op is one request that is not done.
-type op struct {
+// pendingRequest is one request that is not done.
+type pendingRequest struct {
 	id    uint32
 	queue *queue
 	chain virtqueue.Chain
@@ -65,20 +65,20 @@
 	parts []ordering.Op
 }
 
-// workersMost is how many requests of a device run side by side.
-const workersMost = 256
+// maxWorkers is how many requests of a device run side by side.
+const maxWorkers = 256
 
 func newDevice(disk Disk, stats *Stats) *device {
-	d := &device{disk: disk, stats: stats, board: ordering.NewTracker(disk.ExtentBytes), work: make(chan *op, workersMost)}
-	d.ctx, d.end = context.WithCancel(context.Background())
+	d := &device{disk: disk, stats: stats, tracker: ordering.NewTracker(disk.ExtentBytes), runnable: make(chan *pendingRequest, maxWorkers)}
+	d.ctx, d.cancel = context.WithCancel(context.Background())
 	return d
 }
 
 // stop ends the device: requests that run are given up.
 func (d *device) stop() {
-	d.end()
+	d.cancel()
 	d.drain()
-	close(d.work)
+	close(d.runnable)
 	d.wg.Wait()
 }
 
@@ -87,9 +87,9 @@
 	for {
 		d.mu.Lock()
 		var wait chan struct{}
-		for _, o := range d.ops {
+		for _, o := range d.requests {
 			if o != nil && o.queue != nil {
-				wait = o.queue.settled()
+				wait = o.queue.idleChan()
 				break
 			}
 		}
@@ -101,23 +101,23 @@
 	}
 }
 
-// newOp returns an op that is not in use.
-func (d *device) newOp() *op {
+// newRequest returns an op that is not in use.
+func (d *device) newRequest() *pendingRequest {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if n := len(d.free); n > 0 {
-		id := d.free[n-1]
-		d.free = d.free[:n-1]
-		return d.ops[id]
+	if n := len(d.freeIDs); n > 0 {
+		id := d.freeIDs[n-1]
+		d.freeIDs = d.freeIDs[:n-1]
+		return d.requests[id]
 	}
-	o := &op{id: uint32(len(d.ops))}
-	d.ops = append(d.ops, o)
+	o := &pendingRequest{id: uint32(len(d.requests))}
+	d.requests = append(d.requests, o)
 	return o
 }
 
-// whole is the op of the order board: where a request names several ranges it
+// orderingOp is the op of the order board: where a request names several ranges it
 // stands for all that is between.
-func (o *op) whole() ordering.Op {
+func (o *pendingRequest) orderingOp() ordering.Op {
 	switch o.req.Kind {
 	case blk.In:
 		return ordering.Op{Kind: ordering.Read, Offset: o.req.Offset, Bytes: o.req.Bytes}
@@ -133,79 +133,79 @@
 	return ordering.Op{Kind: ordering.Flush}
 }
 
-// take parses a chain and has it run when its turn is. The error says that the
+// submit parses a chain and has it run when its turn is. The error says that the
 // driver broke the rules.
-func (d *device) take(o *op) error {
+func (d *device) submit(o *pendingRequest) error {
 	status, err := o.req.Parse(&o.chain, &blk.Disk{SizeBytes: d.disk.SizeBytes, BlockBytes: d.disk.BlockBytes})
 	if err != nil {
 		return err
 	}
 	d.stats.Requests.Add(1)
 	if status != blk.OK {
-		d.finish(o, status)
+		d.complete(o, status)
 		return nil
 	}
 	if o.req.Kind == blk.GetID {
 		o.req.WriteID(d.disk.Name)
-		d.finish(o, blk.OK)
+		d.complete(o, blk.OK)
 		return nil
 	}
 	d.mu.Lock()
-	runs := d.board.Add(o.id, o.whole())
+	runs := d.tracker.Add(o.id, o.orderingOp())
 	d.mu.Unlock()
 	if runs {
-		d.start(o)
+		d.dispatch(o)
 	}
 	return nil
 }
 
-// start hands an op to a worker, a new one where all are busy.
-func (d *device) start(o *op) {
+// dispatch hands an op to a worker, a new one where all are busy.
+func (d *device) dispatch(o *pendingRequest) {
 	d.mu.Lock()
-	if d.idle == 0 && d.count < workersMost {
-		d.count++
+	if d.idleWorkers == 0 && d.workers < maxWorkers {
+		d.workers++
 		d.wg.Add(1)
 		go d.worker()
-	} else if d.idle > 0 {
-		d.idle--
+	} else if d.idleWorkers > 0 {
+		d.idleWorkers--
 	}
 	d.mu.Unlock()
-	d.work <- o
+	d.runnable <- o
 }
 
 func (d *device) worker() {
 	defer d.wg.Done()
-	for o := range d.work {
-		d.run(o)
+	for o := range d.runnable {
+		d.execute(o)
 		d.mu.Lock()
-		d.idle++
+		d.idleWorkers++
 		d.mu.Unlock()
 	}
 }
 
-func (d *device) run(o *op) {
-	err := guestmem.RecoverFaults(func() error { return d.do(&o.req) })
+func (d *device) execute(o *pendingRequest) {
+	err := guestmem.RecoverFaults(func() error { return d.perform(&o.req) })
 	status := blk.OK
 	if err != nil {
 		status = blk.IOErr
 	}
 	d.mu.Lock()
-	ready := d.board.Complete(o.id, nil)
-	next := make([]*op, len(ready))
+	ready := d.tracker.Complete(o.id, nil)
+	next := make([]*pendingRequest, len(ready))
 	for i, id := range ready {
-		next[i] = d.ops[id]
+		next[i] = d.requests[id]
 	}
 	d.mu.Unlock()
 	if errors.Is(err, guestmem.ErrFault) {
-		o.queue.fail(err)
+		o.queue.markBroken(err)
 	}
-	d.finish(o, status)
+	d.complete(o, status)
 	for _, one := range next {
-		d.start(one)
+		d.dispatch(one)
 	}
 }
 
-func (d *device) do(r *blk.Request) error {
+func (d *device) perform(r *blk.Request) error {
 	switch r.Kind {
 	case blk.In:
 		return d.disk.Backend.Read(d.ctx, r.Offset, r.Data)
@@ -221,27 +221,27 @@
 	return nil // a flush: each write was durable when it was done
 }
 
-// finish gives a chain back. A device that is ending gives nothing back: what
+// complete gives a chain back. A device that is ending gives nothing back: what
 // is in flight stays marked, and is done again after the next attachment.
-func (d *device) finish(o *op, status blk.Status) {
+func (d *device) complete(o *pendingRequest, status blk.Status) {
 	if status != blk.OK {
 		d.stats.Errors.Add(1)
 	}
 	q := o.queue
 	q.mu.Lock()
-	if d.ctx.Err() == nil && q.broken == nil {
+	if d.ctx.Err() == nil && q.brokenErr == nil {
 		err := guestmem.RecoverFaults(func() error {
-			q.inflight.giving(o.chain.Head)
+			q.inflight.setLastHead(o.chain.Head)
 			q.ring.PushUsed(o.chain.Head, o.req.WriteStatus(status))
-			q.inflight.gave(o.chain.Head, q.ring.UsedIndex())
+			q.inflight.clearTaken(o.chain.Head, q.ring.UsedIndex())
 			return nil
 		})
 		if err == nil && q.ring.ShouldNotify() {
 			q.signal()
 		}
 	}
-	q.out--
-	if q.out == 0 {
+	q.inFlight--
+	if q.inFlight == 0 {
 		for _, c := range q.waiters {
 			close(c)
 		}
@@ -250,33 +250,33 @@
 	q.mu.Unlock()
 	d.mu.Lock()
 	o.queue = nil
-	d.free = append(d.free, o.id)
+	d.freeIDs = append(d.freeIDs, o.id)
 	d.mu.Unlock()
 }
 
 // queue is a virtqueue of a session, with its goroutine while it runs.
 type queue struct {
 	index    int
-	d        *device
+	device   *device
 	ring     *virtqueue.Queue
 	inflight *inflight
 	kick     *os.File
-	call     int // eventfd; -1: none
-	lost     func(error)
+	callFD   int // eventfd; -1: none
+	onBroken func(error)
 
-	mu      sync.Mutex
-	out     int // requests in flight
-	waiters []chan struct{}
-	broken  error
-	ended   chan struct{}
+	mu        sync.Mutex
+	inFlight  int // requests in flight
+	waiters   []chan struct{}
+	brokenErr error
+	stopped   chan struct{}
 }
 
-// settled returns a channel that closes when the queue has nothing in flight;
+// idleChan returns a channel that closes when the queue has nothing in flight;
 // nil: it has nothing.
-func (q *queue) settled() chan struct{} {
+func (q *queue) idleChan() chan struct{} {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.out == 0 {
+	if q.inFlight == 0 {
 		return nil
 	}
 	c := make(chan struct{})
@@ -286,40 +286,40 @@
 
 // signal tells the driver that something was put. Its caller holds q.mu.
 func (q *queue) signal() {
-	if q.call >= 0 {
+	if q.callFD >= 0 {
 		var one [8]byte
 		binary.LittleEndian.PutUint64(one[:], 1)
-		unix.Write(q.call, one[:])
-		q.d.stats.Signals.Add(1)
+		unix.Write(q.callFD, one[:])
+		q.device.stats.Signals.Add(1)
 	}
 }
 
-// fail marks the queue as broken by its driver; the session ends.
-func (q *queue) fail(err error) {
+// markBroken marks the queue as broken by its driver; the session ends.
+func (q *queue) markBroken(err error) {
 	q.mu.Lock()
-	first := q.broken == nil
+	first := q.brokenErr == nil
 	if first {
-		q.broken = err
+		q.brokenErr = err
 	}
 	q.mu.Unlock()
 	if first {
-		q.lost(err)
+		q.onBroken(err)
 	}
 }
 
 // run serves the queue until its kick descriptor is closed. restore are chains
 // of an earlier session that are to be done again.
 func (q *queue) run(restore []uint16) {
-	defer close(q.ended)
+	defer close(q.stopped)
 	for _, head := range restore {
-		if !q.handle(func(o *op) (bool, error) { return true, q.ring.ReadChain(head, &o.chain) }, false) {
+		if !q.handle(func(o *pendingRequest) (bool, error) { return true, q.ring.ReadChain(head, &o.chain) }, false) {
 			return
 		}
 	}
 	var buf [8]byte
 	for {
 		for {
-			more, ok := q.pop()
+			more, ok := q.handleNext()
 			if !ok {
 				return
 			}
@@ -328,7 +328,7 @@
 			}
 			armed := false
 			if err := guestmem.RecoverFaults(func() error { armed = !q.ring.EnableKicks(); return nil }); err != nil {
-				q.fail(err)
+				q.markBroken(err)
 				return
 			}
 			if armed {
@@ -338,13 +338,13 @@
 		if _, err := q.kick.Read(buf[:]); err != nil {
 			return
 		}
-		q.d.stats.Kicks.Add(1)
+		q.device.stats.Kicks.Add(1)
 	}
 }
 
-// pop takes one chain out of the ring; more is false where there was none.
-func (q *queue) pop() (more, ok bool) {
-	ok = q.handle(func(o *op) (bool, error) {
+// handleNext takes one chain out of the ring; more is false where there was none.
+func (q *queue) handleNext() (more, ok bool) {
+	ok = q.handle(func(o *pendingRequest) (bool, error) {
 		var err error
 		more, err = q.ring.PopAvail(&o.chain)
 		return more, err
@@ -353,8 +353,8 @@
 }
 
 // handle has one chain be done that next reads; false: the queue is broken.
-func (q *queue) handle(next func(o *op) (bool, error), mark bool) bool {
-	o := q.d.newOp()
+func (q *queue) handle(next func(o *pendingRequest) (bool, error), mark bool) bool {
+	o := q.device.newRequest()
 	taken := false
 	err := guestmem.RecoverFaults(func() error {
 		var err error
@@ -363,28 +363,28 @@
 			return err
 		}
 		if mark {
-			q.inflight.take(o.chain.Head)
+			q.inflight.markTaken(o.chain.Head)
 		}
 		q.mu.Lock()
-		q.out++
+		q.inFlight++
 		q.mu.Unlock()
-		q.d.mu.Lock()
+		q.device.mu.Lock()
 		o.queue = q
-		q.d.mu.Unlock()
-		return q.d.take(o)
+		q.device.mu.Unlock()
+		return q.device.submit(o)
 	})
 	if err == nil && taken {
 		return true
 	}
 	if err != nil {
-		q.fail(err)
+		q.markBroken(err)
 	}
 	if o.queue == nil {
-		q.d.mu.Lock()
-		q.d.free = append(q.d.free, o.id)
-		q.d.mu.Unlock()
+		q.device.mu.Lock()
+		q.device.freeIDs = append(q.device.freeIDs, o.id)
+		q.device.mu.Unlock()
 	} else if err != nil { // it was taken and is no request
-		q.d.finish(o, blk.IOErr)
+		q.device.complete(o, blk.IOErr)
 	}
 	return err == nil
 }
--- a/internal/front/vhost/guestmem/memory.go
+++ b/internal/front/vhost/guestmem/memory.go
@@ -31,8 +31,8 @@
 	data   []byte // the region
 }
 
-// totalMost is how much guest memory may be mapped in all.
-const totalMost = 1 << 40
+// maxTotalBytes is how much guest memory may be mapped in all.
+const maxTotalBytes = 1 << 40
 
 // Map maps regions from their descriptors, which it does not close.
 func Map(list []wire.Region, fds []int) (*Table, error) {
@@ -49,11 +49,11 @@
 				return nil, fmt.Errorf("memory table: regions %d and %d overlap", j, i)
 			}
 		}
-		if total += r.Size; r.Size > totalMost || total > totalMost {
+		if total += r.Size; r.Size > maxTotalBytes || total > maxTotalBytes {
 			t.Unmap()
-			return nil, fmt.Errorf("memory table: more than %d bytes", uint64(totalMost))
+			return nil, fmt.Errorf("memory table: more than %d bytes", uint64(maxTotalBytes))
 		}
-		if err := t.add(r, fds[i], page); err != nil {
+		if err := t.mapRegion(r, fds[i], page); err != nil {
 			t.Unmap()
 			return nil, fmt.Errorf("memory table: region %d: %w", i, err)
 		}
@@ -61,7 +61,7 @@
 	return t, nil
 }
 
-func (t *Table) add(r wire.Region, fd int, page uint64) error {
+func (t *Table) mapRegion(r wire.Region, fd int, page uint64) error {
 	var st unix.Stat_t
 	if err := unix.Fstat(fd, &st); err != nil {
 		return err
--- a/internal/front/vhost/guestmem/memory_test.go
+++ b/internal/front/vhost/guestmem/memory_test.go
@@ -10,7 +10,7 @@
 	"arrowwalk/internal/front/vhost/wire"
 )
 
-func file(t *testing.T, size int64) int {
+func newMemFile(t *testing.T, size int64) int {
 	t.Helper()
 	fd, err := unix.MemfdCreate("guest", unix.MFD_CLOEXEC)
 	if err != nil {
@@ -26,7 +26,7 @@
 // Addresses inside a region give its bytes, all others nothing, also where a
 // sum overflows or two regions touch.
 func TestAddresses(t *testing.T) {
-	a, b := file(t, 16384), file(t, 8192)
+	a, b := newMemFile(t, 16384), newMemFile(t, 8192)
 	table, err := Map([]wire.Region{{GuestAddr: 0x1000, Size: 8192, UserAddr: 0x70000, FileOffset: 100}, {GuestAddr: 0x3000, Size: 8192, UserAddr: 0x90000}}, []int{a, b})
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 // A region that shrinks after it was mapped is an error to who touches it, and
 // the program goes on; other panics go on too.
 func TestShrinks(t *testing.T) {
-	fd := file(t, 8192)
+	fd := newMemFile(t, 8192)
 	table, err := Map([]wire.Region{{GuestAddr: 0, Size: 8192}}, []int{fd})
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 
 // Tables that make no sense are not mapped.
 func TestBadTables(t *testing.T) {
-	fd := file(t, 4096)
+	fd := newMemFile(t, 4096)
 	for want, c := range map[string]struct {
 		list []wire.Region
 		fds  []int
--- a/internal/front/vhost/inflight.go
+++ b/internal/front/vhost/inflight.go
@@ -13,22 +13,22 @@
 // reconnection what is marked is done again, in the order in which it came.
 
 const (
-	inflightHead  = 16 // features, version, desc_num, last_batch_head, used_idx
-	inflightEntry = 16 // inflight, padding, next, counter
-	inflightAlign = 64
+	inflightHeaderSize = 16 // features, version, desc_num, last_batch_head, used_idx
+	inflightEntrySize  = 16 // inflight, padding, next, counter
+	inflightAlignment  = 64
 )
 
 // inflightSize returns the bytes of one queue's part.
 func inflightSize(size uint16) uint64 {
-	n := uint64(inflightHead) + uint64(size)*inflightEntry
-	return (n + inflightAlign - 1) / inflightAlign * inflightAlign
+	n := uint64(inflightHeaderSize) + uint64(size)*inflightEntrySize
+	return (n + inflightAlignment - 1) / inflightAlignment * inflightAlignment
 }
 
 // inflight is one queue's part of the region. A nil one tracks nothing.
 type inflight struct {
-	mem     []byte
-	size    uint16
-	counter uint64
+	mem       []byte
+	queueSize uint16
+	counter   uint64
 }
 
 // newInflight returns a queue's part; a fresh one is set up.
@@ -36,7 +36,7 @@
 	if uint64(len(mem)) < inflightSize(size) {
 		return nil, fmt.Errorf("inflight region: %d bytes for %d descriptors", len(mem), size)
 	}
-	f := &inflight{mem: mem, size: size}
+	f := &inflight{mem: mem, queueSize: size}
 	if f.version() == 0 {
 		binary.LittleEndian.PutUint16(mem[8:], 1)
 		binary.LittleEndian.PutUint16(mem[10:], size)
@@ -49,11 +49,11 @@
 func (f *inflight) version() uint16 { return binary.LittleEndian.Uint16(f.mem[8:]) }
 
 func (f *inflight) entry(head uint16) []byte {
-	return f.mem[inflightHead+int(head)*inflightEntry:][:inflightEntry]
+	return f.mem[inflightHeaderSize+int(head)*inflightEntrySize:][:inflightEntrySize]
 }
 
-// take marks a chain that was taken out of the ring.
-func (f *inflight) take(head uint16) {
+// markTaken marks a chain that was taken out of the ring.
+func (f *inflight) markTaken(head uint16) {
 	if f == nil {
 		return
 	}
@@ -63,15 +63,15 @@
 	e[0] = 1
 }
 
-// giving notes which chain is about to be put into the used ring.
-func (f *inflight) giving(head uint16) {
+// setLastHead notes which chain is about to be put into the used ring.
+func (f *inflight) setLastHead(head uint16) {
 	if f != nil {
 		binary.LittleEndian.PutUint16(f.mem[12:], head)
 	}
 }
 
-// gave takes the mark off a chain that is in the used ring.
-func (f *inflight) gave(head, usedIdx uint16) {
+// clearTaken takes the mark off a chain that is in the used ring.
+func (f *inflight) clearTaken(head, usedIdx uint16) {
 	if f == nil {
 		return
 	}
@@ -79,15 +79,15 @@
 	binary.LittleEndian.PutUint16(f.mem[14:], usedIdx)
 }
 
-// restore returns the chains that were taken and not given back, oldest first.
+// unfinished returns the chains that were taken and not given back, oldest first.
 // usedIdx is the ring's own: where it is ahead of the region's, the last chain
 // was given and its mark not yet taken off.
-func (f *inflight) restore(usedIdx uint16) []uint16 {
+func (f *inflight) unfinished(usedIdx uint16) []uint16 {
 	if f == nil {
 		return nil
 	}
 	if told := binary.LittleEndian.Uint16(f.mem[14:]); told != usedIdx {
-		if last := binary.LittleEndian.Uint16(f.mem[12:]); last < f.size {
+		if last := binary.LittleEndian.Uint16(f.mem[12:]); last < f.queueSize {
 			f.entry(last)[0] = 0
 		}
 		binary.LittleEndian.PutUint16(f.mem[14:], usedIdx)
@@ -97,7 +97,7 @@
 		counter uint64
 	}
 	var list []marked
-	for head := range f.size {
+	for head := range f.queueSize {
 		e := f.entry(head)
 		counter := binary.LittleEndian.Uint64(e[8:])
 		f.counter = max(f.counter, counter)
--- a/internal/front/vhost/server.go
+++ b/internal/front/vhost/server.go
@@ -23,24 +23,24 @@
 )
 
 const (
-	queuesMost = 16
-	segMax     = 126
+	maxQueues   = 16
+	maxSegments = 126
 
-	features = blk.FeatureSegMax | blk.FeatureBlkSize | blk.FeatureFlush | blk.FeatureMQ | blk.FeatureDiscard | blk.FeatureWriteZeroes |
+	deviceFeatures = blk.FeatureSegMax | blk.FeatureBlkSize | blk.FeatureFlush | blk.FeatureMQ | blk.FeatureDiscard | blk.FeatureWriteZeroes |
 		blk.FeatureIndirect | blk.FeatureEventIdx | blk.FeatureProtocol | blk.FeatureVersion1
 	protocolFeatures = wire.ProtocolMQ | wire.ProtocolReplyAck | wire.ProtocolConfig | wire.ProtocolInflight | wire.ProtocolResetDevice
 )
 
 // Server is one volume's socket. It has one session at a time; others wait.
 type Server struct {
-	Stats Stats
-	disk  Disk
-	ln    *net.UnixListener
-	log   *slog.Logger
-	wg    sync.WaitGroup
-	mu    sync.Mutex
-	conn  *net.UnixConn
-	done  bool
+	Stats    Stats
+	disk     Disk
+	listener *net.UnixListener
+	log      *slog.Logger
+	wg       sync.WaitGroup
+	mu       sync.Mutex
+	conn     *net.UnixConn
+	closed   bool
 }
 
 // Listen serves a disk on a Unix socket at path until Close.
@@ -57,7 +57,7 @@
 		ln.Close()
 		return nil, err
 	}
-	s := &Server{disk: disk, ln: ln, log: log}
+	s := &Server{disk: disk, listener: ln, log: log}
 	s.wg.Add(1)
 	go s.accept()
 	return s, nil
@@ -67,8 +67,8 @@
 // region that the VMM keeps.
 func (s *Server) Close() {
 	s.mu.Lock()
-	s.done = true
-	s.ln.Close()
+	s.closed = true
+	s.listener.Close()
 	if s.conn != nil {
 		s.conn.Close()
 	}
@@ -79,7 +79,7 @@
 func (s *Server) accept() {
 	defer s.wg.Done()
 	for {
-		nc, err := s.ln.AcceptUnix()
+		nc, err := s.listener.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -87,14 +87,14 @@
 			continue
 		}
 		s.mu.Lock()
-		if s.done {
+		if s.closed {
 			s.mu.Unlock()
 			nc.Close()
 			return
 		}
 		s.conn = nc
 		s.mu.Unlock()
-		x := &session{s: s, nc: nc, d: newDevice(s.disk, &s.Stats)}
+		x := &session{server: s, conn: nc, device: newDevice(s.disk, &s.Stats)}
 		err = x.serve()
 		x.close()
 		if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
@@ -105,50 +105,50 @@
 
 // session is one VMM's connection.
 type session struct {
-	s        *Server
-	nc       *net.UnixConn
-	d        *device
-	features uint64
-	protocol uint64
-	mem      *guestmem.Table
-	regions  []wire.Region
-	fds      []int // of the regions, until they are mapped anew
-	queues   [queuesMost]vring
-	inflight []byte
-
-	mu   sync.Mutex
-	lost error // a queue was broken by its driver
+	server           *Server
+	conn             *net.UnixConn
+	device           *device
+	features         uint64
+	protocolFeatures uint64
+	memory           *guestmem.Table
+	regions          []wire.Region
+	fds              []int // of the regions, until they are mapped anew
+	queues           [maxQueues]vring
+	inflight         []byte
+
+	mu       sync.Mutex
+	queueErr error // a queue was broken by its driver
 }
 
 // vring is what the front-end said of a queue.
 type vring struct {
-	num     uint16
-	base    uint16
-	addr    *wire.VringAddr
-	kick    int
-	call    int
-	enabled bool
-	run     *queue
+	size      uint16
+	nextAvail uint16
+	addr      *wire.VringAddr
+	kickFD    int
+	callFD    int
+	enabled   bool
+	running   *queue
 }
 
 func (x *session) close() {
-	x.d.end() // what is in flight is given up, and stays marked
+	x.device.cancel() // what is in flight is given up, and stays marked
 	for i := range x.queues {
 		x.stopQueue(i)
 	}
-	x.d.stop()
+	x.device.stop()
 	for i := range x.queues {
 		v := &x.queues[i]
-		closeFD(&v.kick)
-		closeFD(&v.call)
+		closeFD(&v.kickFD)
+		closeFD(&v.callFD)
 	}
-	if x.mem != nil {
-		x.mem.Unmap()
+	if x.memory != nil {
+		x.memory.Unmap()
 	}
 	if x.inflight != nil {
 		unix.Munmap(x.inflight)
 	}
-	x.nc.Close()
+	x.conn.Close()
 }
 
 // closeFD closes a descriptor that is kept with 1 added, so that 0 is none.
@@ -188,8 +188,8 @@
 func (x *session) receive(m *message) error {
 	var head [wire.HeaderSize]byte
 	oob := make([]byte, unix.CmsgSpace(wire.MaxFDs*4))
-	x.nc.SetReadDeadline(time.Time{})
-	n, oobn, flags, _, err := x.nc.ReadMsgUnix(head[:], oob)
+	x.conn.SetReadDeadline(time.Time{})
+	n, oobn, flags, _, err := x.conn.ReadMsgUnix(head[:], oob)
 	if err != nil {
 		return err
 	}
@@ -200,15 +200,15 @@
 	if flags&unix.MSG_CTRUNC != 0 {
 		return fmt.Errorf("%w: more than %d descriptors", wire.ErrMalformed, wire.MaxFDs)
 	}
-	x.nc.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := io.ReadFull(x.nc, head[n:]); err != nil {
+	x.conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	if _, err := io.ReadFull(x.conn, head[n:]); err != nil {
 		return err
 	}
 	if m.Header, err = wire.ParseHeader(head[:]); err != nil {
 		return err
 	}
 	m.payload = make([]byte, m.Size)
-	_, err = io.ReadFull(x.nc, m.payload)
+	_, err = io.ReadFull(x.conn, m.payload)
 	return err
 }
 
@@ -241,45 +241,45 @@
 		if err != nil {
 			x.mu.Lock()
 			defer x.mu.Unlock()
-			return errors.Join(x.lost, err)
+			return errors.Join(x.queueErr, err)
 		}
 	}
 }
 
 // handle does one message and answers it where it has an answer.
 func (x *session) handle(m *message) error {
-	reply, err := x.do(m)
+	reply, err := x.dispatch(m)
 	if reply != nil && err == nil {
-		return x.answer(m.Request, reply)
+		return x.reply(m.Request, reply)
 	}
-	if m.NeedAck && x.protocol&wire.ProtocolReplyAck != 0 {
+	if m.NeedAck && x.protocolFeatures&wire.ProtocolReplyAck != 0 {
 		code := uint64(0)
 		if err != nil {
 			code = 1
 		}
-		if e := x.answer(m.Request, wire.AppendU64(nil, code)); e != nil {
+		if e := x.reply(m.Request, wire.AppendU64(nil, code)); e != nil {
 			return e
 		}
 	}
 	return err
 }
 
-func (x *session) answer(r wire.Request, payload []byte) error {
-	x.nc.SetWriteDeadline(time.Now().Add(5 * time.Second))
+func (x *session) reply(r wire.Request, payload []byte) error {
+	x.conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
 	b := wire.AppendHeader(make([]byte, 0, wire.HeaderSize+len(payload)), wire.Header{Request: r, Reply: true, Size: uint32(len(payload))})
-	_, err := x.nc.Write(append(b, payload...))
+	_, err := x.conn.Write(append(b, payload...))
 	return err
 }
 
-// do does one message. A payload is its answer.
-func (x *session) do(m *message) (reply []byte, err error) {
+// dispatch does one message. A payload is its answer.
+func (x *session) dispatch(m *message) (reply []byte, err error) {
 	switch m.Request {
 	case wire.GetFeatures:
-		return wire.AppendU64(nil, features), nil
+		return wire.AppendU64(nil, deviceFeatures), nil
 	case wire.SetFeatures:
 		v, err := wire.ParseU64(m.payload)
-		if err == nil && v&^uint64(features) != 0 {
-			err = fmt.Errorf("%w: features %#x were not offered", wire.ErrMalformed, v&^uint64(features))
+		if err == nil && v&^uint64(deviceFeatures) != 0 {
+			err = fmt.Errorf("%w: features %#x were not offered", wire.ErrMalformed, v&^uint64(deviceFeatures))
 		}
 		x.features = v
 		return nil, err
@@ -290,34 +290,34 @@
 		if err == nil && v&^uint64(protocolFeatures) != 0 {
 			err = fmt.Errorf("%w: protocol features %#x were not offered", wire.ErrMalformed, v&^uint64(protocolFeatures))
 		}
-		x.protocol = v
+		x.protocolFeatures = v
 		return nil, err
 	case wire.GetQueueNum:
-		return wire.AppendU64(nil, queuesMost), nil
+		return wire.AppendU64(nil, maxQueues), nil
 	case wire.SetOwner, wire.ResetOwner:
 		return nil, nil
 	case wire.SetMemTable:
 		return nil, x.setMemory(m)
 	case wire.GetConfig, wire.SetConfig:
-		return x.config(m)
+		return x.configSpace(m)
 	case wire.GetInflightFD:
-		return nil, x.makeInflight(m)
+		return nil, x.createInflight(m)
 	case wire.SetInflightFD:
-		return nil, x.takeInflight(m)
+		return nil, x.restoreInflight(m)
 	case wire.ResetDevice:
 		for i := range x.queues {
 			x.stopQueue(i)
-			x.queues[i].base, x.queues[i].enabled = 0, false
+			x.queues[i].nextAvail, x.queues[i].enabled = 0, false
 		}
 		return nil, nil
 	case wire.SetVringKick, wire.SetVringCall, wire.SetVringErr:
 		return nil, x.setFD(m)
 	}
-	return x.doVring(m)
+	return x.dispatchVring(m)
 }
 
-// doVring does the messages that name a queue and a number or addresses.
-func (x *session) doVring(m *message) ([]byte, error) {
+// dispatchVring does the messages that name a queue and a number or addresses.
+func (x *session) dispatchVring(m *message) ([]byte, error) {
 	if m.Request == wire.SetVringAddr {
 		a, err := wire.ParseVringAddr(m.payload)
 		if err != nil {
@@ -345,15 +345,15 @@
 	}
 	switch m.Request {
 	case wire.SetVringNum:
-		if st.Num == 0 || st.Num > virtqueue.MaxSize || v.run != nil {
+		if st.Num == 0 || st.Num > virtqueue.MaxSize || v.running != nil {
 			return nil, fmt.Errorf("%w: queue %d of %d entries", wire.ErrMalformed, st.Index, st.Num)
 		}
-		v.num = uint16(st.Num)
+		v.size = uint16(st.Num)
 	case wire.SetVringBase:
-		v.base = uint16(st.Num)
+		v.nextAvail = uint16(st.Num)
 	case wire.GetVringBase:
 		x.stopQueue(int(st.Index))
-		return wire.VringState{Index: st.Index, Num: uint32(v.base)}.Append(nil), nil
+		return wire.VringState{Index: st.Index, Num: uint32(v.nextAvail)}.Append(nil), nil
 	case wire.SetVringEnable:
 		v.enabled = st.Num != 0
 		if !v.enabled {
@@ -366,8 +366,8 @@
 }
 
 func (x *session) vring(index uint32) (*vring, error) {
-	if index >= queuesMost {
-		return nil, fmt.Errorf("%w: queue %d of %d", wire.ErrMalformed, index, queuesMost)
+	if index >= maxQueues {
+		return nil, fmt.Errorf("%w: queue %d of %d", wire.ErrMalformed, index, maxQueues)
 	}
 	return &x.queues[index], nil
 }
@@ -390,13 +390,13 @@
 	}
 	switch m.Request {
 	case wire.SetVringCall:
-		if v.run != nil {
-			v.run.mu.Lock()
-			defer v.run.mu.Unlock()
-			v.run.call = fd
+		if v.running != nil {
+			v.running.mu.Lock()
+			defer v.running.mu.Unlock()
+			v.running.callFD = fd
 		}
-		closeFD(&v.call)
-		v.call = fd + 1
+		closeFD(&v.callFD)
+		v.callFD = fd + 1
 		return nil
 	case wire.SetVringErr:
 		if fd >= 0 {
@@ -405,8 +405,8 @@
 		return nil
 	}
 	x.stopQueue(int(n & 0xff))
-	closeFD(&v.kick)
-	v.kick = fd + 1
+	closeFD(&v.kickFD)
+	v.kickFD = fd + 1
 	if fd < 0 {
 		return fmt.Errorf("%w: queue %d without a kick descriptor: polling is not offered", wire.ErrMalformed, n&0xff)
 	}
@@ -431,15 +431,15 @@
 	}
 	var running []int
 	for i := range x.queues {
-		if x.queues[i].run != nil {
+		if x.queues[i].running != nil {
 			running = append(running, i)
 			x.stopQueue(i)
 		}
 	}
-	if x.mem != nil {
-		x.mem.Unmap()
+	if x.memory != nil {
+		x.memory.Unmap()
 	}
-	x.mem = table
+	x.memory = table
 	for _, i := range running {
 		if err := x.startQueue(i); err != nil {
 			return err
@@ -448,7 +448,7 @@
 	return nil
 }
 
-func (x *session) config(m *message) ([]byte, error) {
+func (x *session) configSpace(m *message) ([]byte, error) {
 	c, err := wire.ParseConfig(m.payload)
 	if err != nil {
 		return nil, err
@@ -456,19 +456,19 @@
 	if m.Request == wire.SetConfig {
 		return nil, nil // nothing in it can be written but the cache mode, which is not offered
 	}
-	space := blk.Config{SizeBytes: x.s.disk.SizeBytes, BlockBytes: x.s.disk.BlockBytes, Queues: queuesMost, SegMax: segMax}.Append(nil)
+	space := blk.Config{SizeBytes: x.server.disk.SizeBytes, BlockBytes: x.server.disk.BlockBytes, Queues: maxQueues, SegMax: maxSegments}.Append(nil)
 	space = append(space, make([]byte, wire.ConfigSpaceSize-len(space))...)
 	c.Data = space[c.Offset : int(c.Offset)+len(c.Data)]
 	return c.Append(nil), nil
 }
 
-// makeInflight gives the front-end a region to keep what is in flight in.
-func (x *session) makeInflight(m *message) error {
+// createInflight gives the front-end a region to keep what is in flight in.
+func (x *session) createInflight(m *message) error {
 	in, err := wire.ParseInflight(m.payload)
 	if err != nil {
 		return err
 	}
-	if in.Queues == 0 || in.Queues > queuesMost || in.QueueSize == 0 || in.QueueSize > virtqueue.MaxSize {
+	if in.Queues == 0 || in.Queues > maxQueues || in.QueueSize == 0 || in.QueueSize > virtqueue.MaxSize {
 		return fmt.Errorf("%w: inflight region for %d queues of %d", wire.ErrMalformed, in.Queues, in.QueueSize)
 	}
 	in.MmapSize, in.MmapOffset = uint64(in.Queues)*inflightSize(in.QueueSize), 0
@@ -485,13 +485,13 @@
 	}
 	payload := in.Append(nil)
 	b := wire.AppendHeader(nil, wire.Header{Request: m.Request, Reply: true, Size: uint32(len(payload))})
-	x.nc.SetWriteDeadline(time.Now().Add(5 * time.Second))
-	_, _, err = x.nc.WriteMsgUnix(append(b, payload...), unix.UnixRights(fd), nil)
+	x.conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
+	_, _, err = x.conn.WriteMsgUnix(append(b, payload...), unix.UnixRights(fd), nil)
 	return err
 }
 
-// takeInflight takes back the region of an earlier session.
-func (x *session) takeInflight(m *message) error {
+// restoreInflight takes back the region of an earlier session.
+func (x *session) restoreInflight(m *message) error {
 	in, err := wire.ParseInflight(m.payload)
 	if err != nil {
 		return err
@@ -501,7 +501,7 @@
 		return err
 	}
 	defer unix.Close(fd)
-	if in.Queues == 0 || in.Queues > queuesMost || in.QueueSize == 0 || in.QueueSize > virtqueue.MaxSize || in.MmapSize != uint64(in.Queues)*inflightSize(in.QueueSize) || in.MmapOffset != 0 {
+	if in.Queues == 0 || in.Queues > maxQueues || in.QueueSize == 0 || in.QueueSize > virtqueue.MaxSize || in.MmapSize != uint64(in.Queues)*inflightSize(in.QueueSize) || in.MmapOffset != 0 {
 		return fmt.Errorf("%w: inflight region of %d bytes at %d for %d queues of %d", wire.ErrMalformed, in.MmapSize, in.MmapOffset, in.Queues, in.QueueSize)
 	}
 	var st unix.Stat_t
@@ -529,25 +529,25 @@
 // startQueue starts a queue that has all it needs; one that has not waits.
 func (x *session) startQueue(i int) error {
 	v := &x.queues[i]
-	if v.run != nil || !v.enabled || v.kick == 0 || v.addr == nil || v.num == 0 || x.mem == nil {
+	if v.running != nil || !v.enabled || v.kickFD == 0 || v.addr == nil || v.size == 0 || x.memory == nil {
 		return nil
 	}
-	q := &queue{index: i, d: x.d, call: v.call - 1, ended: make(chan struct{}), lost: x.broken}
+	q := &queue{index: i, device: x.device, callFD: v.callFD - 1, stopped: make(chan struct{}), onBroken: x.failQueue}
 	var restore []uint16
 	err := guestmem.RecoverFaults(func() error {
 		layout, err := x.layout(v)
 		if err != nil {
 			return err
 		}
-		if q.ring, err = virtqueue.New(layout, v.num, v.base, x.features&blk.FeatureEventIdx != 0, x.features&blk.FeatureIndirect != 0, x.mem); err != nil {
+		if q.ring, err = virtqueue.New(layout, v.size, v.nextAvail, x.features&blk.FeatureEventIdx != 0, x.features&blk.FeatureIndirect != 0, x.memory); err != nil {
 			return err
 		}
 		if x.inflight != nil {
-			if size := inflightSize(v.num); uint64(i+1)*size <= uint64(len(x.inflight)) {
-				if q.inflight, err = newInflight(x.inflight[uint64(i)*size:uint64(i+1)*size], v.num); err != nil {
+			if size := inflightSize(v.size); uint64(i+1)*size <= uint64(len(x.inflight)) {
+				if q.inflight, err = newInflight(x.inflight[uint64(i)*size:uint64(i+1)*size], v.size); err != nil {
 					return err
 				}
-				restore = q.inflight.restore(q.ring.UsedIndex())
+				restore = q.inflight.unfinished(q.ring.UsedIndex())
 			}
 		}
 		return nil
@@ -555,7 +555,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: queue %d: %w", wire.ErrMalformed, i, err)
 	}
-	fd, err := unix.FcntlInt(uintptr(v.kick-1), unix.F_DUPFD_CLOEXEC, 0)
+	fd, err := unix.FcntlInt(uintptr(v.kickFD-1), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		return err
 	}
@@ -564,22 +564,22 @@
 		return err
 	}
 	q.kick = os.NewFile(uintptr(fd), "kick")
-	v.run = q
+	v.running = q
 	go q.run(restore)
 	return nil
 }
 
 func (x *session) layout(v *vring) (virtqueue.Layout, error) {
-	d, a, u := virtqueue.LayoutSizes(v.num)
+	d, a, u := virtqueue.LayoutSizes(v.size)
 	var l virtqueue.Layout
 	var err error
-	if l.Desc, err = x.mem.User(v.addr.Desc, d); err != nil {
+	if l.Desc, err = x.memory.User(v.addr.Desc, d); err != nil {
 		return l, err
 	}
-	if l.Avail, err = x.mem.User(v.addr.Avail, a); err != nil {
+	if l.Avail, err = x.memory.User(v.addr.Avail, a); err != nil {
 		return l, err
 	}
-	l.Used, err = x.mem.User(v.addr.Used, u)
+	l.Used, err = x.memory.User(v.addr.Used, u)
 	return l, err
 }
 
@@ -587,23 +587,23 @@
 // so that its base says all.
 func (x *session) stopQueue(i int) {
 	v := &x.queues[i]
-	q := v.run
+	q := v.running
 	if q == nil {
 		return
 	}
 	q.kick.Close()
-	<-q.ended
-	if c := q.settled(); c != nil {
+	<-q.stopped
+	if c := q.idleChan(); c != nil {
 		<-c
 	}
-	v.base = q.ring.NextAvailIndex()
-	v.run = nil
+	v.nextAvail = q.ring.NextAvailIndex()
+	v.running = nil
 }
 
-// broken ends the session: its driver broke the rules.
-func (x *session) broken(err error) {
+// failQueue ends the session: its driver broke the rules.
+func (x *session) failQueue(err error) {
 	x.mu.Lock()
-	x.lost = err
+	x.queueErr = err
 	x.mu.Unlock()
-	x.nc.Close()
+	x.conn.Close()
 }
--- a/internal/front/vhost/vhost_test.go
+++ b/internal/front/vhost/vhost_test.go
@@ -20,19 +20,19 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// ram is a disk in memory, with a pause now and again so that requests overlap.
-type ram struct {
-	mu    sync.Mutex
-	data  []byte
-	pause func()
-	held  chan struct{} // where set: nothing is done until it is closed
-	fail  atomic.Bool
+// ramBackend is a disk in memory, with a pause now and again so that requests overlap.
+type ramBackend struct {
+	mu      sync.Mutex
+	data    []byte
+	pause   func()
+	release chan struct{} // where set: nothing is done until it is closed
+	failing atomic.Bool
 }
 
-func (r *ram) before(ctx context.Context) error {
-	if r.held != nil {
+func (r *ramBackend) simulate(ctx context.Context) error {
+	if r.release != nil {
 		select {
-		case <-r.held:
+		case <-r.release:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -40,14 +40,14 @@
 	if r.pause != nil {
 		r.pause()
 	}
-	if r.fail.Load() {
+	if r.failing.Load() {
 		return errors.New("ram: told to fail")
 	}
 	return nil
 }
 
-func (r *ram) Read(ctx context.Context, from int64, into [][]byte) error {
-	err := r.before(ctx)
+func (r *ramBackend) Read(ctx context.Context, from int64, into [][]byte) error {
+	err := r.simulate(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, b := range into {
@@ -57,8 +57,8 @@
 	return err
 }
 
-func (r *ram) Write(ctx context.Context, from int64, data [][]byte) error {
-	if err := r.before(ctx); err != nil {
+func (r *ramBackend) Write(ctx context.Context, from int64, data [][]byte) error {
+	if err := r.simulate(ctx); err != nil {
 		return err
 	}
 	r.mu.Lock()
@@ -70,13 +70,13 @@
 	return nil
 }
 
-func (r *ram) Zero(ctx context.Context, from, n int64) error {
+func (r *ramBackend) Zero(ctx context.Context, from, n int64) error {
 	return r.Write(ctx, from, [][]byte{make([]byte, n)})
 }
 
 const diskBytes = 1 << 20
 
-func serve(t *testing.T, r *ram) (*Server, string) {
+func listenRAM(t *testing.T, r *ramBackend) (*Server, string) {
 	t.Helper()
 	if r.data == nil {
 		r.data = make([]byte, diskBytes)
@@ -90,7 +90,7 @@
 	return s, path
 }
 
-func machine(t *testing.T, opt vmm.Options, path string) *vmm.Machine {
+func newMachine(t *testing.T, opt vmm.Options, path string) *vmm.Machine {
 	t.Helper()
 	m, err := vmm.New(opt)
 	if err != nil {
@@ -105,8 +105,8 @@
 	return m
 }
 
-// one does a single request.
-func one(t *testing.T, q *vmm.Queue, x *vmm.IO) *vmm.IO {
+// submitOne does a single request.
+func submitOne(t *testing.T, q *vmm.Queue, x *vmm.IO) *vmm.IO {
 	t.Helper()
 	if err := q.Submit(x); err != nil {
 		t.Fatal(err)
@@ -134,30 +134,30 @@
 	} {
 		rnd := rand.New(rand.NewPCG(7, 7))
 		var mu sync.Mutex
-		r := &ram{pause: func() {
+		r := &ramBackend{pause: func() {
 			mu.Lock()
 			n := rnd.IntN(300)
 			mu.Unlock()
 			for range n * 20 {
 			}
 		}}
-		_, path := serve(t, r)
-		m := machine(t, opt, path)
+		_, path := listenRAM(t, r)
+		m := newMachine(t, opt, path)
 		var wg sync.WaitGroup
 		for i, q := range m.Queues {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
 				// Each queue has its own part of the disk: its model is its own.
-				drive(t, q, int64(i)*(diskBytes/2), diskBytes/2, uint64(i), 1500)
+				runRandomIO(t, q, int64(i)*(diskBytes/2), diskBytes/2, uint64(i), 1500)
 			}()
 		}
 		wg.Wait()
 	}
 }
 
-// drive does random I/O on a part of the disk and checks it against a model.
-func drive(t *testing.T, q *vmm.Queue, from, size int64, seed uint64, n int) {
+// runRandomIO does random I/O on a part of the disk and checks it against a model.
+func runRandomIO(t *testing.T, q *vmm.Queue, from, size int64, seed uint64, n int) {
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	model := make([]byte, size)
 	want := map[*vmm.IO][]byte{}
@@ -221,9 +221,9 @@
 // Bad requests have a status; what is no request ends the session, and the
 // next one goes on.
 func TestBadRequests(t *testing.T) {
-	r := &ram{}
-	_, path := serve(t, r)
-	m := machine(t, vmm.Options{Queues: 1, Size: 64, Slots: 8, Buffer: 4096}, path)
+	r := &ramBackend{}
+	_, path := listenRAM(t, r)
+	m := newMachine(t, vmm.Options{Queues: 1, Size: 64, Slots: 8, Buffer: 4096}, path)
 	q := m.Queues[0]
 	for _, c := range []struct {
 		x    vmm.IO
@@ -239,15 +239,15 @@
 		{vmm.IO{Kind: blk.Flush}, blk.OK},
 	} {
 		x := c.x
-		if got := one(t, q, &x); got.Status != c.want {
+		if got := submitOne(t, q, &x); got.Status != c.want {
 			t.Errorf("%+v: status %d, want %d", c.x, got.Status, c.want)
 		}
 		if x.Kind == blk.GetID && string(bytes.TrimRight(x.Data, "\x00")) != "disk-one" {
 			t.Errorf("id %q", x.Data)
 		}
 	}
-	r.fail.Store(true)
-	if got := one(t, q, &vmm.IO{Kind: blk.In, Bytes: 512}); got.Status != blk.IOErr {
+	r.failing.Store(true)
+	if got := submitOne(t, q, &vmm.IO{Kind: blk.In, Bytes: 512}); got.Status != blk.IOErr {
 		t.Errorf("a failed read has the status %d", got.Status)
 	}
 }
@@ -287,9 +287,9 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := &ram{}
-			_, path := serve(t, r)
-			m := machine(t, opt, path)
+			r := &ramBackend{}
+			_, path := listenRAM(t, r)
+			m := newMachine(t, opt, path)
 			hurt(m, m.Queues[0])
 			if name == "memory taken away" {
 				m.Queues[0].Kick()
@@ -307,8 +307,8 @@
 				}
 			}
 			m.Disconnect()
-			next := machine(t, opt, path)
-			if got := one(t, next.Queues[0], &vmm.IO{Kind: blk.In, Bytes: 512}); got.Status != blk.OK {
+			next := newMachine(t, opt, path)
+			if got := submitOne(t, next.Queues[0], &vmm.IO{Kind: blk.In, Bytes: 512}); got.Status != blk.OK {
 				t.Errorf("the next machine's read: status %d", got.Status)
 			}
 		})
@@ -318,9 +318,9 @@
 // What is in flight when the connection breaks is done once after the next,
 // in its order, by another server that knows only the region.
 func TestInflight(t *testing.T) {
-	r := &ram{held: make(chan struct{})}
-	s, path := serve(t, r)
-	m := machine(t, vmm.Options{Queues: 1, Size: 64, Slots: 8, Buffer: 4096, Inflight: true, Event: true, Indirect: true}, path)
+	r := &ramBackend{release: make(chan struct{})}
+	s, path := listenRAM(t, r)
+	m := newMachine(t, vmm.Options{Queues: 1, Size: 64, Slots: 8, Buffer: 4096, Inflight: true, Event: true, Indirect: true}, path)
 	q := m.Queues[0]
 	for i := range 6 { // of one block: their order shows
 		data := bytes.Repeat([]byte{byte(i + 1)}, 512)
@@ -337,7 +337,7 @@
 		t.Fatalf("%d were given back, %v", len(list), err)
 	}
 	m.Disconnect()
-	r.held = nil
+	r.release = nil
 	again, err := Listen(path, Disk{Name: "disk-one", SizeBytes: diskBytes, BlockBytes: 512, ExtentBytes: 64 << 10, Backend: r}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -357,7 +357,7 @@
 			}
 		}
 	}
-	got := one(t, q, &vmm.IO{Kind: blk.In, From: 512, Bytes: 512})
+	got := submitOne(t, q, &vmm.IO{Kind: blk.In, From: 512, Bytes: 512})
 	if got.Status != blk.OK || !bytes.Equal(got.Data, bytes.Repeat([]byte{6}, 512)) {
 		t.Errorf("status %d, the block has %d, want 6", got.Status, got.Data[0])
 	}
--- a/internal/front/vhost/virtqueue/ring.go
+++ b/internal/front/vhost/virtqueue/ring.go
@@ -17,7 +17,7 @@
 // queue cannot go on after it.
 var ErrMalformed = errors.New("virtqueue: broken by the driver")
 
-func bad(format string, args ...any) error {
+func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
@@ -59,17 +59,17 @@
 // Queue is a ring. Next is called by one goroutine at a time, and so are Put
 // and Notify together.
 type Queue struct {
-	size     uint16
-	desc     []byte
-	avail    []byte
-	used     []byte
-	memory   Memory
-	event    bool // VIRTIO_F_EVENT_IDX
-	indirect bool
-	next     uint16 // of the available ring
-	usedIdx  uint16
-	signaled uint16 // used index at the last look at notifications
-	fresh    bool   // no notification was weighed yet
+	size          uint16
+	desc          []byte
+	avail         []byte
+	used          []byte
+	memory        Memory
+	eventIdx      bool // VIRTIO_F_EVENT_IDX
+	indirect      bool
+	nextAvail     uint16 // of the available ring
+	usedIdx       uint16
+	lastSignaled  uint16 // used index at the last look at notifications
+	neverSignaled bool   // no notification was weighed yet
 }
 
 // Layout is where a ring's parts are. Lengths are checked by New.
@@ -87,15 +87,15 @@
 	d, a, u := LayoutSizes(size)
 	switch {
 	case size == 0 || size > MaxSize || size&(size-1) != 0:
-		return nil, bad("a ring of %d entries", size)
+		return nil, malformed("a ring of %d entries", size)
 	case uint64(len(l.Desc)) < d || uint64(len(l.Avail)) < a || uint64(len(l.Used)) < u:
-		return nil, bad("a ring that is not whole in memory")
+		return nil, malformed("a ring that is not whole in memory")
 	case uintptr(unsafe.Pointer(&l.Desc[0]))%16 != 0 || uintptr(unsafe.Pointer(&l.Avail[0]))%2 != 0 || uintptr(unsafe.Pointer(&l.Used[0]))%4 != 0:
-		return nil, bad("a ring that is not aligned")
+		return nil, malformed("a ring that is not aligned")
 	}
-	q := &Queue{size: size, desc: l.Desc, avail: l.Avail, used: l.Used, memory: m, event: event, indirect: indirect, next: base, fresh: true}
+	q := &Queue{size: size, desc: l.Desc, avail: l.Avail, used: l.Used, memory: m, eventIdx: event, indirect: indirect, nextAvail: base, neverSignaled: true}
 	q.usedIdx = load16(l.Used[2:])
-	q.signaled = q.usedIdx
+	q.lastSignaled = q.usedIdx
 	return q, nil
 }
 
@@ -129,7 +129,7 @@
 func (q *Queue) Size() uint16 { return q.size }
 
 // NextAvailIndex returns the index of the next available entry.
-func (q *Queue) NextAvailIndex() uint16 { return q.next }
+func (q *Queue) NextAvailIndex() uint16 { return q.nextAvail }
 
 // UsedIndex returns the used index.
 func (q *Queue) UsedIndex() uint16 { return q.usedIdx }
@@ -138,18 +138,18 @@
 // there is none.
 func (q *Queue) PopAvail(c *Chain) (bool, error) {
 	ready := load16(q.avail[2:])
-	waiting := ready - q.next
+	waiting := ready - q.nextAvail
 	if waiting == 0 {
 		return false, nil
 	}
 	if waiting > q.size {
-		return false, bad("available index %d runs away from %d", ready, q.next)
+		return false, malformed("available index %d runs away from %d", ready, q.nextAvail)
 	}
-	head := binary.LittleEndian.Uint16(q.avail[4+2*int(q.next%q.size):])
+	head := binary.LittleEndian.Uint16(q.avail[4+2*int(q.nextAvail%q.size):])
 	if err := q.ReadChain(head, c); err != nil {
 		return false, err
 	}
-	q.next++
+	q.nextAvail++
 	return true, nil
 }
 
@@ -157,29 +157,29 @@
 func (q *Queue) ReadChain(head uint16, c *Chain) error {
 	c.Head, c.Segments = head, c.Segments[:0]
 	if head >= q.size {
-		return bad("descriptor %d of %d", head, q.size)
+		return malformed("descriptor %d of %d", head, q.size)
 	}
 	total := uint64(0)
-	return q.walk(q.desc, q.size, head, c, &total, false)
+	return q.appendSegments(q.desc, q.size, head, c, &total, false)
 }
 
-func (q *Queue) walk(table []byte, size, at uint16, c *Chain, total *uint64, inside bool) error {
+func (q *Queue) appendSegments(table []byte, size, at uint16, c *Chain, total *uint64, inside bool) error {
 	for steps := uint16(0); ; steps++ {
 		if steps == size || len(c.Segments) >= MaxChainDescriptors {
-			return bad("a chain of more than %d descriptors, or a loop", steps)
+			return malformed("a chain of more than %d descriptors, or a loop", steps)
 		}
 		d := table[int(at)*descSize:]
 		addr, n := binary.LittleEndian.Uint64(d), uint64(binary.LittleEndian.Uint32(d[8:]))
 		flags, next := binary.LittleEndian.Uint16(d[12:]), binary.LittleEndian.Uint16(d[14:])
 		if flags&flagIndirect != 0 {
-			return q.walkIndirect(addr, n, flags, c, total, inside)
+			return q.appendIndirect(addr, n, flags, c, total, inside)
 		}
 		if *total += n; *total > MaxChainBytes {
-			return bad("a chain of more than %d bytes", MaxChainBytes)
+			return malformed("a chain of more than %d bytes", MaxChainBytes)
 		}
 		write := flags&flagWrite != 0
 		if k := len(c.Segments); k > 0 && c.Segments[k-1].DeviceWrites && !write {
-			return bad("a part to be read after one to be written")
+			return malformed("a part to be read after one to be written")
 		}
 		data, err := q.memory.Guest(addr, n)
 		if err != nil {
@@ -190,28 +190,28 @@
 			return nil
 		}
 		if next >= size {
-			return bad("descriptor %d of %d", next, size)
+			return malformed("descriptor %d of %d", next, size)
 		}
 		at = next
 	}
 }
 
-func (q *Queue) walkIndirect(addr, n uint64, flags uint16, c *Chain, total *uint64, inside bool) error {
+func (q *Queue) appendIndirect(addr, n uint64, flags uint16, c *Chain, total *uint64, inside bool) error {
 	switch {
 	case !q.indirect:
-		return bad("an indirect table that was not negotiated")
+		return malformed("an indirect table that was not negotiated")
 	case inside:
-		return bad("an indirect table inside another")
+		return malformed("an indirect table inside another")
 	case flags&flagNext != 0:
-		return bad("an indirect table with a next descriptor")
+		return malformed("an indirect table with a next descriptor")
 	case n == 0 || n%descSize != 0 || n/descSize > MaxChainDescriptors:
-		return bad("an indirect table of %d bytes", n)
+		return malformed("an indirect table of %d bytes", n)
 	}
 	table, err := q.memory.Guest(addr, n)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	return q.walk(table, uint16(n/descSize), 0, c, total, true)
+	return q.appendSegments(table, uint16(n/descSize), 0, c, total, true)
 }
 
 // PushUsed gives a chain back with the number of bytes that were written to it.
@@ -226,10 +226,10 @@
 // ShouldNotify tells whether the driver wants to hear of what was put since the last
 // call (virtio 1.2, section 2.7.7).
 func (q *Queue) ShouldNotify() bool {
-	old, now := q.signaled, q.usedIdx
-	first := q.fresh
-	q.signaled, q.fresh = now, false
-	if !q.event {
+	old, now := q.lastSignaled, q.usedIdx
+	first := q.neverSignaled
+	q.lastSignaled, q.neverSignaled = now, false
+	if !q.eventIdx {
 		return load16(q.avail)&availNoInterrupt == 0
 	}
 	if first {
@@ -242,17 +242,17 @@
 // EnableKicks asks the driver to kick when it makes more available, and tells whether
 // there is more already.
 func (q *Queue) EnableKicks() bool {
-	if q.event {
-		store16(q.used[4+8*int(q.size):], q.next)
+	if q.eventIdx {
+		store16(q.used[4+8*int(q.size):], q.nextAvail)
 	} else {
 		store16(q.used, 0)
 	}
-	return load16(q.avail[2:]) != q.next
+	return load16(q.avail[2:]) != q.nextAvail
 }
 
 // DisableKicks tells the driver that kicks are not needed for now.
 func (q *Queue) DisableKicks() {
-	if !q.event {
+	if !q.eventIdx {
 		store16(q.used, usedNoNotify)
 	}
 }
--- a/internal/front/vhost/wire/wire.go
+++ b/internal/front/vhost/wire/wire.go
@@ -70,7 +70,7 @@
 // ErrMalformed is what every error of a bad message wraps.
 var ErrMalformed = errors.New("vhost-user: bad message")
 
-func bad(format string, args ...any) error {
+func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
@@ -85,15 +85,15 @@
 // ParseHeader reads a head out of HeadSize bytes.
 func ParseHeader(b []byte) (Header, error) {
 	if len(b) < HeaderSize {
-		return Header{}, bad("a head of %d bytes", len(b))
+		return Header{}, malformed("a head of %d bytes", len(b))
 	}
 	flags := binary.LittleEndian.Uint32(b[4:])
 	h := Header{Request: Request(binary.LittleEndian.Uint32(b)), NeedAck: flags&flagNeedAck != 0, Reply: flags&flagReply != 0, Size: binary.LittleEndian.Uint32(b[8:])}
 	switch {
 	case flags&3 != version:
-		return h, bad("flags %#x: version is not 1", flags)
+		return h, malformed("flags %#x: version is not 1", flags)
 	case h.Size > MaxPayload:
-		return h, bad("request %d: size %d is over %d", h.Request, h.Size, MaxPayload)
+		return h, malformed("request %d: size %d is over %d", h.Request, h.Size, MaxPayload)
 	}
 	return h, nil
 }
@@ -115,7 +115,7 @@
 // ParseU64 reads a payload of one number.
 func ParseU64(p []byte) (uint64, error) {
 	if len(p) != 8 {
-		return 0, bad("a number of %d bytes", len(p))
+		return 0, malformed("a number of %d bytes", len(p))
 	}
 	return binary.LittleEndian.Uint64(p), nil
 }
@@ -129,7 +129,7 @@
 // ParseVringState reads a vring state.
 func ParseVringState(p []byte) (VringState, error) {
 	if len(p) != 8 {
-		return VringState{}, bad("a vring state of %d bytes", len(p))
+		return VringState{}, malformed("a vring state of %d bytes", len(p))
 	}
 	return VringState{binary.LittleEndian.Uint32(p), binary.LittleEndian.Uint32(p[4:])}, nil
 }
@@ -148,7 +148,7 @@
 // ParseVringAddr reads a vring address.
 func ParseVringAddr(p []byte) (VringAddr, error) {
 	if len(p) != 40 {
-		return VringAddr{}, bad("a vring address of %d bytes", len(p))
+		return VringAddr{}, malformed("a vring address of %d bytes", len(p))
 	}
 	le := binary.LittleEndian
 	return VringAddr{le.Uint32(p), le.Uint32(p[4:]), le.Uint64(p[8:]), le.Uint64(p[16:]), le.Uint64(p[24:]), le.Uint64(p[32:])}, nil
@@ -171,12 +171,12 @@
 // ParseMemTable reads a memory table.
 func ParseMemTable(p []byte) ([]Region, error) {
 	if len(p) < 8 {
-		return nil, bad("a memory table of %d bytes", len(p))
+		return nil, malformed("a memory table of %d bytes", len(p))
 	}
 	le := binary.LittleEndian
 	n := le.Uint32(p)
 	if n == 0 || n > MaxRegions || len(p) != 8+int(n)*32 {
-		return nil, bad("a memory table of %d regions in %d bytes", n, len(p))
+		return nil, malformed("a memory table of %d regions in %d bytes", n, len(p))
 	}
 	out := make([]Region, n)
 	for i := range out {
@@ -184,7 +184,7 @@
 		out[i] = Region{le.Uint64(q), le.Uint64(q[8:]), le.Uint64(q[16:]), le.Uint64(q[24:])}
 		r := &out[i]
 		if r.Size == 0 || r.GuestAddr+r.Size < r.GuestAddr || r.UserAddr+r.Size < r.UserAddr || r.FileOffset+r.Size < r.FileOffset {
-			return nil, bad("region %d: %#x bytes at %#x overflow", i, r.Size, r.GuestAddr)
+			return nil, malformed("region %d: %#x bytes at %#x overflow", i, r.Size, r.GuestAddr)
 		}
 	}
 	return out, nil
@@ -211,13 +211,13 @@
 // ParseConfig reads a configuration message.
 func ParseConfig(p []byte) (Config, error) {
 	if len(p) < 12 {
-		return Config{}, bad("a configuration of %d bytes", len(p))
+		return Config{}, malformed("a configuration of %d bytes", len(p))
 	}
 	le := binary.LittleEndian
 	c := Config{Offset: le.Uint32(p), Flags: le.Uint32(p[8:]), Data: p[12:]}
 	size := le.Uint32(p[4:])
 	if int(size) != len(c.Data) || size > ConfigSpaceSize || c.Offset > ConfigSpaceSize-size {
-		return Config{}, bad("a configuration of %d bytes at %d", size, c.Offset)
+		return Config{}, malformed("a configuration of %d bytes at %d", size, c.Offset)
 	}
 	return c, nil
 }
@@ -239,7 +239,7 @@
 // ParseInflight reads an inflight description.
 func ParseInflight(p []byte) (Inflight, error) {
 	if len(p) != 20 && len(p) != 24 { // some senders pad it
-		return Inflight{}, bad("an inflight description of %d bytes", len(p))
+		return Inflight{}, malformed("an inflight description of %d bytes", len(p))
 	}
 	le := binary.LittleEndian
 	return Inflight{le.Uint64(p), le.Uint64(p[8:]), le.Uint16(p[16:]), le.Uint16(p[18:])}, nil
--- a/internal/front/vhost/wire/wire_test.go
+++ b/internal/front/vhost/wire/wire_test.go
@@ -39,14 +39,14 @@
 func TestBad(t *testing.T) {
 	huge := AppendMemTable(nil, []Region{{^uint64(0) - 5, 10, 0, 0}})
 	for name, err := range map[string]error{
-		"short head":    second(ParseHeader(make([]byte, 11))),
-		"version":       second(ParseHeader([]byte{1, 0, 0, 0, 2, 0, 0, 0, 0, 0, 0, 0})),
-		"size":          second(ParseHeader(AppendHeader(nil, Header{Request: 1, Size: MaxPayload + 1}))),
-		"no regions":    second(ParseMemTable(make([]byte, 8))),
-		"many regions":  second(ParseMemTable(AppendMemTable(nil, make([]Region, MaxRegions+1)))),
-		"cut table":     second(ParseMemTable(AppendMemTable(nil, make([]Region, 2))[:50])),
-		"overflow":      second(ParseMemTable(huge)),
-		"config window": second(ParseConfig(Config{Offset: 250, Data: make([]byte, 10)}.Append(nil))),
+		"short head":    errorOf(ParseHeader(make([]byte, 11))),
+		"version":       errorOf(ParseHeader([]byte{1, 0, 0, 0, 2, 0, 0, 0, 0, 0, 0, 0})),
+		"size":          errorOf(ParseHeader(AppendHeader(nil, Header{Request: 1, Size: MaxPayload + 1}))),
+		"no regions":    errorOf(ParseMemTable(make([]byte, 8))),
+		"many regions":  errorOf(ParseMemTable(AppendMemTable(nil, make([]Region, MaxRegions+1)))),
+		"cut table":     errorOf(ParseMemTable(AppendMemTable(nil, make([]Region, 2))[:50])),
+		"overflow":      errorOf(ParseMemTable(huge)),
+		"config window": errorOf(ParseConfig(Config{Offset: 250, Data: make([]byte, 10)}.Append(nil))),
 	} {
 		if !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %v", name, err)
@@ -54,7 +54,7 @@
 	}
 }
 
-func second[T any](_ T, err error) error { return err }
+func errorOf[T any](_ T, err error) error { return err }
 
 func FuzzMessages(f *testing.F) {
 	f.Add(AppendHeader(nil, Header{Request: GetFeatures, Size: 8}))
