--- a/internal/front/vhost/device.go
+++ b/internal/front/vhost/device.go
@@ -16,15 +16,17 @@
 	"arrowwalk/internal/volume/ordering"
 )
 
-// Backend is what a device's requests are done by (volume.Volume). Buffers are
-// guest memory and may change while they are read.
+// Backend runs the requests of a device; volume.Volume is one. Offsets and sizes are
+// in bytes. Buffers are guest memory and may change while they are read. Backends
+// must be safe for concurrent use.
 type Backend interface {
-	Read(ctx context.Context, from int64, into [][]byte) error
-	Write(ctx context.Context, from int64, data [][]byte) error
-	Zero(ctx context.Context, from, bytes int64) error
+	Read(ctx context.Context, offset int64, bufs [][]byte) error
+	Write(ctx context.Context, offset int64, data [][]byte) error
+	Zero(ctx context.Context, offset, bytes int64) error
 }
 
-// Disk is a device's disk.
+// Disk describes the disk that a device offers. Writes of the same extent are never
+// run at once.
 type Disk struct {
 	Name        string
 	SizeBytes   int64
@@ -33,20 +35,21 @@
 	Backend     Backend
 }
 
-// Stats are counts of a device.
+// Stats counts the events of a device since the start of its server. Kicks are
+// notifications from the driver, Signals those to the driver.
 type Stats struct {
 	Requests, Errors, Kicks, Signals atomic.Int64
 }
 
-// device runs the requests of all queues of one session. What it starts ends
-// before stop returns.
+// device runs the requests of all queues of one session. All goroutines that it
+// starts have ended when stop returns.
 type device struct {
 	disk   Disk
 	stats  *Stats
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	mu          sync.Mutex // board and ops
+	mu          sync.Mutex // guards tracker, requests, freeIDs, idleWorkers and workers
 	tracker     *ordering.Tracker
 	requests    []*pendingRequest
 	freeIDs     []uint32
@@ -56,25 +59,27 @@
 	workers     int
 }
 
-// pendingRequest is one request that is not done.
+// pendingRequest is an unfinished request of the driver, or a finished one that is kept
+// for reuse. queue is nil while it is not in use.
 type pendingRequest struct {
-	id    uint32
-	queue *queue
-	chain virtqueue.Chain
-	req   blk.Request
-	parts []ordering.Op
+	id     uint32
+	queue  *queue
+	chain  virtqueue.Chain
+	parsed blk.Request
+	parts  []ordering.Op
 }
 
-// maxWorkers is how many requests of a device run side by side.
+// maxWorkers is the largest number of requests of a device that run at once.
 const maxWorkers = 256
 
+// newDevice returns a device without queues. The caller must call stop.
 func newDevice(disk Disk, stats *Stats) *device {
 	d := &device{disk: disk, stats: stats, tracker: ordering.NewTracker(disk.ExtentBytes), runnable: make(chan *pendingRequest, maxWorkers)}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	return d
 }
 
-// stop ends the device: requests that run are given up.
+// stop cancels the running requests, waits for them and ends the workers.
 func (d *device) stop() {
 	d.cancel()
 	d.drain()
@@ -82,14 +87,14 @@
 	d.wg.Wait()
 }
 
-// drain waits until nothing is in flight.
+// drain waits until no request is in flight.
 func (d *device) drain() {
 	for {
 		d.mu.Lock()
 		var wait chan struct{}
-		for _, o := range d.requests {
-			if o != nil && o.queue != nil {
-				wait = o.queue.idleChan()
+		for _, request := range d.requests {
+			if request != nil && request.queue != nil {
+				wait = request.queue.idleChan()
 				break
 			}
 		}
@@ -101,7 +106,7 @@
 	}
 }
 
-// newRequest returns an op that is not in use.
+// newRequest returns a pendingRequest that is not in use.
 func (d *device) newRequest() *pendingRequest {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -110,57 +115,58 @@
 		d.freeIDs = d.freeIDs[:n-1]
 		return d.requests[id]
 	}
-	o := &pendingRequest{id: uint32(len(d.requests))}
-	d.requests = append(d.requests, o)
-	return o
+	request := &pendingRequest{id: uint32(len(d.requests))}
+	d.requests = append(d.requests, request)
+	return request
 }
 
-// orderingOp is the op of the order board: where a request names several ranges it
-// stands for all that is between.
-func (o *pendingRequest) orderingOp() ordering.Op {
-	switch o.req.Kind {
+// orderingOp returns the request as the ordering tracker sees it. A request with
+// several ranges counts as one write over all that they span.
+func (r *pendingRequest) orderingOp() ordering.Op {
+	switch r.parsed.Kind {
 	case blk.In:
-		return ordering.Op{Kind: ordering.Read, Offset: o.req.Offset, Bytes: o.req.Bytes}
+		return ordering.Op{Kind: ordering.Read, Offset: r.parsed.Offset, Bytes: r.parsed.Bytes}
 	case blk.Out:
-		return ordering.Op{Kind: ordering.Write, Offset: o.req.Offset, Bytes: o.req.Bytes}
+		return ordering.Op{Kind: ordering.Write, Offset: r.parsed.Offset, Bytes: r.parsed.Bytes}
 	case blk.Discard, blk.WriteZeroes:
-		from, to := int64(1)<<62, int64(0)
-		for _, r := range o.req.Ranges {
-			from, to = min(from, r.Offset), max(to, r.Offset+r.Bytes)
+		start, end := int64(1)<<62, int64(0)
+		for _, span := range r.parsed.Ranges {
+			start, end = min(start, span.Offset), max(end, span.Offset+span.Bytes)
 		}
-		return ordering.Op{Kind: ordering.Write, Offset: from, Bytes: max(0, to-from)}
+		return ordering.Op{Kind: ordering.Write, Offset: start, Bytes: max(0, end-start)}
 	}
 	return ordering.Op{Kind: ordering.Flush}
 }
 
-// submit parses a chain and has it run when its turn is. The error says that the
-// driver broke the rules.
-func (d *device) submit(o *pendingRequest) error {
-	status, err := o.req.Parse(&o.chain, &blk.Disk{SizeBytes: d.disk.SizeBytes, BlockBytes: d.disk.BlockBytes})
+// submit parses a request's chain and runs it as soon as the earlier requests allow.
+// An error means that the driver broke the protocol.
+func (d *device) submit(request *pendingRequest) error {
+	status, err := request.parsed.Parse(&request.chain, &blk.Disk{SizeBytes: d.disk.SizeBytes, BlockBytes: d.disk.BlockBytes})
 	if err != nil {
 		return err
 	}
 	d.stats.Requests.Add(1)
 	if status != blk.OK {
-		d.complete(o, status)
+		d.complete(request, status)
 		return nil
 	}
-	if o.req.Kind == blk.GetID {
-		o.req.WriteID(d.disk.Name)
-		d.complete(o, blk.OK)
+	if request.parsed.Kind == blk.GetID {
+		request.parsed.WriteID(d.disk.Name)
+		d.complete(request, blk.OK)
 		return nil
 	}
 	d.mu.Lock()
-	runs := d.tracker.Add(o.id, o.orderingOp())
+	runs := d.tracker.Add(request.id, request.orderingOp())
 	d.mu.Unlock()
 	if runs {
-		d.dispatch(o)
+		d.dispatch(request)
 	}
 	return nil
 }
 
-// dispatch hands an op to a worker, a new one where all are busy.
-func (d *device) dispatch(o *pendingRequest) {
+// dispatch hands a request to a worker. It starts one if none is idle and there are
+// fewer than maxWorkers.
+func (d *device) dispatch(request *pendingRequest) {
 	d.mu.Lock()
 	if d.idleWorkers == 0 && d.workers < maxWorkers {
 		d.workers++
@@ -170,41 +176,45 @@
 		d.idleWorkers--
 	}
 	d.mu.Unlock()
-	d.runnable <- o
+	d.runnable <- request
 }
 
+// worker runs requests until the runnable channel is closed.
 func (d *device) worker() {
 	defer d.wg.Done()
-	for o := range d.runnable {
-		d.execute(o)
+	for request := range d.runnable {
+		d.execute(request)
 		d.mu.Lock()
 		d.idleWorkers++
 		d.mu.Unlock()
 	}
 }
 
-func (d *device) execute(o *pendingRequest) {
-	err := guestmem.RecoverFaults(func() error { return d.perform(&o.req) })
+// execute runs a request on the backend, returns its chain and dispatches the
+// requests that waited for it.
+func (d *device) execute(request *pendingRequest) {
+	err := guestmem.RecoverFaults(func() error { return d.perform(&request.parsed) })
 	status := blk.OK
 	if err != nil {
 		status = blk.IOErr
 	}
 	d.mu.Lock()
-	ready := d.tracker.Complete(o.id, nil)
+	ready := d.tracker.Complete(request.id, nil)
 	next := make([]*pendingRequest, len(ready))
 	for i, id := range ready {
 		next[i] = d.requests[id]
 	}
 	d.mu.Unlock()
 	if errors.Is(err, guestmem.ErrFault) {
-		o.queue.markBroken(err)
+		request.queue.markBroken(err)
 	}
-	d.complete(o, status)
-	for _, one := range next {
-		d.dispatch(one)
+	d.complete(request, status)
+	for _, r := range next {
+		d.dispatch(r)
 	}
 }
 
+// perform calls the backend for a request.
 func (d *device) perform(r *blk.Request) error {
 	switch r.Kind {
 	case blk.In:
@@ -212,28 +222,29 @@
 	case blk.Out:
 		return d.disk.Backend.Write(d.ctx, r.Offset, r.Data)
 	case blk.Discard, blk.WriteZeroes:
-		for _, one := range r.Ranges {
-			if err := d.disk.Backend.Zero(d.ctx, one.Offset, one.Bytes); err != nil {
+		for _, span := range r.Ranges {
+			if err := d.disk.Backend.Zero(d.ctx, span.Offset, span.Bytes); err != nil {
 				return err
 			}
 		}
 	}
-	return nil // a flush: each write was durable when it was done
+	return nil // a flush needs no work: each write was durable when it completed
 }
 
-// complete gives a chain back. A device that is ending gives nothing back: what
-// is in flight stays marked, and is done again after the next attachment.
-func (d *device) complete(o *pendingRequest, status blk.Status) {
+// complete returns a request's chain to the driver with its status. A device that was
+// cancelled returns nothing: the chain stays marked in the inflight region, and the
+// next session runs it again.
+func (d *device) complete(request *pendingRequest, status blk.Status) {
 	if status != blk.OK {
 		d.stats.Errors.Add(1)
 	}
-	q := o.queue
+	q := request.queue
 	q.mu.Lock()
 	if d.ctx.Err() == nil && q.brokenErr == nil {
 		err := guestmem.RecoverFaults(func() error {
-			q.inflight.setLastHead(o.chain.Head)
-			q.ring.PushUsed(o.chain.Head, o.req.WriteStatus(status))
-			q.inflight.clearTaken(o.chain.Head, q.ring.UsedIndex())
+			q.inflight.setLastHead(request.chain.Head)
+			q.ring.PushUsed(request.chain.Head, request.parsed.WriteStatus(status))
+			q.inflight.clearTaken(request.chain.Head, q.ring.UsedIndex())
 			return nil
 		})
 		if err == nil && q.ring.ShouldNotify() {
@@ -242,59 +253,60 @@
 	}
 	q.inFlight--
 	if q.inFlight == 0 {
-		for _, c := range q.waiters {
-			close(c)
+		for _, waiter := range q.waiters {
+			close(waiter)
 		}
 		q.waiters = nil
 	}
 	q.mu.Unlock()
 	d.mu.Lock()
-	o.queue = nil
-	d.freeIDs = append(d.freeIDs, o.id)
+	request.queue = nil
+	d.freeIDs = append(d.freeIDs, request.id)
 	d.mu.Unlock()
 }
 
-// queue is a virtqueue of a session, with its goroutine while it runs.
+// queue is a running virtqueue of a session. Its goroutine ends when the kick
+// descriptor is closed or the driver breaks the protocol.
 type queue struct {
 	index    int
 	device   *device
 	ring     *virtqueue.Queue
 	inflight *inflight
 	kick     *os.File
-	callFD   int // eventfd; -1: none
+	callFD   int // eventfd that notifies the driver; -1: none
 	onBroken func(error)
 
 	mu        sync.Mutex
-	inFlight  int // requests in flight
+	inFlight  int // number of requests in flight
 	waiters   []chan struct{}
 	brokenErr error
 	stopped   chan struct{}
 }
 
-// idleChan returns a channel that closes when the queue has nothing in flight;
-// nil: it has nothing.
+// idleChan returns a channel that is closed once the queue has no request in flight,
+// or nil if it has none now.
 func (q *queue) idleChan() chan struct{} {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.inFlight == 0 {
 		return nil
 	}
-	c := make(chan struct{})
-	q.waiters = append(q.waiters, c)
-	return c
+	waiter := make(chan struct{})
+	q.waiters = append(q.waiters, waiter)
+	return waiter
 }
 
-// signal tells the driver that something was put. Its caller holds q.mu.
+// signal notifies the driver of used chains. The caller must hold q.mu.
 func (q *queue) signal() {
 	if q.callFD >= 0 {
-		var one [8]byte
-		binary.LittleEndian.PutUint64(one[:], 1)
-		unix.Write(q.callFD, one[:])
+		var increment [8]byte
+		binary.LittleEndian.PutUint64(increment[:], 1)
+		unix.Write(q.callFD, increment[:])
 		q.device.stats.Signals.Add(1)
 	}
 }
 
-// markBroken marks the queue as broken by its driver; the session ends.
+// markBroken records that the driver broke the queue. The first call ends the session.
 func (q *queue) markBroken(err error) {
 	q.mu.Lock()
 	first := q.brokenErr == nil
@@ -307,12 +319,13 @@
 	}
 }
 
-// run serves the queue until its kick descriptor is closed. restore are chains
-// of an earlier session that are to be done again.
-func (q *queue) run(restore []uint16) {
+// run serves the queue until its kick descriptor is closed or the queue is broken. It
+// first runs the chains with the given heads, which an earlier session left
+// unfinished.
+func (q *queue) run(unfinishedHeads []uint16) {
 	defer close(q.stopped)
-	for _, head := range restore {
-		if !q.handle(func(o *pendingRequest) (bool, error) { return true, q.ring.ReadChain(head, &o.chain) }, false) {
+	for _, head := range unfinishedHeads {
+		if !q.handle(func(request *pendingRequest) (bool, error) { return true, q.ring.ReadChain(head, &request.chain) }, false) {
 			return
 		}
 	}
@@ -326,12 +339,12 @@
 			if more {
 				continue
 			}
-			armed := false
-			if err := guestmem.RecoverFaults(func() error { armed = !q.ring.EnableKicks(); return nil }); err != nil {
+			ringEmpty := false
+			if err := guestmem.RecoverFaults(func() error { ringEmpty = !q.ring.EnableKicks(); return nil }); err != nil {
 				q.markBroken(err)
 				return
 			}
-			if armed {
+			if ringEmpty {
 				break
 			}
 		}
@@ -342,36 +355,39 @@
 	}
 }
 
-// handleNext takes one chain out of the ring; more is false where there was none.
+// handleNext handles the next available chain. more is false if there was none, and ok
+// is false if the queue is broken.
 func (q *queue) handleNext() (more, ok bool) {
-	ok = q.handle(func(o *pendingRequest) (bool, error) {
+	ok = q.handle(func(request *pendingRequest) (bool, error) {
 		var err error
-		more, err = q.ring.PopAvail(&o.chain)
+		more, err = q.ring.PopAvail(&request.chain)
 		return more, err
 	}, true)
 	return more, ok
 }
 
-// handle has one chain be done that next reads; false: the queue is broken.
-func (q *queue) handle(next func(o *pendingRequest) (bool, error), mark bool) bool {
-	o := q.device.newRequest()
+// handle runs the chain that read reads, and marks it in the inflight region if mark
+// is set. read returns false if there is no chain. handle returns false if the queue
+// is broken.
+func (q *queue) handle(read func(request *pendingRequest) (bool, error), mark bool) bool {
+	request := q.device.newRequest()
 	taken := false
 	err := guestmem.RecoverFaults(func() error {
 		var err error
-		taken, err = next(o)
+		taken, err = read(request)
 		if err != nil || !taken {
 			return err
 		}
 		if mark {
-			q.inflight.markTaken(o.chain.Head)
+			q.inflight.markTaken(request.chain.Head)
 		}
 		q.mu.Lock()
 		q.inFlight++
 		q.mu.Unlock()
 		q.device.mu.Lock()
-		o.queue = q
+		request.queue = q
 		q.device.mu.Unlock()
-		return q.device.submit(o)
+		return q.device.submit(request)
 	})
 	if err == nil && taken {
 		return true
@@ -379,12 +395,12 @@
 	if err != nil {
 		q.markBroken(err)
 	}
-	if o.queue == nil {
+	if request.queue == nil {
 		q.device.mu.Lock()
-		q.device.freeIDs = append(q.device.freeIDs, o.id)
+		q.device.freeIDs = append(q.device.freeIDs, request.id)
 		q.device.mu.Unlock()
-	} else if err != nil { // it was taken and is no request
-		q.device.complete(o, blk.IOErr)
+	} else if err != nil { // the chain was taken, but is not a request
+		q.device.complete(request, blk.IOErr)
 	}
 	return err == nil
 }
--- a/internal/front/vhost/guestmem/memory.go
+++ b/internal/front/vhost/guestmem/memory.go
@@ -1,7 +1,7 @@
-// Package memory maps a guest's memory and gives slices of it by the guest's
-// addresses or the front-end's. Nothing outside the regions is ever touched. A
-// region whose file shrank after it was mapped faults when touched (SIGBUS):
-// Guarded turns that into an error for the goroutine that met it.
+// Package guestmem maps the memory of a guest and returns slices of it by guest
+// address or by front-end address. It never accesses memory outside the regions. An
+// access to a region whose file shrank after it was mapped faults (SIGBUS);
+// RecoverFaults turns the fault into an error.
 package guestmem
 
 import (
@@ -15,45 +15,47 @@
 	"arrowwalk/internal/front/vhost/wire"
 )
 
-// ErrOutOfRange says that an address range is not whole inside one region.
-var ErrOutOfRange = errors.New("guest memory: outside the regions")
+// ErrOutOfRange reports that an address range does not lie in a single region.
+var ErrOutOfRange = errors.New("guest memory: range outside the regions")
 
-// ErrFault says that mapped memory has gone from under the mapping.
+// ErrFault reports an access to mapped memory whose file has shrunk.
 var ErrFault = errors.New("guest memory: the region's file shrank")
 
-// Table is a mapped memory table. It does not change once mapped, so that any
-// number of goroutines may use it; Unmap comes after the last of them.
-type Table struct{ regions []region }
+// Table is a mapped memory table. It is safe for concurrent use until Unmap, which
+// must come after all other uses.
+type Table struct{ regions []mappedRegion }
 
-type region struct {
+// mappedRegion is a mapped region. A mapping must begin at a page boundary.
+type mappedRegion struct {
 	wire.Region
-	mapped []byte // from the file's start of the mapping
-	data   []byte // the region
+	mapped []byte // from the page boundary before the region
+	data   []byte // the region itself
 }
 
-// maxTotalBytes is how much guest memory may be mapped in all.
+// maxTotalBytes is the largest total size of the regions of a table.
 const maxTotalBytes = 1 << 40
 
-// Map maps regions from their descriptors, which it does not close.
-func Map(list []wire.Region, fds []int) (*Table, error) {
-	if len(list) != len(fds) {
-		return nil, fmt.Errorf("memory table: %d regions with %d descriptors", len(list), len(fds))
+// Map maps regions from their file descriptors, which it does not close. It refuses
+// regions that overlap in guest addresses or are larger than their files.
+func Map(regions []wire.Region, fds []int) (*Table, error) {
+	if len(regions) != len(fds) {
+		return nil, fmt.Errorf("memory table: %d regions with %d file descriptors", len(regions), len(fds))
 	}
 	t := &Table{}
 	page := uint64(syscall.Getpagesize())
 	total := uint64(0)
-	for i, r := range list {
+	for i, region := range regions {
 		for j := range i {
-			if o := list[j]; r.GuestAddr < o.GuestAddr+o.Size && o.GuestAddr < r.GuestAddr+r.Size {
+			if other := regions[j]; region.GuestAddr < other.GuestAddr+other.Size && other.GuestAddr < region.GuestAddr+region.Size {
 				t.Unmap()
 				return nil, fmt.Errorf("memory table: regions %d and %d overlap", j, i)
 			}
 		}
-		if total += r.Size; r.Size > maxTotalBytes || total > maxTotalBytes {
+		if total += region.Size; region.Size > maxTotalBytes || total > maxTotalBytes {
 			t.Unmap()
 			return nil, fmt.Errorf("memory table: more than %d bytes", uint64(maxTotalBytes))
 		}
-		if err := t.mapRegion(r, fds[i], page); err != nil {
+		if err := t.mapRegion(region, fds[i], page); err != nil {
 			t.Unmap()
 			return nil, fmt.Errorf("memory table: region %d: %w", i, err)
 		}
@@ -61,66 +63,67 @@
 	return t, nil
 }
 
-func (t *Table) mapRegion(r wire.Region, fd int, page uint64) error {
-	var st unix.Stat_t
-	if err := unix.Fstat(fd, &st); err != nil {
+// mapRegion maps one region from fd and adds it to the table.
+func (t *Table) mapRegion(region wire.Region, fd int, page uint64) error {
+	var stat unix.Stat_t
+	if err := unix.Fstat(fd, &stat); err != nil {
 		return err
 	}
-	if st.Mode&unix.S_IFMT == unix.S_IFREG && r.FileOffset+r.Size > uint64(st.Size) {
-		return fmt.Errorf("%d bytes at %d of a file of %d", r.Size, r.FileOffset, st.Size)
+	if stat.Mode&unix.S_IFMT == unix.S_IFREG && region.FileOffset+region.Size > uint64(stat.Size) {
+		return fmt.Errorf("%d bytes at offset %d of a file of %d bytes", region.Size, region.FileOffset, stat.Size)
 	}
-	skip := r.FileOffset % page
-	mapped, err := unix.Mmap(fd, int64(r.FileOffset-skip), int(r.Size+skip), unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED)
+	lead := region.FileOffset % page
+	mapped, err := unix.Mmap(fd, int64(region.FileOffset-lead), int(region.Size+lead), unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED)
 	if err != nil {
 		return fmt.Errorf("mmap: %w", err)
 	}
-	t.regions = append(t.regions, region{r, mapped, mapped[skip : skip+r.Size]})
+	t.regions = append(t.regions, mappedRegion{region, mapped, mapped[lead : lead+region.Size]})
 	return nil
 }
 
-// Unmap gives the memory back.
+// Unmap unmaps all regions. Slices of them must not be used afterwards.
 func (t *Table) Unmap() {
-	for _, r := range t.regions {
-		unix.Munmap(r.mapped)
+	for _, region := range t.regions {
+		unix.Munmap(region.mapped)
 	}
 	t.regions = nil
 }
 
-// Guest returns n bytes at an address of the guest.
-func (t *Table) Guest(addr, n uint64) ([]byte, error) {
+// GuestSlice returns the n bytes of guest memory at a guest address.
+func (t *Table) GuestSlice(addr, n uint64) ([]byte, error) {
 	for i := range t.regions {
-		r := &t.regions[i]
-		if at := addr - r.GuestAddr; addr >= r.GuestAddr && at < r.Size && n <= r.Size-at {
-			return r.data[at : at+n : at+n], nil
+		region := &t.regions[i]
+		if offset := addr - region.GuestAddr; addr >= region.GuestAddr && offset < region.Size && n <= region.Size-offset {
+			return region.data[offset : offset+n : offset+n], nil
 		}
 	}
-	return nil, fmt.Errorf("%w: %d bytes at %#x", ErrOutOfRange, n, addr)
+	return nil, fmt.Errorf("%w: %d bytes at guest address %#x", ErrOutOfRange, n, addr)
 }
 
-// User returns n bytes at an address of the front-end's process.
-func (t *Table) User(addr, n uint64) ([]byte, error) {
+// UserSlice returns the n bytes of guest memory at an address of the front-end.
+func (t *Table) UserSlice(addr, n uint64) ([]byte, error) {
 	for i := range t.regions {
-		r := &t.regions[i]
-		if at := addr - r.UserAddr; addr >= r.UserAddr && at < r.Size && n <= r.Size-at {
-			return r.data[at : at+n : at+n], nil
+		region := &t.regions[i]
+		if offset := addr - region.UserAddr; addr >= region.UserAddr && offset < region.Size && n <= region.Size-offset {
+			return region.data[offset : offset+n : offset+n], nil
 		}
 	}
-	return nil, fmt.Errorf("%w: %d bytes at the front-end's %#x", ErrOutOfRange, n, addr)
+	return nil, fmt.Errorf("%w: %d bytes at front-end address %#x", ErrOutOfRange, n, addr)
 }
 
-// RecoverFaults calls do, and returns ErrFault where it touched memory that has gone
-// from under its mapping. Other panics go on.
-func RecoverFaults(do func() error) (err error) {
+// RecoverFaults calls access and returns an error that wraps ErrFault if it accessed
+// mapped memory whose file has shrunk. Other panics propagate.
+func RecoverFaults(access func() error) (err error) {
 	old := debug.SetPanicOnFault(true)
 	defer func() {
 		debug.SetPanicOnFault(old)
-		if p := recover(); p != nil {
-			if f, ok := p.(interface{ Addr() uintptr }); ok {
-				err = fmt.Errorf("%w: at %#x", ErrFault, f.Addr())
+		if recovered := recover(); recovered != nil {
+			if fault, ok := recovered.(interface{ Addr() uintptr }); ok {
+				err = fmt.Errorf("%w: at %#x", ErrFault, fault.Addr())
 				return
 			}
-			panic(p)
+			panic(recovered)
 		}
 	}()
-	return do()
+	return access()
 }
--- a/internal/front/vhost/inflight.go
+++ b/internal/front/vhost/inflight.go
@@ -8,9 +8,9 @@
 )
 
 // The inflight region (vhost-user specification, "Inflight I/O tracking", split
-// virtqueue): shared memory that outlives the device's process, in which each
-// descriptor chain that was taken and not given back is marked. After a
-// reconnection what is marked is done again, in the order in which it came.
+// virtqueue) is shared memory that outlives the device's process. It marks each
+// descriptor chain that was taken from the available ring and not yet returned.
+// After a reconnection the marked chains run again, in the order of their arrival.
 
 const (
 	inflightHeaderSize = 16 // features, version, desc_num, last_batch_head, used_idx
@@ -18,59 +18,63 @@
 	inflightAlignment  = 64
 )
 
-// inflightSize returns the bytes of one queue's part.
+// inflightSize returns the size in bytes of the part for a queue with size entries.
 func inflightSize(size uint16) uint64 {
 	n := uint64(inflightHeaderSize) + uint64(size)*inflightEntrySize
 	return (n + inflightAlignment - 1) / inflightAlignment * inflightAlignment
 }
 
-// inflight is one queue's part of the region. A nil one tracks nothing.
+// inflight is the part of the region for one queue. The methods that mark chains do
+// nothing on a nil inflight.
 type inflight struct {
 	mem       []byte
 	queueSize uint16
 	counter   uint64
 }
 
-// newInflight returns a queue's part; a fresh one is set up.
+// newInflight returns the part for a queue with size entries in mem. It initializes
+// a part of zeros, and returns an error if one in use is of another version or size.
 func newInflight(mem []byte, size uint16) (*inflight, error) {
 	if uint64(len(mem)) < inflightSize(size) {
-		return nil, fmt.Errorf("inflight region: %d bytes for %d descriptors", len(mem), size)
+		return nil, fmt.Errorf("inflight region: %d bytes are too few for %d descriptors", len(mem), size)
 	}
 	f := &inflight{mem: mem, queueSize: size}
 	if f.version() == 0 {
 		binary.LittleEndian.PutUint16(mem[8:], 1)
 		binary.LittleEndian.PutUint16(mem[10:], size)
-	} else if got := binary.LittleEndian.Uint16(mem[10:]); f.version() != 1 || got != size {
-		return nil, fmt.Errorf("inflight region: version %d for %d descriptors, want 1 for %d", f.version(), got, size)
+	} else if storedSize := binary.LittleEndian.Uint16(mem[10:]); f.version() != 1 || storedSize != size {
+		return nil, fmt.Errorf("inflight region: version %d for %d descriptors, want 1 for %d", f.version(), storedSize, size)
 	}
 	return f, nil
 }
 
+// version returns the version of the layout, 0 for a part of zeros.
 func (f *inflight) version() uint16 { return binary.LittleEndian.Uint16(f.mem[8:]) }
 
+// entry returns the entry of a descriptor.
 func (f *inflight) entry(head uint16) []byte {
 	return f.mem[inflightHeaderSize+int(head)*inflightEntrySize:][:inflightEntrySize]
 }
 
-// markTaken marks a chain that was taken out of the ring.
+// markTaken marks a chain that was taken from the available ring.
 func (f *inflight) markTaken(head uint16) {
 	if f == nil {
 		return
 	}
 	f.counter++
-	e := f.entry(head)
-	binary.LittleEndian.PutUint64(e[8:], f.counter)
-	e[0] = 1
+	entry := f.entry(head)
+	binary.LittleEndian.PutUint64(entry[8:], f.counter)
+	entry[0] = 1
 }
 
-// setLastHead notes which chain is about to be put into the used ring.
+// setLastHead records the chain that is about to be added to the used ring.
 func (f *inflight) setLastHead(head uint16) {
 	if f != nil {
 		binary.LittleEndian.PutUint16(f.mem[12:], head)
 	}
 }
 
-// clearTaken takes the mark off a chain that is in the used ring.
+// clearTaken removes the mark of a chain that was added to the used ring.
 func (f *inflight) clearTaken(head, usedIdx uint16) {
 	if f == nil {
 		return
@@ -79,36 +83,37 @@
 	binary.LittleEndian.PutUint16(f.mem[14:], usedIdx)
 }
 
-// unfinished returns the chains that were taken and not given back, oldest first.
-// usedIdx is the ring's own: where it is ahead of the region's, the last chain
-// was given and its mark not yet taken off.
+// unfinished returns the heads of the marked chains, oldest first. usedIdx is the used
+// index of the ring. If it differs from the one in the region, the earlier process
+// ended after it added its last chain to the used ring and before it removed the
+// chain's mark. That mark is removed first.
 func (f *inflight) unfinished(usedIdx uint16) []uint16 {
 	if f == nil {
 		return nil
 	}
-	if told := binary.LittleEndian.Uint16(f.mem[14:]); told != usedIdx {
+	if recorded := binary.LittleEndian.Uint16(f.mem[14:]); recorded != usedIdx {
 		if last := binary.LittleEndian.Uint16(f.mem[12:]); last < f.queueSize {
 			f.entry(last)[0] = 0
 		}
 		binary.LittleEndian.PutUint16(f.mem[14:], usedIdx)
 	}
-	type marked struct {
+	type markedChain struct {
 		head    uint16
 		counter uint64
 	}
-	var list []marked
+	var chains []markedChain
 	for head := range f.queueSize {
-		e := f.entry(head)
-		counter := binary.LittleEndian.Uint64(e[8:])
+		entry := f.entry(head)
+		counter := binary.LittleEndian.Uint64(entry[8:])
 		f.counter = max(f.counter, counter)
-		if e[0] == 1 {
-			list = append(list, marked{head, counter})
+		if entry[0] == 1 {
+			chains = append(chains, markedChain{head, counter})
 		}
 	}
-	slices.SortFunc(list, func(a, b marked) int { return cmp.Compare(a.counter, b.counter) })
-	out := make([]uint16, len(list))
-	for i, m := range list {
-		out[i] = m.head
+	slices.SortFunc(chains, func(a, b markedChain) int { return cmp.Compare(a.counter, b.counter) })
+	heads := make([]uint16, len(chains))
+	for i, chain := range chains {
+		heads[i] = chain.head
 	}
-	return out
+	return heads
 }
--- a/internal/front/vhost/server.go
+++ b/internal/front/vhost/server.go
@@ -1,7 +1,7 @@
-// Package vhost is the second front: block devices over the vhost-user protocol
-// on a Unix socket (its public specification), virtio-blk (virtio 1.2, section
-// 5.2) on split rings in guest memory. A VMM connects to a volume's socket; the
-// device does its requests by a Backend, whose decisions are the module's.
+// Package vhost serves block volumes to virtual machines over the vhost-user
+// protocol: virtio-blk devices (virtio 1.2, section 5.2) with split virtqueues in
+// guest memory. A VMM connects to a volume's Unix socket, and the device runs the
+// requests of the guest on a Backend, for which the module schedules them.
 package vhost
 
 import (
@@ -22,6 +22,10 @@
 	"arrowwalk/internal/front/vhost/wire"
 )
 
+// messageTimeout bounds the rest of a message after its first byte, and the sending of
+// a reply.
+const messageTimeout = 5 * time.Second
+
 const (
 	maxQueues   = 16
 	maxSegments = 126
@@ -31,7 +35,8 @@
 	protocolFeatures = wire.ProtocolMQ | wire.ProtocolReplyAck | wire.ProtocolConfig | wire.ProtocolInflight | wire.ProtocolResetDevice
 )
 
-// Server is one volume's socket. It has one session at a time; others wait.
+// Server serves one disk on a Unix socket. It has one session at a time; further
+// connections wait until it ends.
 type Server struct {
 	Stats    Stats
 	disk     Disk
@@ -43,28 +48,29 @@
 	closed   bool
 }
 
-// Listen serves a disk on a Unix socket at path until Close.
+// Listen starts a server for a disk on a Unix socket at path, which replaces any file
+// there. The caller must call Close. A nil log discards messages.
 func Listen(path string, disk Disk, log *slog.Logger) (*Server, error) {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
 	os.Remove(path)
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		return nil, fmt.Errorf("vhost-user socket: %w", err)
 	}
 	if err := os.Chmod(path, 0o600); err != nil {
-		ln.Close()
+		listener.Close()
 		return nil, err
 	}
-	s := &Server{disk: disk, listener: ln, log: log}
+	s := &Server{disk: disk, listener: listener, log: log}
 	s.wg.Add(1)
 	go s.accept()
 	return s, nil
 }
 
-// Close ends the session and the socket. What is in flight stays marked in the
-// region that the VMM keeps.
+// Close ends the session, closes the socket and waits until both are done. Requests in
+// flight stay marked in the inflight region, which the VMM keeps.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -76,10 +82,11 @@
 	s.wg.Wait()
 }
 
+// accept runs the sessions, one after the other, until the socket is closed.
 func (s *Server) accept() {
 	defer s.wg.Done()
 	for {
-		nc, err := s.listener.AcceptUnix()
+		conn, err := s.listener.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -89,21 +96,22 @@
 		s.mu.Lock()
 		if s.closed {
 			s.mu.Unlock()
-			nc.Close()
+			conn.Close()
 			return
 		}
-		s.conn = nc
+		s.conn = conn
 		s.mu.Unlock()
-		x := &session{server: s, conn: nc, device: newDevice(s.disk, &s.Stats)}
-		err = x.serve()
-		x.close()
+		sess := &session{server: s, conn: conn, device: newDevice(s.disk, &s.Stats)}
+		err = sess.serve()
+		sess.close()
 		if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
 			s.log.Warn("vhost-user session ended", "volume", s.disk.Name, "error", err)
 		}
 	}
 }
 
-// session is one VMM's connection.
+// session is the connection of one VMM. Its methods run on one goroutine, except for
+// failQueue.
 type session struct {
 	server           *Server
 	conn             *net.UnixConn
@@ -112,15 +120,16 @@
 	protocolFeatures uint64
 	memory           *guestmem.Table
 	regions          []wire.Region
-	fds              []int // of the regions, until they are mapped anew
+	fds              []int // of the regions, until a new table is mapped
 	queues           [maxQueues]vring
 	inflight         []byte
 
 	mu       sync.Mutex
-	queueErr error // a queue was broken by its driver
+	queueErr error // set when the driver broke a queue
 }
 
-// vring is what the front-end said of a queue.
+// vring is the state of a queue as the front-end has set it. kickFD and callFD hold a
+// file descriptor plus 1, so that 0 means none.
 type vring struct {
 	size      uint16
 	nextAvail uint16
@@ -131,27 +140,29 @@
 	running   *queue
 }
 
-func (x *session) close() {
-	x.device.cancel() // what is in flight is given up, and stays marked
-	for i := range x.queues {
-		x.stopQueue(i)
+// close stops all queues and frees what the session holds.
+func (s *session) close() {
+	s.device.cancel() // requests in flight are cancelled and stay marked
+	for i := range s.queues {
+		s.stopQueue(i)
 	}
-	x.device.stop()
-	for i := range x.queues {
-		v := &x.queues[i]
-		closeFD(&v.kickFD)
-		closeFD(&v.callFD)
+	s.device.stop()
+	for i := range s.queues {
+		ring := &s.queues[i]
+		closeFD(&ring.kickFD)
+		closeFD(&ring.callFD)
 	}
-	if x.memory != nil {
-		x.memory.Unmap()
+	if s.memory != nil {
+		s.memory.Unmap()
 	}
-	if x.inflight != nil {
-		unix.Munmap(x.inflight)
+	if s.inflight != nil {
+		unix.Munmap(s.inflight)
 	}
-	x.conn.Close()
+	s.conn.Close()
 }
 
-// closeFD closes a descriptor that is kept with 1 added, so that 0 is none.
+// closeFD closes a file descriptor that is stored plus 1, unless it is 0, and sets it
+// to 0.
 func closeFD(fd *int) {
 	if *fd > 0 {
 		unix.Close(*fd - 1)
@@ -159,13 +170,14 @@
 	}
 }
 
-// message is one that was received.
+// message is a received message with its file descriptors.
 type message struct {
 	wire.Header
 	payload []byte
 	fds     []int
 }
 
+// closeFDs closes the file descriptors that were not taken.
 func (m *message) closeFDs() {
 	for _, fd := range m.fds {
 		unix.Close(fd)
@@ -173,230 +185,236 @@
 	m.fds = nil
 }
 
-// takeFD returns the one descriptor that a message carries.
+// takeFD returns the single file descriptor of a message; the caller must close it.
 func (m *message) takeFD() (int, error) {
 	if len(m.fds) != 1 {
-		return 0, fmt.Errorf("%w: request %d with %d descriptors, want 1", wire.ErrMalformed, m.Request, len(m.fds))
+		return 0, fmt.Errorf("%w: request %d with %d file descriptors, want 1", wire.ErrMalformed, m.Request, len(m.fds))
 	}
 	fd := m.fds[0]
 	m.fds = nil
 	return fd, nil
 }
 
-// receive reads one message; a front-end that stops in the middle of one has a
-// few seconds.
-func (x *session) receive(m *message) error {
-	var head [wire.HeaderSize]byte
-	oob := make([]byte, unix.CmsgSpace(wire.MaxFDs*4))
-	x.conn.SetReadDeadline(time.Time{})
-	n, oobn, flags, _, err := x.conn.ReadMsgUnix(head[:], oob)
+// receive reads one message. It waits for the first byte without limit, but for the
+// rest only messageTimeout.
+func (s *session) receive(m *message) error {
+	var header [wire.HeaderSize]byte
+	ancillary := make([]byte, unix.CmsgSpace(wire.MaxFDs*4))
+	s.conn.SetReadDeadline(time.Time{})
+	headerBytes, ancillaryBytes, flags, _, err := s.conn.ReadMsgUnix(header[:], ancillary)
 	if err != nil {
 		return err
 	}
-	if n == 0 {
+	if headerBytes == 0 {
 		return io.EOF
 	}
-	m.fds = parseFDs(oob[:oobn])
+	m.fds = parseFDs(ancillary[:ancillaryBytes])
 	if flags&unix.MSG_CTRUNC != 0 {
-		return fmt.Errorf("%w: more than %d descriptors", wire.ErrMalformed, wire.MaxFDs)
+		return fmt.Errorf("%w: more than %d file descriptors", wire.ErrMalformed, wire.MaxFDs)
 	}
-	x.conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := io.ReadFull(x.conn, head[n:]); err != nil {
+	s.conn.SetReadDeadline(time.Now().Add(messageTimeout))
+	if _, err := io.ReadFull(s.conn, header[headerBytes:]); err != nil {
 		return err
 	}
-	if m.Header, err = wire.ParseHeader(head[:]); err != nil {
+	if m.Header, err = wire.ParseHeader(header[:]); err != nil {
 		return err
 	}
 	m.payload = make([]byte, m.Size)
-	_, err = io.ReadFull(x.conn, m.payload)
+	_, err = io.ReadFull(s.conn, m.payload)
 	return err
 }
 
-func parseFDs(oob []byte) []int {
-	list, err := unix.ParseSocketControlMessage(oob)
+// parseFDs returns the file descriptors in ancillary data, set to close on exec.
+func parseFDs(ancillary []byte) []int {
+	messages, err := unix.ParseSocketControlMessage(ancillary)
 	if err != nil {
 		return nil
 	}
-	var out []int
-	for i := range list {
-		if fds, err := unix.ParseUnixRights(&list[i]); err == nil {
-			out = append(out, fds...)
+	var result []int
+	for i := range messages {
+		if fds, err := unix.ParseUnixRights(&messages[i]); err == nil {
+			result = append(result, fds...)
 		}
 	}
-	for _, fd := range out {
+	for _, fd := range result {
 		unix.CloseOnExec(fd)
 	}
-	return out
+	return result
 }
 
-// serve handles messages until the connection ends or one is bad.
-func (x *session) serve() error {
+// serve handles messages until the connection ends or one is refused.
+func (s *session) serve() error {
 	for {
 		var m message
-		err := x.receive(&m)
+		err := s.receive(&m)
 		if err == nil {
-			err = x.handle(&m)
+			err = s.handle(&m)
 		}
 		m.closeFDs()
 		if err != nil {
-			x.mu.Lock()
-			defer x.mu.Unlock()
-			return errors.Join(x.queueErr, err)
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			return errors.Join(s.queueErr, err)
 		}
 	}
 }
 
-// handle does one message and answers it where it has an answer.
-func (x *session) handle(m *message) error {
-	reply, err := x.dispatch(m)
+// handle handles one message and sends the reply or the acknowledgment that it asks
+// for.
+func (s *session) handle(m *message) error {
+	reply, err := s.dispatch(m)
 	if reply != nil && err == nil {
-		return x.reply(m.Request, reply)
+		return s.reply(m.Request, reply)
 	}
-	if m.NeedAck && x.protocolFeatures&wire.ProtocolReplyAck != 0 {
+	if m.NeedAck && s.protocolFeatures&wire.ProtocolReplyAck != 0 {
 		code := uint64(0)
 		if err != nil {
 			code = 1
 		}
-		if e := x.reply(m.Request, wire.AppendU64(nil, code)); e != nil {
-			return e
+		if ackErr := s.reply(m.Request, wire.AppendU64(nil, code)); ackErr != nil {
+			return ackErr
 		}
 	}
 	return err
 }
 
-func (x *session) reply(r wire.Request, payload []byte) error {
-	x.conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
-	b := wire.AppendHeader(make([]byte, 0, wire.HeaderSize+len(payload)), wire.Header{Request: r, Reply: true, Size: uint32(len(payload))})
-	_, err := x.conn.Write(append(b, payload...))
+// reply sends the reply to a request.
+func (s *session) reply(request wire.Request, payload []byte) error {
+	s.conn.SetWriteDeadline(time.Now().Add(messageTimeout))
+	msg := wire.AppendHeader(make([]byte, 0, wire.HeaderSize+len(payload)), wire.Header{Request: request, Reply: true, Size: uint32(len(payload))})
+	_, err := s.conn.Write(append(msg, payload...))
 	return err
 }
 
-// dispatch does one message. A payload is its answer.
-func (x *session) dispatch(m *message) (reply []byte, err error) {
+// dispatch handles one message and returns the payload of the reply, nil for none.
+func (s *session) dispatch(m *message) (reply []byte, err error) {
 	switch m.Request {
 	case wire.GetFeatures:
 		return wire.AppendU64(nil, deviceFeatures), nil
 	case wire.SetFeatures:
-		v, err := wire.ParseU64(m.payload)
-		if err == nil && v&^uint64(deviceFeatures) != 0 {
-			err = fmt.Errorf("%w: features %#x were not offered", wire.ErrMalformed, v&^uint64(deviceFeatures))
+		bits, err := wire.ParseU64(m.payload)
+		if err == nil && bits&^uint64(deviceFeatures) != 0 {
+			err = fmt.Errorf("%w: features %#x were not offered", wire.ErrMalformed, bits&^uint64(deviceFeatures))
 		}
-		x.features = v
+		s.features = bits
 		return nil, err
 	case wire.GetProtocolFeatures:
 		return wire.AppendU64(nil, protocolFeatures), nil
 	case wire.SetProtocolFeatures:
-		v, err := wire.ParseU64(m.payload)
-		if err == nil && v&^uint64(protocolFeatures) != 0 {
-			err = fmt.Errorf("%w: protocol features %#x were not offered", wire.ErrMalformed, v&^uint64(protocolFeatures))
+		bits, err := wire.ParseU64(m.payload)
+		if err == nil && bits&^uint64(protocolFeatures) != 0 {
+			err = fmt.Errorf("%w: protocol features %#x were not offered", wire.ErrMalformed, bits&^uint64(protocolFeatures))
 		}
-		x.protocolFeatures = v
+		s.protocolFeatures = bits
 		return nil, err
 	case wire.GetQueueNum:
 		return wire.AppendU64(nil, maxQueues), nil
 	case wire.SetOwner, wire.ResetOwner:
 		return nil, nil
 	case wire.SetMemTable:
-		return nil, x.setMemory(m)
+		return nil, s.setMemory(m)
 	case wire.GetConfig, wire.SetConfig:
-		return x.configSpace(m)
+		return s.configSpace(m)
 	case wire.GetInflightFD:
-		return nil, x.createInflight(m)
+		return nil, s.createInflight(m)
 	case wire.SetInflightFD:
-		return nil, x.restoreInflight(m)
+		return nil, s.restoreInflight(m)
 	case wire.ResetDevice:
-		for i := range x.queues {
-			x.stopQueue(i)
-			x.queues[i].nextAvail, x.queues[i].enabled = 0, false
+		for i := range s.queues {
+			s.stopQueue(i)
+			s.queues[i].nextAvail, s.queues[i].enabled = 0, false
 		}
 		return nil, nil
 	case wire.SetVringKick, wire.SetVringCall, wire.SetVringErr:
-		return nil, x.setFD(m)
+		return nil, s.setFD(m)
 	}
-	return x.dispatchVring(m)
+	return s.dispatchVring(m)
 }
 
-// dispatchVring does the messages that name a queue and a number or addresses.
-func (x *session) dispatchVring(m *message) ([]byte, error) {
+// dispatchVring handles the messages that hold a queue index with a number or
+// addresses.
+func (s *session) dispatchVring(m *message) ([]byte, error) {
 	if m.Request == wire.SetVringAddr {
-		a, err := wire.ParseVringAddr(m.payload)
+		addr, err := wire.ParseVringAddr(m.payload)
 		if err != nil {
 			return nil, err
 		}
-		v, err := x.vring(a.Index)
+		ring, err := s.vring(addr.Index)
 		if err != nil {
 			return nil, err
 		}
-		v.addr = &a
+		ring.addr = &addr
 		return nil, nil
 	}
 	switch m.Request {
 	case wire.SetVringNum, wire.SetVringBase, wire.GetVringBase, wire.SetVringEnable:
 	default:
-		return nil, fmt.Errorf("%w: request %d is not known", wire.ErrMalformed, m.Request)
+		return nil, fmt.Errorf("%w: request %d is not supported", wire.ErrMalformed, m.Request)
 	}
-	st, err := wire.ParseVringState(m.payload)
+	state, err := wire.ParseVringState(m.payload)
 	if err != nil {
 		return nil, err
 	}
-	v, err := x.vring(st.Index)
+	ring, err := s.vring(state.Index)
 	if err != nil {
 		return nil, err
 	}
 	switch m.Request {
 	case wire.SetVringNum:
-		if st.Num == 0 || st.Num > virtqueue.MaxSize || v.running != nil {
-			return nil, fmt.Errorf("%w: queue %d of %d entries", wire.ErrMalformed, st.Index, st.Num)
+		if state.Num == 0 || state.Num > virtqueue.MaxSize || ring.running != nil {
+			return nil, fmt.Errorf("%w: queue %d of size %d", wire.ErrMalformed, state.Index, state.Num)
 		}
-		v.size = uint16(st.Num)
+		ring.size = uint16(state.Num)
 	case wire.SetVringBase:
-		v.nextAvail = uint16(st.Num)
+		ring.nextAvail = uint16(state.Num)
 	case wire.GetVringBase:
-		x.stopQueue(int(st.Index))
-		return wire.VringState{Index: st.Index, Num: uint32(v.nextAvail)}.Append(nil), nil
+		s.stopQueue(int(state.Index))
+		return wire.VringState{Index: state.Index, Num: uint32(ring.nextAvail)}.Append(nil), nil
 	case wire.SetVringEnable:
-		v.enabled = st.Num != 0
-		if !v.enabled {
-			x.stopQueue(int(st.Index))
+		ring.enabled = state.Num != 0
+		if !ring.enabled {
+			s.stopQueue(int(state.Index))
 			return nil, nil
 		}
-		return nil, x.startQueue(int(st.Index))
+		return nil, s.startQueue(int(state.Index))
 	}
 	return nil, nil
 }
 
-func (x *session) vring(index uint32) (*vring, error) {
+// vring returns the state of the queue with an index.
+func (s *session) vring(index uint32) (*vring, error) {
 	if index >= maxQueues {
-		return nil, fmt.Errorf("%w: queue %d of %d", wire.ErrMalformed, index, maxQueues)
+		return nil, fmt.Errorf("%w: queue index %d, want less than %d", wire.ErrMalformed, index, maxQueues)
 	}
-	return &x.queues[index], nil
+	return &s.queues[index], nil
 }
 
-// setFD takes a queue's kick, call or error descriptor.
-func (x *session) setFD(m *message) error {
-	n, err := wire.ParseU64(m.payload)
+// setFD sets a queue's kick or call descriptor. An error descriptor is closed, as the
+// device does not use it.
+func (s *session) setFD(m *message) error {
+	value, err := wire.ParseU64(m.payload)
 	if err != nil {
 		return err
 	}
-	v, err := x.vring(uint32(n & 0xff))
+	ring, err := s.vring(uint32(value & 0xff))
 	if err != nil {
 		return err
 	}
 	fd := -1
-	if n&wire.NoFD == 0 {
+	if value&wire.NoFD == 0 {
 		if fd, err = m.takeFD(); err != nil {
 			return err
 		}
 	}
 	switch m.Request {
 	case wire.SetVringCall:
-		if v.running != nil {
-			v.running.mu.Lock()
-			defer v.running.mu.Unlock()
-			v.running.callFD = fd
+		if ring.running != nil {
+			ring.running.mu.Lock()
+			defer ring.running.mu.Unlock()
+			ring.running.callFD = fd
 		}
-		closeFD(&v.callFD)
-		v.callFD = fd + 1
+		closeFD(&ring.callFD)
+		ring.callFD = fd + 1
 		return nil
 	case wire.SetVringErr:
 		if fd >= 0 {
@@ -404,23 +422,24 @@
 		}
 		return nil
 	}
-	x.stopQueue(int(n & 0xff))
-	closeFD(&v.kickFD)
-	v.kickFD = fd + 1
+	s.stopQueue(int(value & 0xff))
+	closeFD(&ring.kickFD)
+	ring.kickFD = fd + 1
 	if fd < 0 {
-		return fmt.Errorf("%w: queue %d without a kick descriptor: polling is not offered", wire.ErrMalformed, n&0xff)
+		return fmt.Errorf("%w: queue %d without a kick descriptor: polling is not offered", wire.ErrMalformed, value&0xff)
 	}
-	if x.features&blk.FeatureProtocol == 0 {
-		v.enabled = true
+	if s.features&blk.FeatureProtocol == 0 {
+		ring.enabled = true
 	}
-	if v.enabled {
-		return x.startQueue(int(n & 0xff))
+	if ring.enabled {
+		return s.startQueue(int(value & 0xff))
 	}
 	return nil
 }
 
-// setMemory maps a new memory table; running queues are stopped meanwhile.
-func (x *session) setMemory(m *message) error {
+// setMemory maps a new memory table. Running queues are stopped before the old one is
+// unmapped and started again after it.
+func (s *session) setMemory(m *message) error {
 	regions, err := wire.ParseMemTable(m.payload)
 	if err != nil {
 		return err
@@ -430,69 +449,72 @@
 		return fmt.Errorf("%w: %w", wire.ErrMalformed, err)
 	}
 	var running []int
-	for i := range x.queues {
-		if x.queues[i].running != nil {
+	for i := range s.queues {
+		if s.queues[i].running != nil {
 			running = append(running, i)
-			x.stopQueue(i)
+			s.stopQueue(i)
 		}
 	}
-	if x.memory != nil {
-		x.memory.Unmap()
+	if s.memory != nil {
+		s.memory.Unmap()
 	}
-	x.memory = table
+	s.memory = table
 	for _, i := range running {
-		if err := x.startQueue(i); err != nil {
+		if err := s.startQueue(i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (x *session) configSpace(m *message) ([]byte, error) {
-	c, err := wire.ParseConfig(m.payload)
+// configSpace handles the requests on the configuration space.
+func (s *session) configSpace(m *message) ([]byte, error) {
+	config, err := wire.ParseConfig(m.payload)
 	if err != nil {
 		return nil, err
 	}
 	if m.Request == wire.SetConfig {
-		return nil, nil // nothing in it can be written but the cache mode, which is not offered
+		return nil, nil // only the cache mode is writable, and it is not offered
 	}
-	space := blk.Config{SizeBytes: x.server.disk.SizeBytes, BlockBytes: x.server.disk.BlockBytes, Queues: maxQueues, SegMax: maxSegments}.Append(nil)
+	space := blk.Config{SizeBytes: s.server.disk.SizeBytes, BlockBytes: s.server.disk.BlockBytes, Queues: maxQueues, SegMax: maxSegments}.Append(nil)
 	space = append(space, make([]byte, wire.ConfigSpaceSize-len(space))...)
-	c.Data = space[c.Offset : int(c.Offset)+len(c.Data)]
-	return c.Append(nil), nil
+	config.Data = space[config.Offset : int(config.Offset)+len(config.Data)]
+	return config.Append(nil), nil
 }
 
-// createInflight gives the front-end a region to keep what is in flight in.
-func (x *session) createInflight(m *message) error {
-	in, err := wire.ParseInflight(m.payload)
+// createInflight creates an inflight region, maps it and sends its file descriptor to
+// the front-end.
+func (s *session) createInflight(m *message) error {
+	desc, err := wire.ParseInflight(m.payload)
 	if err != nil {
 		return err
 	}
-	if in.Queues == 0 || in.Queues > maxQueues || in.QueueSize == 0 || in.QueueSize > virtqueue.MaxSize {
-		return fmt.Errorf("%w: inflight region for %d queues of %d", wire.ErrMalformed, in.Queues, in.QueueSize)
+	if desc.Queues == 0 || desc.Queues > maxQueues || desc.QueueSize == 0 || desc.QueueSize > virtqueue.MaxSize {
+		return fmt.Errorf("%w: inflight region for %d queues of size %d", wire.ErrMalformed, desc.Queues, desc.QueueSize)
 	}
-	in.MmapSize, in.MmapOffset = uint64(in.Queues)*inflightSize(in.QueueSize), 0
+	desc.MmapSize, desc.MmapOffset = uint64(desc.Queues)*inflightSize(desc.QueueSize), 0
 	fd, err := unix.MemfdCreate("inflight", unix.MFD_CLOEXEC)
 	if err != nil {
 		return err
 	}
 	defer unix.Close(fd)
-	if err := unix.Ftruncate(fd, int64(in.MmapSize)); err != nil {
+	if err := unix.Ftruncate(fd, int64(desc.MmapSize)); err != nil {
 		return err
 	}
-	if err := x.mapInflight(fd, in); err != nil {
+	if err := s.mapInflight(fd, desc); err != nil {
 		return err
 	}
-	payload := in.Append(nil)
-	b := wire.AppendHeader(nil, wire.Header{Request: m.Request, Reply: true, Size: uint32(len(payload))})
-	x.conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
-	_, _, err = x.conn.WriteMsgUnix(append(b, payload...), unix.UnixRights(fd), nil)
+	payload := desc.Append(nil)
+	msg := wire.AppendHeader(nil, wire.Header{Request: m.Request, Reply: true, Size: uint32(len(payload))})
+	s.conn.SetWriteDeadline(time.Now().Add(messageTimeout))
+	_, _, err = s.conn.WriteMsgUnix(append(msg, payload...), unix.UnixRights(fd), nil)
 	return err
 }
 
-// restoreInflight takes back the region of an earlier session.
-func (x *session) restoreInflight(m *message) error {
-	in, err := wire.ParseInflight(m.payload)
+// restoreInflight maps the inflight region of an earlier session, which the front-end
+// kept.
+func (s *session) restoreInflight(m *message) error {
+	desc, err := wire.ParseInflight(m.payload)
 	if err != nil {
 		return err
 	}
@@ -501,61 +523,64 @@
 		return err
 	}
 	defer unix.Close(fd)
-	if in.Queues == 0 || in.Queues > maxQueues || in.QueueSize == 0 || in.QueueSize > virtqueue.MaxSize || in.MmapSize != uint64(in.Queues)*inflightSize(in.QueueSize) || in.MmapOffset != 0 {
-		return fmt.Errorf("%w: inflight region of %d bytes at %d for %d queues of %d", wire.ErrMalformed, in.MmapSize, in.MmapOffset, in.Queues, in.QueueSize)
+	if desc.Queues == 0 || desc.Queues > maxQueues || desc.QueueSize == 0 || desc.QueueSize > virtqueue.MaxSize || desc.MmapSize != uint64(desc.Queues)*inflightSize(desc.QueueSize) || desc.MmapOffset != 0 {
+		return fmt.Errorf("%w: inflight region of %d bytes at offset %d for %d queues of size %d", wire.ErrMalformed, desc.MmapSize, desc.MmapOffset, desc.Queues, desc.QueueSize)
 	}
-	var st unix.Stat_t
-	if err := unix.Fstat(fd, &st); err != nil || uint64(st.Size) < in.MmapSize {
-		return fmt.Errorf("%w: inflight region: a file of %d bytes, %v", wire.ErrMalformed, st.Size, err)
+	var stat unix.Stat_t
+	if err := unix.Fstat(fd, &stat); err != nil || uint64(stat.Size) < desc.MmapSize {
+		return fmt.Errorf("%w: inflight region: file of %d bytes is too small (stat: %v)", wire.ErrMalformed, stat.Size, err)
 	}
-	return x.mapInflight(fd, in)
+	return s.mapInflight(fd, desc)
 }
 
-func (x *session) mapInflight(fd int, in wire.Inflight) error {
-	mem, err := unix.Mmap(fd, 0, int(in.MmapSize), unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED)
+// mapInflight maps an inflight region in place of the present one. It stops all queues,
+// which use the old one.
+func (s *session) mapInflight(fd int, desc wire.Inflight) error {
+	mapped, err := unix.Mmap(fd, 0, int(desc.MmapSize), unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED)
 	if err != nil {
 		return err
 	}
-	for i := range x.queues {
-		x.stopQueue(i)
+	for i := range s.queues {
+		s.stopQueue(i)
 	}
-	if x.inflight != nil {
-		unix.Munmap(x.inflight)
+	if s.inflight != nil {
+		unix.Munmap(s.inflight)
 	}
-	x.inflight = mem
+	s.inflight = mapped
 	return nil
 }
 
-// startQueue starts a queue that has all it needs; one that has not waits.
-func (x *session) startQueue(i int) error {
-	v := &x.queues[i]
-	if v.running != nil || !v.enabled || v.kickFD == 0 || v.addr == nil || v.size == 0 || x.memory == nil {
+// startQueue starts a queue, unless it runs or the front-end has not yet set all that
+// it needs.
+func (s *session) startQueue(index int) error {
+	ring := &s.queues[index]
+	if ring.running != nil || !ring.enabled || ring.kickFD == 0 || ring.addr == nil || ring.size == 0 || s.memory == nil {
 		return nil
 	}
-	q := &queue{index: i, device: x.device, callFD: v.callFD - 1, stopped: make(chan struct{}), onBroken: x.failQueue}
-	var restore []uint16
+	q := &queue{index: index, device: s.device, callFD: ring.callFD - 1, stopped: make(chan struct{}), onBroken: s.failQueue}
+	var unfinishedHeads []uint16
 	err := guestmem.RecoverFaults(func() error {
-		layout, err := x.layout(v)
+		layout, err := s.layout(ring)
 		if err != nil {
 			return err
 		}
-		if q.ring, err = virtqueue.New(layout, v.size, v.nextAvail, x.features&blk.FeatureEventIdx != 0, x.features&blk.FeatureIndirect != 0, x.memory); err != nil {
+		if q.ring, err = virtqueue.New(layout, ring.size, ring.nextAvail, s.features&blk.FeatureEventIdx != 0, s.features&blk.FeatureIndirect != 0, s.memory); err != nil {
 			return err
 		}
-		if x.inflight != nil {
-			if size := inflightSize(v.size); uint64(i+1)*size <= uint64(len(x.inflight)) {
-				if q.inflight, err = newInflight(x.inflight[uint64(i)*size:uint64(i+1)*size], v.size); err != nil {
+		if s.inflight != nil {
+			if size := inflightSize(ring.size); uint64(index+1)*size <= uint64(len(s.inflight)) {
+				if q.inflight, err = newInflight(s.inflight[uint64(index)*size:uint64(index+1)*size], ring.size); err != nil {
 					return err
 				}
-				restore = q.inflight.unfinished(q.ring.UsedIndex())
+				unfinishedHeads = q.inflight.unfinished(q.ring.UsedIndex())
 			}
 		}
 		return nil
 	})
 	if err != nil {
-		return fmt.Errorf("%w: queue %d: %w", wire.ErrMalformed, i, err)
+		return fmt.Errorf("%w: queue %d: %w", wire.ErrMalformed, index, err)
 	}
-	fd, err := unix.FcntlInt(uintptr(v.kickFD-1), unix.F_DUPFD_CLOEXEC, 0)
+	fd, err := unix.FcntlInt(uintptr(ring.kickFD-1), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		return err
 	}
@@ -564,46 +589,47 @@
 		return err
 	}
 	q.kick = os.NewFile(uintptr(fd), "kick")
-	v.running = q
-	go q.run(restore)
+	ring.running = q
+	go q.run(unfinishedHeads)
 	return nil
 }
 
-func (x *session) layout(v *vring) (virtqueue.Layout, error) {
-	d, a, u := virtqueue.LayoutSizes(v.size)
-	var l virtqueue.Layout
+// layout returns the slices of guest memory that hold a ring.
+func (s *session) layout(ring *vring) (virtqueue.Layout, error) {
+	descBytes, availBytes, usedBytes := virtqueue.LayoutSizes(ring.size)
+	var layout virtqueue.Layout
 	var err error
-	if l.Desc, err = x.memory.User(v.addr.Desc, d); err != nil {
-		return l, err
+	if layout.Desc, err = s.memory.UserSlice(ring.addr.Desc, descBytes); err != nil {
+		return layout, err
 	}
-	if l.Avail, err = x.memory.User(v.addr.Avail, a); err != nil {
-		return l, err
+	if layout.Avail, err = s.memory.UserSlice(ring.addr.Avail, availBytes); err != nil {
+		return layout, err
 	}
-	l.Used, err = x.memory.User(v.addr.Used, u)
-	return l, err
+	layout.Used, err = s.memory.UserSlice(ring.addr.Used, usedBytes)
+	return layout, err
 }
 
-// stopQueue stops a queue and waits until what it had in flight is given back,
-// so that its base says all.
-func (x *session) stopQueue(i int) {
-	v := &x.queues[i]
-	q := v.running
+// stopQueue stops a queue and waits for its requests in flight, so that its next
+// available index covers all of them.
+func (s *session) stopQueue(index int) {
+	ring := &s.queues[index]
+	q := ring.running
 	if q == nil {
 		return
 	}
 	q.kick.Close()
 	<-q.stopped
-	if c := q.idleChan(); c != nil {
-		<-c
+	if idle := q.idleChan(); idle != nil {
+		<-idle
 	}
-	v.nextAvail = q.ring.NextAvailIndex()
-	v.running = nil
+	ring.nextAvail = q.ring.NextAvailIndex()
+	ring.running = nil
 }
 
-// failQueue ends the session: its driver broke the rules.
-func (x *session) failQueue(err error) {
-	x.mu.Lock()
-	x.queueErr = err
-	x.mu.Unlock()
-	x.conn.Close()
+// failQueue ends the session because the driver broke the protocol.
+func (s *session) failQueue(err error) {
+	s.mu.Lock()
+	s.queueErr = err
+	s.mu.Unlock()
+	s.conn.Close()
 }
