--- a/internal/front/vhost/virtqueue/queue.go
+++ b/internal/front/vhost/virtqueue/queue.go
@@ -91,7 +91,7 @@
 	descBytes, availBytes, usedBytes := LayoutSizes(size)
 	switch {
 	case size == 0 || size > MaxSize || size&(size-1) != 0:
-		return nil, malformed("a ring of %d entries, want a power of two up to %d", size, MaxSize)
+		return nil, malformed("a ring of %d entries, want a power of two up to 32768", size)
 	case uint64(len(layout.Desc)) < descBytes || uint64(len(layout.Avail)) < availBytes || uint64(len(layout.Used)) < usedBytes:
 		return nil, malformed("a part of the ring is not completely in guest memory")
 	case uintptr(unsafe.Pointer(&layout.Desc[0]))%16 != 0 || uintptr(unsafe.Pointer(&layout.Avail[0]))%2 != 0 || uintptr(unsafe.Pointer(&layout.Used[0]))%4 != 0:
--- a/internal/front/vhost/wire/wire.go
+++ b/internal/front/vhost/wire/wire.go
@@ -87,7 +87,7 @@
 // ParseHeader decodes a header from the first HeaderSize bytes of b.
 func ParseHeader(b []byte) (Header, error) {
 	if len(b) < HeaderSize {
-		return Header{}, malformed("header of %d bytes, want %d", len(b), HeaderSize)
+		return Header{}, malformed("header of %d bytes, want 12", len(b))
 	}
 	flags := binary.LittleEndian.Uint32(b[4:])
 	header := Header{Request: Request(binary.LittleEndian.Uint32(b)), NeedAck: flags&flagNeedAck != 0, Reply: flags&flagReply != 0, Size: binary.LittleEndian.Uint32(b[8:])}
