--- a/internal/front/vhost/server.go
+++ b/internal/front/vhost/server.go
@@ -36,7 +36,7 @@
 )
 
 // Server serves one disk on a Unix socket. It has one session at a time; further
-// connections wait until it ends.
+// connections wait until it ends. Stats may be read at any time.
 type Server struct {
 	Stats    Stats
 	disk     Disk
--- a/internal/front/vhost/vhost_test.go
+++ b/internal/front/vhost/vhost_test.go
@@ -248,7 +248,7 @@
 			t.Errorf("%+v: status %d, want %d", test.io, got.Status, test.want)
 		}
 		if io.Kind == blk.GetID && string(bytes.TrimRight(io.Data, "\x00")) != "disk-one" {
-			t.Errorf("id %q", io.Data)
+			t.Errorf("device id %q", io.Data)
 		}
 	}
 	backend.failing.Store(true)
--- a/internal/volume/call.go
+++ b/internal/volume/call.go
@@ -1,6 +1,6 @@
-// Package volume keeps block volumes on bricks: their records, who has them
-// attached, and their extents, every request decided by the module as those of
-// the object API are.
+// Package volume stores block volumes on bricks: their records with the current
+// holder, and their extents. The module schedules each request, as it does the
+// requests of the object API.
 package volume
 
 import (
@@ -58,7 +58,7 @@
 	return &Store{options: options, slots: slots, sender: attempts.Sender{Pool: options.Pool, Host: options.Host, Config: options.Config, Observe: options.Observe}}, nil
 }
 
-// ErrIO reports that a request failed and is not retried. A write may have run.
+// ErrIO reports that a request failed. A failed write may have run.
 var ErrIO = errors.New("volume: input/output error")
 
 // ErrFenced reports that a newer attachment of the volume replaced this one.
@@ -70,7 +70,7 @@
 // call is one request that the module schedules for a volume.
 type call struct {
 	attempts.Call
-	readBuffers [][]byte // of an extent read: receive the body; the rest is zeroed
+	readBuffers [][]byte // of an extent read: receives the body; the rest is zeroed
 	recordBytes []byte   // of a record read: the body
 }
 
--- a/internal/volume/volume.go
+++ b/internal/volume/volume.go
@@ -156,7 +156,9 @@
 	return rec, s.deleteExtents(ctx, rec, rec.ExtentCount())
 }
 
-// Delete deletes a volume that is not attached, and its extents.
+// Delete deletes a volume that is not attached, and its extents. It attaches the
+// volume to the holder "deleted" first, so that a host can attach it meanwhile only
+// with steal.
 func (s *Store) Delete(ctx context.Context, name string) error {
 	rec, err := s.updateRecord(ctx, name, func(r *extent.VolumeRecord) (*extent.VolumeRecord, error) {
 		return r.Attach("deleted", false, time.Now().UnixMicro())
@@ -334,14 +336,14 @@
 			v.mu.Unlock()
 		}
 		close(done)
-		v.recordFencing(err)
+		v.noteFencing(err)
 		return err
 	}
 }
 
-// recordFencing notes that the volume was replaced by a newer attachment if err
+// noteFencing notes that the volume was replaced by a newer attachment if err
 // says so.
-func (v *Volume) recordFencing(err error) {
+func (v *Volume) noteFencing(err error) {
 	if errors.Is(err, ErrFenced) {
 		v.fenced.Store(true)
 	}
@@ -411,7 +413,7 @@
 		c.readBuffers = bufs
 		c.HandleResponse = c.readExtentBody(v.store)
 		retryAfter, err := v.store.perform(c, v.record.Name)
-		v.recordFencing(err)
+		v.noteFencing(err)
 		if err != nil {
 			return retryAfter, err
 		}
@@ -476,7 +478,7 @@
 		c := v.store.newCall(v.record.Name, v.plan, config.ClassWrite, shard, body.Len(), brick.Request{Method: "PATCH", Space: brick.SpaceExtents, Name: name,
 			Epoch: v.record.Epoch, Offset: p.Offset, Number: number, Truncate: truncate, Body: body})
 		retryAfter, err := v.store.perform(c, v.record.Name)
-		v.recordFencing(err)
+		v.noteFencing(err)
 		if err != nil {
 			return retryAfter, err
 		}
