--- a/internal/front/s3/awschunked/chunked.go
+++ b/internal/front/s3/awschunked/awschunked.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	lineMost    = 512      // bytes of a chunk's size line or a trailer's line
-	chunkMost   = 64 << 20 // bytes of a chunk
-	trailerMost = 16       // lines
+	maxLineBytes    = 512      // bytes of a chunk's size line or a trailer's line
+	maxChunkBytes   = 64 << 20 // bytes of a chunk
+	maxTrailerLines = 16       // lines
 )
 
 // Errors of a body, beside those of the reader below it.
@@ -36,20 +36,20 @@
 	ErrFormat            = errors.New("bad aws-chunked body")
 )
 
-func bad(format string, args ...any) error {
+func formatError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrFormat, fmt.Sprintf(format, args...))
 }
 
 // Reader decodes a body. Bytes come out before their chunk's signature is
 // checked: they count only once Read has returned io.EOF.
 type Reader struct {
-	in      *bufio.Reader
+	source      *bufio.Reader
 	signer  *sigv4.ChunkSigner // nil: not signed
-	trailer bool
-	left    int64
-	begun   bool
-	want    string // signature of the current chunk
-	sum     hash.Hash
+	allowTrailer bool
+	chunkRemaining    int64
+	inChunk   bool
+	chunkSignature    string // signature of the current chunk
+	chunkHash     hash.Hash
 	err     error
 
 	Trailer http1.Fields // after io.EOF
@@ -58,9 +58,9 @@
 // NewReader decodes in. signer is nil for an unsigned stream; trailer tells
 // whether one may follow the last chunk.
 func NewReader(in io.Reader, signer *sigv4.ChunkSigner, trailer bool) *Reader {
-	r := &Reader{in: bufio.NewReaderSize(in, 4096), signer: signer, trailer: trailer}
+	r := &Reader{source: bufio.NewReaderSize(in, 4096), signer: signer, allowTrailer: trailer}
 	if signer != nil {
-		r.sum = sha256.New()
+		r.chunkHash = sha256.New()
 	}
 	return r
 }
@@ -71,89 +71,89 @@
 	if r.err != nil {
 		return 0, r.err
 	}
-	for r.left == 0 {
-		if r.err = r.next(); r.err != nil {
+	for r.chunkRemaining == 0 {
+		if r.err = r.startNextChunk(); r.err != nil {
 			return 0, r.err
 		}
 	}
-	n, err := r.in.Read(p[:min(int64(len(p)), r.left)])
-	r.left -= int64(n)
-	if r.sum != nil {
-		r.sum.Write(p[:n])
+	n, err := r.source.Read(p[:min(int64(len(p)), r.chunkRemaining)])
+	r.chunkRemaining -= int64(n)
+	if r.chunkHash != nil {
+		r.chunkHash.Write(p[:n])
 	}
 	if err != nil {
-		r.err = unexpected(err)
+		r.err = toUnexpectedEOF(err)
 	}
 	return n, r.err
 }
 
-func unexpected(err error) error {
+func toUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// next ends the chunk before and reads the next one's line; io.EOF after the
+// startNextChunk ends the chunk before and reads the startNextChunk one's line; io.EOF after the
 // last.
-func (r *Reader) next() error {
-	if r.begun {
+func (r *Reader) startNextChunk() error {
+	if r.inChunk {
 		if err := r.endChunk(); err != nil {
 			return err
 		}
 	}
-	r.begun = true
-	line, err := r.line()
+	r.inChunk = true
+	line, err := r.readLine()
 	if err != nil {
 		return err
 	}
 	size, extension, _ := strings.Cut(line, ";")
-	if r.left, err = parseSize(size); err != nil {
+	if r.chunkRemaining, err = parseChunkSize(size); err != nil {
 		return err
 	}
 	if r.signer != nil {
 		var ok bool
-		if r.want, ok = strings.CutPrefix(extension, "chunk-signature="); !ok {
-			return bad("a chunk has no signature")
+		if r.chunkSignature, ok = strings.CutPrefix(extension, "chunk-signature="); !ok {
+			return formatError("a chunk has no signature")
 		}
 	}
-	if r.left > 0 {
+	if r.chunkRemaining > 0 {
 		return nil
 	}
-	return r.finish()
+	return r.readTrailer()
 }
 
 func (r *Reader) endChunk() error {
-	line, err := r.line()
+	line, err := r.readLine()
 	if err != nil {
 		return err
 	}
 	if line != "" {
-		return bad("a chunk does not end in CRLF")
+		return formatError("a chunk does not end in CRLF")
 	}
-	return r.checkChunk()
+	return r.verifyChunkSignature()
 }
 
-func (r *Reader) checkChunk() error {
+func (r *Reader) verifyChunkSignature() error {
 	if r.signer == nil {
 		return nil
 	}
-	got := r.signer.SignChunk(r.sum.Sum(nil))
-	r.sum.Reset()
-	if subtle.ConstantTimeCompare([]byte(got), []byte(r.want)) != 1 {
+	got := r.signer.SignChunk(r.chunkHash.Sum(nil))
+	r.chunkHash.Reset()
+	if subtle.ConstantTimeCompare([]byte(got), []byte(r.chunkSignature)) != 1 {
 		return ErrSignatureMismatch
 	}
 	return nil
 }
 
-// finish checks the last, empty chunk and reads the trailer.
-func (r *Reader) finish() error {
-	if err := r.checkChunk(); err != nil {
+// readTrailer checks the last, empty chunk and reads the trailer.
+func (r *Reader) readTrailer() error {
+	if err := r.verifyChunkSignature(); err != nil {
 		return err
 	}
 	sum, signature := sha256.New(), ""
 	for lines := 0; ; lines++ {
-		line, err := r.line()
+		line, err := r.readLine()
 		if errors.Is(err, io.ErrUnexpectedEOF) && line == "" && lines > 0 {
 			break // some clients leave out the last empty line after a trailer
 		}
@@ -164,8 +164,8 @@
 			break
 		}
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || !r.trailer || lines >= trailerMost {
-			return bad("unexpected trailer line %q", line)
+		if !ok || !r.allowTrailer || lines >= maxTrailerLines {
+			return formatError("unexpected trailer line %q", line)
 		}
 		value = strings.TrimSpace(value)
 		if strings.EqualFold(name, "x-amz-trailer-signature") {
@@ -175,7 +175,7 @@
 		fmt.Fprintf(sum, "%s:%s\n", strings.ToLower(name), value)
 		r.Trailer = append(r.Trailer, http1.Field{Name: name, Value: value})
 	}
-	if r.signer != nil && r.trailer {
+	if r.signer != nil && r.allowTrailer {
 		want := r.signer.SignTrailer(sum.Sum(nil))
 		if subtle.ConstantTimeCompare([]byte(want), []byte(signature)) != 1 {
 			return ErrSignatureMismatch
@@ -184,27 +184,27 @@
 	return io.EOF
 }
 
-func (r *Reader) line() (string, error) {
-	part, err := r.in.ReadSlice('\n')
+func (r *Reader) readLine() (string, error) {
+	part, err := r.source.ReadSlice('\n')
 	if err != nil {
 		if errors.Is(err, bufio.ErrBufferFull) {
-			return "", bad("a line over %d bytes", lineMost)
+			return "", formatError("a line over %d bytes", maxLineBytes)
 		}
-		return string(part), unexpected(err)
+		return string(part), toUnexpectedEOF(err)
 	}
-	if len(part) > lineMost {
-		return "", bad("a line over %d bytes", lineMost)
+	if len(part) > maxLineBytes {
+		return "", formatError("a line over %d bytes", maxLineBytes)
 	}
 	if len(part) < 2 || part[len(part)-2] != '\r' {
-		return "", bad("a line ends in a bare LF")
+		return "", formatError("a line ends in a bare LF")
 	}
 	return string(part[:len(part)-2]), nil
 }
 
-func parseSize(s string) (int64, error) {
+func parseChunkSize(s string) (int64, error) {
 	var size int64
 	if s == "" || len(s) > 8 {
-		return 0, bad("chunk size %q", s)
+		return 0, formatError("chunk size %q", s)
 	}
 	for i := 0; i < len(s); i++ {
 		c := s[i] | 0x20
@@ -214,11 +214,11 @@
 		case c >= 'a' && c <= 'f':
 			size = size<<4 | int64(c-'a'+10)
 		default:
-			return 0, bad("chunk size %q", s)
+			return 0, formatError("chunk size %q", s)
 		}
 	}
-	if size > chunkMost {
-		return 0, bad("a chunk over %d bytes", chunkMost)
+	if size > maxChunkBytes {
+		return 0, formatError("a chunk over %d bytes", maxChunkBytes)
 	}
 	return size, nil
 }
--- a/internal/front/s3/bucket.go
+++ b/internal/front/s3/bucket.go
@@ -17,82 +17,82 @@
 // bucketCache remembers for a short while which buckets there are, so that a
 // write need not ask. Buckets of the settings are always there.
 type bucketCache struct {
-	fixed map[string]int // plan of each bucket of the settings
-	other int            // plan of all others
+	configured map[string]int // plan of each bucket of the settings
+	defaultPlan int            // plan of all others
 
 	mu   sync.Mutex
-	seen map[string]time.Time
+	seenAt map[string]time.Time
 }
 
 const (
-	bucketAge   = 2 * time.Second // for how long a bucket is taken to be there still
-	bucketsMost = 10_000
+	bucketCacheTTL   = 2 * time.Second // for how long a bucket is taken to be there still
+	maxBuckets = 10_000
 )
 
 func (b *bucketCache) init(cfg *config.Config) {
-	b.fixed, b.seen = map[string]int{}, map[string]time.Time{}
+	b.configured, b.seenAt = map[string]int{}, map[string]time.Time{}
 	for _, c := range cfg.Collections {
-		b.fixed[c.Bucket] = cfg.Plan(c.Bucket)
+		b.configured[c.Bucket] = cfg.Plan(c.Bucket)
 	}
-	b.other = cfg.Plan("")
+	b.defaultPlan = cfg.Plan("")
 }
 
 func (b *bucketCache) plan(bucket string) int {
-	if plan, ok := b.fixed[bucket]; ok {
+	if plan, ok := b.configured[bucket]; ok {
 		return plan
 	}
-	return b.other
+	return b.defaultPlan
 }
 
-func (b *bucketCache) has(bucket string) bool {
-	if _, ok := b.fixed[bucket]; ok {
+func (b *bucketCache) contains(bucket string) bool {
+	if _, ok := b.configured[bucket]; ok {
 		return true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	at, ok := b.seen[bucket]
-	return ok && time.Since(at) < bucketAge
+	at, ok := b.seenAt[bucket]
+	return ok && time.Since(at) < bucketCacheTTL
 }
 
-func (b *bucketCache) saw(bucket string) {
+func (b *bucketCache) add(bucket string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.seen) >= bucketsMost {
-		clear(b.seen)
+	if len(b.seenAt) >= maxBuckets {
+		clear(b.seenAt)
 	}
-	b.seen[bucket] = time.Now()
+	b.seenAt[bucket] = time.Now()
 }
 
-func (b *bucketCache) forget(bucket string) {
+func (b *bucketCache) remove(bucket string) {
 	b.mu.Lock()
-	delete(b.seen, bucket)
+	delete(b.seenAt, bucket)
 	b.mu.Unlock()
 }
 
 type bucketRecord struct {
-	Created int64 `json:"t"` // milliseconds since 1970
+	CreatedMS int64 `json:"t"` // milliseconds since 1970
 }
 
 // bucketExists asks the bucket's home, unless it was there a moment ago.
 func (x *exchange) bucketExists(bucket string) (bool, error) {
-	if x.s.buckets.has(bucket) {
+	if x.server.buckets.contains(bucket) {
 		return true, nil
 	}
-	if !validBucket(bucket) {
+	if !isValidBucketName(bucket) {
 		return false, nil
 	}
-	_, _, ok, err := x.fetch(brick.SpaceBuckets, bucket, x.home(bucket), false)
+	_, _, ok, err := x.readBlob(brick.SpaceBuckets, bucket, x.shardOf(bucket), false)
 	if err != nil {
 		return false, err
 	}
 	if ok {
-		x.s.buckets.saw(bucket)
+		x.server.buckets.add(bucket)
 	}
 	return ok, nil
 }
 
-// needBucket refuses a request for a bucket that is not there.
-func (x *exchange) needBucket() error {
+// requireBucket refuses a request for a bucket that is not there.
+func (x *exchange) requireBucket() error {
 	ok, err := x.bucketExists(x.bucket)
 	if err == nil && !ok {
 		return errNoSuchBucket
@@ -100,8 +100,8 @@
 	return err
 }
 
-// validBucket follows the specification's rules for names.
-func validBucket(name string) bool {
+// isValidBucketName follows the specification's rules for names.
+func isValidBucketName(name string) bool {
 	if len(name) < 3 || len(name) > 63 || strings.Contains(name, "..") || net.ParseIP(name) != nil {
 		return false
 	}
@@ -115,118 +115,118 @@
 	return true
 }
 
-type bucketConfiguration struct {
+type createBucketBody struct {
 	XMLName            xml.Name `xml:"CreateBucketConfiguration"`
 	LocationConstraint string
 }
 
 func (x *exchange) createBucket() error {
-	text, err := x.readSmall(64 << 10)
+	text, err := x.readSmallBody(64 << 10)
 	if err != nil {
 		return err
 	}
 	if len(text) > 0 {
-		var in bucketConfiguration
+		var in createBucketBody
 		if err := xml.Unmarshal(text, &in); err != nil {
 			return errMalformedXML
 		}
-		if in.LocationConstraint != "" && in.LocationConstraint != x.s.cfg.Region {
-			return refuse(400, "IllegalLocationConstraintException", "The region of this gateway is %s.", x.s.cfg.Region)
+		if in.LocationConstraint != "" && in.LocationConstraint != x.server.cfg.Region {
+			return newAPIError(400, "IllegalLocationConstraintException", "The region of this gateway is %s.", x.server.cfg.Region)
 		}
 	}
-	if !validBucket(x.bucket) {
-		return refuse(400, "InvalidBucketName", "The specified bucket is not valid.")
+	if !isValidBucketName(x.bucket) {
+		return newAPIError(400, "InvalidBucketName", "The specified bucket is not valid.")
 	}
-	owned := refuse(409, "BucketAlreadyOwnedByYou", "Your previous request to create the named bucket succeeded and you already own it.")
-	if _, fixed := x.s.buckets.fixed[x.bucket]; fixed {
+	owned := newAPIError(409, "BucketAlreadyOwnedByYou", "Your previous request to create the named bucket succeeded and you already own it.")
+	if _, fixed := x.server.buckets.configured[x.bucket]; fixed {
 		return owned
 	}
 	meta, err := json.Marshal(bucketRecord{time.Now().UnixMilli()})
 	if err != nil {
 		return err
 	}
-	_, err = x.store(brick.Request{Space: brick.SpaceBuckets, Name: x.bucket, Meta: meta, IfAbsent: true}, x.home(x.bucket))
+	_, err = x.writeBlob(brick.Request{Space: brick.SpaceBuckets, Name: x.bucket, Meta: meta, IfAbsent: true}, x.shardOf(x.bucket))
 	if errors.Is(err, errPrecondition) {
 		return owned
 	}
 	if err != nil {
 		return err
 	}
-	x.s.buckets.saw(x.bucket)
-	return x.answer(200, http1.Fields{{Name: "Location", Value: "/" + x.bucket}}, nil)
+	x.server.buckets.add(x.bucket)
+	return x.respond(200, http1.Fields{{Name: "Location", Value: "/" + x.bucket}}, nil)
 }
 
 func (x *exchange) headBucket() error {
-	if err := x.needBucket(); err != nil {
+	if err := x.requireBucket(); err != nil {
 		return err
 	}
-	return x.answer(200, http1.Fields{{Name: "x-amz-bucket-region", Value: x.s.cfg.Region}}, nil)
+	return x.respond(200, http1.Fields{{Name: "x-amz-bucket-region", Value: x.server.cfg.Region}}, nil)
 }
 
 func (x *exchange) deleteBucket() error {
-	if err := x.needBucket(); err != nil {
+	if err := x.requireBucket(); err != nil {
 		return err
 	}
-	if _, fixed := x.s.buckets.fixed[x.bucket]; fixed {
-		return refuse(403, "AccessDenied", "The bucket is one of the gateway's settings.")
+	if _, fixed := x.server.buckets.configured[x.bucket]; fixed {
+		return newAPIError(403, "AccessDenied", "The bucket is one of the gateway's settings.")
 	}
 	for _, space := range []string{brick.SpaceObjects, brick.SpaceUploads} {
-		items, _, err := x.pagesEverywhere(space, brick.ListQuery{Prefix: x.bucket + "/", MaxItems: 1})
+		items, _, err := x.listAllShards(space, brick.ListQuery{Prefix: x.bucket + "/", MaxItems: 1})
 		if err != nil {
 			return err
 		}
 		if len(items) > 0 {
-			return refuse(409, "BucketNotEmpty", "The bucket you tried to delete is not empty.")
+			return newAPIError(409, "BucketNotEmpty", "The bucket you tried to delete is not empty.")
 		}
 	}
-	x.s.buckets.forget(x.bucket)
-	if _, _, err := x.remove(brick.SpaceBuckets, x.bucket, x.home(x.bucket), 0); err != nil {
+	x.server.buckets.remove(x.bucket)
+	if _, _, err := x.deleteBlob(brick.SpaceBuckets, x.bucket, x.shardOf(x.bucket), 0); err != nil {
 		return err
 	}
-	x.head(204, nil, -1)
+	x.buildHead(204, nil, -1)
 	return x.flush()
 }
 
-type location struct {
+type locationResult struct {
 	XMLName xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ LocationConstraint"`
 	Region  string   `xml:",chardata"`
 }
 
 func (x *exchange) bucketLocation() error {
-	if err := x.needBucket(); err != nil {
+	if err := x.requireBucket(); err != nil {
 		return err
 	}
-	region := x.s.cfg.Region
+	region := x.server.cfg.Region
 	if region == "us-east-1" { // the specification's name for it is none
 		region = ""
 	}
-	return x.answerXML(200, location{Region: region})
+	return x.respondXML(200, locationResult{Region: region})
 }
 
-type bucketList struct {
+type listBucketsResult struct {
 	XMLName xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ ListAllMyBucketsResult"`
 	Owner   owner
-	Buckets []bucketEntry `xml:"Buckets>Bucket"`
+	Buckets []listedBucket `xml:"Buckets>Bucket"`
 }
 
 type owner struct{ ID, DisplayName string }
 
-type bucketEntry struct{ Name, CreationDate string }
+type listedBucket struct{ Name, CreationDate string }
 
-// ours is the owner of all: keys share everything.
-var ours = owner{"arrowwalk", "arrowwalk"}
+// defaultOwner is the owner of all: keys share everything.
+var defaultOwner = owner{"arrowwalk", "arrowwalk"}
 
 func (x *exchange) listBuckets() error {
-	if err := x.noBody(); err != nil {
+	if err := x.checkEmptyBody(); err != nil {
 		return err
 	}
-	items, _, err := x.pagesEverywhere(brick.SpaceBuckets, brick.ListQuery{MaxItems: bucketsMost})
+	items, _, err := x.listAllShards(brick.SpaceBuckets, brick.ListQuery{MaxItems: maxBuckets})
 	if err != nil {
 		return err
 	}
-	out := bucketList{Owner: ours}
+	out := listBucketsResult{Owner: defaultOwner}
 	created := map[string]int64{}
-	for name := range x.s.buckets.fixed {
+	for name := range x.server.buckets.configured {
 		created[name] = 0
 	}
 	for _, it := range items {
@@ -234,10 +234,10 @@
 		if err := json.Unmarshal(it.Meta, &rec); err != nil {
 			return err
 		}
-		created[string(it.Name)] = rec.Created
+		created[string(it.Name)] = rec.CreatedMS
 	}
 	for _, name := range sortedKeys(created) {
-		out.Buckets = append(out.Buckets, bucketEntry{name, isoTime(created[name])})
+		out.Buckets = append(out.Buckets, listedBucket{name, formatISOTime(created[name])})
 	}
-	return x.answerXML(200, out)
+	return x.respondXML(200, out)
 }
--- a/internal/front/s3/exchange.go
+++ b/internal/front/s3/exchange.go
@@ -24,134 +24,134 @@
 
 // exchange is one request and its one answer.
 type exchange struct {
-	s      *Server
-	c      *conn
-	id     string
-	began  time.Time
+	server      *Server
+	conn      *conn
+	requestID     string
+	startedAt  time.Time
 	path   string // decoded
 	bucket string
 	key    string
 	query  sigv4.Query
-	who    *sigv4.Identity
+	identity    *sigv4.Identity
 	volume arrowwalk.Volume
-	wait   time.Duration // how long the client says it waits; 0: it does not say
-	again  bool          // the client says that it tries again
-	asked  bool          // 100 Continue was sent, or was not wanted
-	begun  bool          // bytes of the answer were sent
-	close  bool          // the connection ends after the answer
+	clientTimeout   time.Duration // how long the client says it waits; 0: it does not say
+	isRetry  bool          // the client says that it tries again
+	continueSettled  bool          // 100 Continue was sent, or was not wanted
+	responseStarted  bool          // bytes of the answer were sent
+	closeConn  bool          // the connection ends after the answer
 	status int
-	sent   int64
-	from   time.Time // when the client began to wait: the last byte of its request had come
-	away   bool      // the body was not read for long: its rest may lie in the client's own buffers
-	mark   time.Time // since then sinceMark bytes of the body were read
-	tells  bool      // somebody waits for the answer on a socket
-	late   []*host.Task
-
-	sinceMark int64
+	bytesSent   int64
+	waitStart   time.Time // when the client began to wait: the last byte of its request had come
+	restMayBeBuffered   bool      // the body was not read for long: its rest may lie in the client's own buffers
+	markedAt   time.Time // since then sinceMark bytes of the body were read
+	hasClient  bool      // somebody waits for the answer on a socket
+	lateTasks   []*host.Task
+
+	bytesSinceMark int64
 }
 
-// headerWait is how a client tells how many milliseconds it will wait for an
+// headerClientTimeout is how a client tells how many milliseconds it will wait for an
 // answer, less than the class's deadline.
-const headerWait = "X-Arrowwalk-Wait-Ms"
+const headerClientTimeout = "X-Arrowwalk-Wait-Ms"
 
 const (
-	queryMost = 64
-	keyMost   = 1024 // bytes, as the specification has it
+	maxQueryParams = 64
+	maxKeyBytes   = 1024 // bytes, as the specification has it
 )
 
 func newExchange(c *conn) *exchange {
-	id := c.s.opt.Host.RunID() + "-" + strconv.FormatUint(c.s.sequence.Add(1), 10)
+	id := c.server.opts.Host.RunID() + "-" + strconv.FormatUint(c.server.requestSeq.Add(1), 10)
 	now := time.Now()
-	return &exchange{s: c.s, c: c, id: id, began: now, from: now}
+	return &exchange{server: c.server, conn: c, requestID: id, startedAt: now, waitStart: now}
 }
 
-// came tells since when the client may have waited, where a stall of this host
+// arrivalAfterStall tells since when the client may have waited, where a stall of this host
 // ended less than span ago: what is found then may have lain in its socket, and
 // the kernel is asked how old it is. got is what was read just before.
-func (x *exchange) came(got int, span time.Duration) (time.Time, bool) {
-	if x.s.opt.IgnoreSocketAge {
+func (x *exchange) arrivalAfterStall(got int, span time.Duration) (time.Time, bool) {
+	if x.server.opts.IgnoreSocketAge {
 		return time.Time{}, false
 	}
-	rest := x.c.body.Remaining()
+	rest := x.conn.body.Remaining()
 	if rest > 0 {
-		rest = max(0, rest-int64(x.c.in.Buffered()))
+		rest = max(0, rest-int64(x.conn.reader.Buffered()))
 	}
-	from, ok := x.s.opt.Host.RequestArrival(x.c.raw, x.c.empty, got+x.c.in.Buffered(), rest, span)
-	x.away = x.away || ok && rest != 0
+	from, ok := x.server.opts.Host.RequestArrival(x.conn.rawConn, x.conn.socketEmptyAt, got+x.conn.reader.Buffered(), rest, span)
+	x.restMayBeBuffered = x.restMayBeBuffered || ok && rest != 0
 	return from, ok
 }
 
-// begin notes that the request's head was read: what is there of the request
+// recordHeadArrival notes that the request's head was read: what is there of the request
 // may have lain in its socket for as long as its client may wait.
-func (x *exchange) begin() {
-	x.tells = true
-	if from, ok := x.came(0, x.s.longest); ok {
-		x.from = from
+func (x *exchange) recordHeadArrival() {
+	x.hasClient = true
+	if from, ok := x.arrivalAfterStall(0, x.server.maxClientWait); ok {
+		x.waitStart = from
 	}
 }
 
 // handle serves the request and gives its answer.
 func (x *exchange) handle() {
-	err := x.serve()
+	err := x.dispatch()
 	if err == nil {
 		return
 	}
-	x.finish(err)
+	x.respondError(err)
 }
 
-func (x *exchange) serve() error {
-	if err := x.parse(); err != nil {
-		x.close = true
+func (x *exchange) dispatch() error {
+	if err := x.parseRequest(); err != nil {
+		x.closeConn = true
 		return err
 	}
-	who, err := x.s.verifier.Verify(&sigv4.Request{
-		Method: x.c.req.Method, Path: x.path, Query: x.query, Fields: x.c.req.Fields,
-	}, x.s.opt.Now())
+	who, err := x.server.verifier.Verify(&sigv4.Request{
+		Method: x.conn.req.Method, Path: x.path, Query: x.query, Fields: x.conn.req.Fields,
+	}, x.server.opts.Now())
 	if err != nil {
 		return err
 	}
-	x.who = who
-	if x.s.opt.NotReadyReason != nil {
-		if why := x.s.opt.NotReadyReason(); why != "" {
-			return &apiError{status: 503, code: "SlowDown", message: why, after: time.Second}
+	x.identity = who
+	if x.server.opts.NotReadyReason != nil {
+		if why := x.server.opts.NotReadyReason(); why != "" {
+			return &apiError{status: 503, code: "SlowDown", message: why, retryAfter: time.Second}
 		}
 	}
 	return x.route()
 }
 
-// parse reads the target and the fields that say how to treat the request.
-func (x *exchange) parse() error {
-	req := &x.c.req
+// parseRequest reads the target and the fields that say how to treat the request.
+func (x *exchange) parseRequest() error {
+	req := &x.conn.req
 	path, query, _ := strings.Cut(req.Target, "?")
 	if !strings.HasPrefix(path, "/") {
-		return refuse(400, "InvalidURI", "The request target must begin with a slash.")
+		return newAPIError(400, "InvalidURI", "The request target must begin with a slash.")
 	}
 	var err error
 	if x.path, err = brick.Unescape(path); err != nil {
-		return refuse(400, "InvalidURI", "Couldn't parse the specified URI.")
+		return newAPIError(400, "InvalidURI", "Couldn't parse the specified URI.")
 	}
-	if x.query, err = sigv4.ParseQuery(query, queryMost); err != nil {
+	if x.query, err = sigv4.ParseQuery(query, maxQueryParams); err != nil {
 		return err
 	}
 	x.bucket, x.key, _ = strings.Cut(x.path[1:], "/")
-	if len(x.key) > keyMost {
-		return refuse(400, "KeyTooLongError", "Your key is too long.")
+	if len(x.key) > maxKeyBytes {
+		return newAPIError(400, "KeyTooLongError", "Your key is too long.")
 	}
 	if !utf8.ValidString(x.key) {
-		return refuse(400, "InvalidURI", "The key is not valid UTF-8.")
+		return newAPIError(400, "InvalidURI", "The key is not valid UTF-8.")
 	}
-	if ms, ok := req.Fields.Lookup(headerWait); ok {
+	if ms, ok := req.Fields.Lookup(headerClientTimeout); ok {
 		n, err := strconv.Atoi(ms)
 		if err != nil || n < 1 {
-			return refuse(400, "InvalidArgument", "Header %s: %q is not a number of milliseconds.", headerWait, ms)
+			return newAPIError(400, "InvalidArgument", "Header %s: %q is not a number of milliseconds.", headerClientTimeout, ms)
 		}
-		x.wait = time.Duration(n) * time.Millisecond
+		x.clientTimeout = time.Duration(n) * time.Millisecond
 	}
 	if r := req.Fields.Get("Amz-Sdk-Request"); r != "" && !strings.HasPrefix(r, "attempt=1;") {
-		x.again = true
+		x.isRetry = true
 	}
 	x.volume = arrowwalk.Volume{ID: VolumeID(x.bucket),
-		Plan: x.s.buckets.plan(x.bucket), Hosts: x.s.cfg.Host.Count}
+		Plan: x.server.buckets.plan(x.bucket), Hosts: x.server.cfg.Host.Count}
 	return nil
 }
 
@@ -160,87 +160,87 @@
 	return arrowwalk.VolumeID(placement.Hash(bucket) >> 1)
 }
 
-// due returns when the client stops waiting for a task of a class: it began to
+// deadline returns when the client stops waiting for a task of a class: it began to
 // wait at x.from.
-func (x *exchange) due(class int) time.Time {
-	ms := x.s.cfg.Classes.Read.DeadlineMS
+func (x *exchange) deadline(class int) time.Time {
+	ms := x.server.cfg.Classes.Read.DeadlineMS
 	if class == config.ClassWrite {
-		ms = x.s.cfg.Classes.Write.DeadlineMS
+		ms = x.server.cfg.Classes.Write.DeadlineMS
 	}
 	span := config.MS(ms)
-	if x.wait > 0 {
-		span = min(span, x.wait)
+	if x.clientTimeout > 0 {
+		span = min(span, x.clientTimeout)
 	}
-	return x.from.Add(span)
+	return x.waitStart.Add(span)
 }
 
-// renew lets the client's wait begin anew: it has taken more of the answer.
-func (x *exchange) renew() { x.from = time.Now() }
+// restartWait lets the client's wait begin anew: it has taken more of the answer.
+func (x *exchange) restartWait() { x.waitStart = time.Now() }
 
-// finish writes the one answer of a request that a handler gave up.
-func (x *exchange) finish(err error) {
-	if errors.Is(err, errGone) {
-		x.close = true
-		x.s.stats.gone.Add(1)
-		x.s.log.Debug("client gone", "request", x.id)
+// respondError writes the one answer of a request that a handler gave up.
+func (x *exchange) respondError(err error) {
+	if errors.Is(err, errClientGone) {
+		x.closeConn = true
+		x.server.stats.clientsGone.Add(1)
+		x.server.log.Debug("client gone", "request", x.requestID)
 		return
 	}
-	if x.begun || errors.Is(err, errCut) { // too late for a status: a short answer tells that it failed
-		x.close = true
-		x.s.stats.cut.Add(1)
-		x.s.log.Warn("answer cut short", "request", x.id, "sent", x.sent, "error", err)
-		x.c.nc.Close()
+	if x.responseStarted || errors.Is(err, errTruncated) { // too late for a status: a short answer tells that it failed
+		x.closeConn = true
+		x.server.stats.truncatedResponses.Add(1)
+		x.server.log.Warn("answer cut short", "request", x.requestID, "sent", x.bytesSent, "error", err)
+		x.conn.netConn.Close()
 		return
 	}
-	api := asAPI(err)
+	api := toAPIError(err)
 	if api == nil {
-		api = x.readFailure(err)
+		api = x.bodyReadError(err)
 	}
-	if left := x.c.body.Remaining(); left < 0 || left > drainMost {
-		x.close = true // the rest of the body would have to be read first
+	if left := x.conn.body.Remaining(); left < 0 || left > maxDrainBytes {
+		x.closeConn = true // the rest of the body would have to be read first
 	}
 	if api.status >= 500 && api.status != 501 {
-		x.s.log.Warn("request not served", "request", x.id, "method", x.c.req.Method, "bucket", x.bucket,
-			"status", api.status, "code", api.code, "after", time.Since(x.began))
+		x.server.log.Warn("request not served", "request", x.requestID, "method", x.conn.req.Method, "bucket", x.bucket,
+			"status", api.status, "code", api.code, "after", time.Since(x.startedAt))
 	}
 	if api.status == 304 {
-		x.head(304, nil, -1)
+		x.buildHead(304, nil, -1)
 		x.flush()
 		return
 	}
-	text := append([]byte(xml.Header), marshal(errorBody{
-		Code: api.code, Message: api.message, Resource: x.path, RequestID: x.id, HostID: x.s.opt.Host.RunID(),
+	text := append([]byte(xml.Header), marshalXML(errorBody{
+		Code: api.code, Message: api.message, Resource: x.path, RequestID: x.requestID, HostID: x.server.opts.Host.RunID(),
 	})...)
 	fields := http1.Fields{{Name: "Content-Type", Value: "application/xml"}}
 	if api.status == 503 {
-		wait := max(1, int64((api.after+time.Second-1)/time.Second))
+		wait := max(1, int64((api.retryAfter+time.Second-1)/time.Second))
 		fields = append(fields, http1.Field{Name: "Retry-After", Value: strconv.FormatInt(wait, 10)})
 	}
-	if !x.c.body.Done() && x.c.req.Expect100 && !x.asked {
-		x.close = true // the client may send the body or not: nothing else can follow
+	if !x.conn.body.Done() && x.conn.req.Expect100 && !x.continueSettled {
+		x.closeConn = true // the client may send the body or not: nothing else can follow
 	}
-	x.answer(api.status, fields, text)
+	x.respond(api.status, fields, text)
 }
 
-// readFailure names what went wrong with reading the client's body.
-func (x *exchange) readFailure(err error) *apiError {
+// bodyReadError names what went wrong with reading the client's body.
+func (x *exchange) bodyReadError(err error) *apiError {
 	var bad *http1.Error
-	x.close = true
+	x.closeConn = true
 	switch {
 	case errors.As(err, &bad):
 		return &apiError{status: bad.Status, code: "InvalidRequest", message: bad.Reason}
 	case isTimeout(err):
-		return asAPI(errStalled)
+		return toAPIError(errRequestTimeout)
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return asAPI(errIncomplete)
+		return toAPIError(errIncompleteBody)
 	case errors.Is(err, spool.ErrFull):
-		return asAPI(slowDown(time.Second))
+		return toAPIError(slowDown(time.Second))
 	}
-	x.s.log.Error("unexpected error", "request", x.id, "error", err)
-	return asAPI(errInternal)
+	x.server.log.Error("unexpected error", "request", x.requestID, "error", err)
+	return toAPIError(errInternal)
 }
 
-func marshal(v any) []byte {
+func marshalXML(v any) []byte {
 	text, err := xml.Marshal(v)
 	if err != nil {
 		panic("xml: " + err.Error()) // our own types only
@@ -248,34 +248,34 @@
 	return text
 }
 
-// httpDate is the Date field, made once a second.
-var httpDate atomic.Pointer[dateText]
+// cachedDate is the Date field, made once a second.
+var cachedDate atomic.Pointer[formattedDate]
 
-type dateText struct {
+type formattedDate struct {
 	second int64
 	text   string
 }
 
-// timeFormat is that of dates in HTTP.
-const timeFormat = "Mon, 02 Jan 2006 15:04:05 GMT"
+// httpTimeFormat is that of dates in HTTP.
+const httpTimeFormat = "Mon, 02 Jan 2006 15:04:05 GMT"
 
-func dateNow() string {
+func currentDate() string {
 	now := time.Now()
-	if d := httpDate.Load(); d != nil && d.second == now.Unix() {
+	if d := cachedDate.Load(); d != nil && d.second == now.Unix() {
 		return d.text
 	}
-	d := &dateText{now.Unix(), now.UTC().Format(timeFormat)}
-	httpDate.Store(d)
+	d := &formattedDate{now.Unix(), now.UTC().Format(httpTimeFormat)}
+	cachedDate.Store(d)
 	return d.text
 }
 
-// head builds the answer's head; length -1: it has no body and tells no length.
-func (x *exchange) head(status int, fields http1.Fields, length int64) {
+// buildHead builds the answer's buildHead; length -1: it has no body and tells no length.
+func (x *exchange) buildHead(status int, fields http1.Fields, length int64) {
 	x.status = status
-	x.s.stats.statuses[status/100].Add(1)
-	b := http1.AppendStatusLine(x.c.out[:0], status)
-	b = http1.AppendField(b, "x-amz-request-id", x.id)
-	b = http1.AppendField(b, "Date", dateNow())
+	x.server.stats.responsesByClass[status/100].Add(1)
+	b := http1.AppendStatusLine(x.conn.writeBuf[:0], status)
+	b = http1.AppendField(b, "x-amz-request-id", x.requestID)
+	b = http1.AppendField(b, "Date", currentDate())
 	b = append(b, "Server: arrowwalk\r\n"...)
 	for i := range fields {
 		b = http1.AppendField(b, fields[i].Name, fields[i].Value)
@@ -283,36 +283,36 @@
 	if length >= 0 {
 		b = http1.AppendIntField(b, "Content-Length", length)
 	}
-	if x.s.closing.Load() {
-		x.close = true
+	if x.server.closing.Load() {
+		x.closeConn = true
 	}
-	if x.close || x.c.req.Close {
-		x.close = true
+	if x.closeConn || x.conn.req.Close {
+		x.closeConn = true
 		b = append(b, "Connection: close\r\n"...)
 	}
-	x.c.out = append(b, "\r\n"...)
+	x.conn.writeBuf = append(b, "\r\n"...)
 }
 
-// answer gives a whole answer.
-func (x *exchange) answer(status int, fields http1.Fields, body []byte) error {
-	x.head(status, fields, int64(len(body)))
-	if x.c.req.Method != "HEAD" {
-		x.c.out = append(x.c.out, body...)
+// respond gives a whole respond.
+func (x *exchange) respond(status int, fields http1.Fields, body []byte) error {
+	x.buildHead(status, fields, int64(len(body)))
+	if x.conn.req.Method != "HEAD" {
+		x.conn.writeBuf = append(x.conn.writeBuf, body...)
 	}
 	return x.flush()
 }
 
-// answerXML gives a whole answer with an XML body.
-func (x *exchange) answerXML(status int, v any) error {
-	return x.answer(status, http1.Fields{{Name: "Content-Type", Value: "application/xml"}},
-		append([]byte(xml.Header), marshal(v)...))
+// respondXML gives a whole answer with an XML body.
+func (x *exchange) respondXML(status int, v any) error {
+	return x.respond(status, http1.Fields{{Name: "Content-Type", Value: "application/xml"}},
+		append([]byte(xml.Header), marshalXML(v)...))
 }
 
 // flush sends what head and answer have built.
 func (x *exchange) flush() error {
-	err := x.write(x.c.out)
-	if cap(x.c.out) > 16<<10 {
-		x.c.out = nil
+	err := x.write(x.conn.writeBuf)
+	if cap(x.conn.writeBuf) > 16<<10 {
+		x.conn.writeBuf = nil
 	}
 	return err
 }
@@ -320,57 +320,57 @@
 // write sends bytes of the answer; a client that does not take them in time
 // loses its connection.
 func (x *exchange) write(p []byte) error {
-	x.begun = true
-	x.c.nc.SetWriteDeadline(time.Now().Add(config.MS(x.s.cfg.Timeouts.WriteStallMS)))
-	return x.wrote(x.c.nc.Write(p))
+	x.responseStarted = true
+	x.conn.netConn.SetWriteDeadline(time.Now().Add(config.MS(x.server.cfg.Timeouts.WriteStallMS)))
+	return x.recordWrite(x.conn.netConn.Write(p))
 }
 
-func (x *exchange) wrote(n int, err error) error {
-	x.sent += int64(n)
+func (x *exchange) recordWrite(n int, err error) error {
+	x.bytesSent += int64(n)
 	if err != nil {
-		x.close = true
-		return errGone
+		x.closeConn = true
+		return errClientGone
 	}
 	return nil
 }
 
-// writeParts sends several slices at once.
-func (x *exchange) writeParts(parts net.Buffers) error {
-	x.begun = true
-	x.c.nc.SetWriteDeadline(time.Now().Add(config.MS(x.s.cfg.Timeouts.WriteStallMS)))
-	n, err := parts.WriteTo(x.c.nc)
-	return x.wrote(int(n), err)
+// writeBuffers sends several slices at once.
+func (x *exchange) writeBuffers(parts net.Buffers) error {
+	x.responseStarted = true
+	x.conn.netConn.SetWriteDeadline(time.Now().Add(config.MS(x.server.cfg.Timeouts.WriteStallMS)))
+	n, err := parts.WriteTo(x.conn.netConn)
+	return x.recordWrite(int(n), err)
 }
 
-// patience is for how long a brick's answer waits on a client that takes none
+// partialWriteTimeout is for how long a brick's answer waits on a client that takes none
 // of it, before the rest is kept so that the brick is free.
-const patience = 20 * time.Millisecond
+const partialWriteTimeout = 20 * time.Millisecond
 
-// writeSome sends what the client takes without a long wait, and returns how
+// writePartial sends what the client takes without a long wait, and returns how
 // much that was.
-func (x *exchange) writeSome(p []byte) (int, error) {
-	x.begun = true
-	x.c.nc.SetWriteDeadline(time.Now().Add(patience))
-	n, err := x.c.nc.Write(p)
+func (x *exchange) writePartial(p []byte) (int, error) {
+	x.responseStarted = true
+	x.conn.netConn.SetWriteDeadline(time.Now().Add(partialWriteTimeout))
+	n, err := x.conn.netConn.Write(p)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		x.sent += int64(n)
+		x.bytesSent += int64(n)
 		return n, nil
 	}
-	return n, x.wrote(n, err)
+	return n, x.recordWrite(n, err)
 }
 
-// proceed tells a client that waits for it to send the body.
-func (x *exchange) proceed() error {
-	if x.asked || !x.c.req.Expect100 || x.c.in.Buffered() > 0 {
-		x.asked = true
+// sendContinue tells a client that waits for it to send the body.
+func (x *exchange) sendContinue() error {
+	if x.continueSettled || !x.conn.req.Expect100 || x.conn.reader.Buffered() > 0 {
+		x.continueSettled = true
 		return nil
 	}
-	x.asked = true
-	x.c.nc.SetWriteDeadline(time.Now().Add(config.MS(x.s.cfg.Timeouts.WriteStallMS)))
-	_, err := x.c.nc.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	x.continueSettled = true
+	x.conn.netConn.SetWriteDeadline(time.Now().Add(config.MS(x.server.cfg.Timeouts.WriteStallMS)))
+	_, err := x.conn.netConn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	if err != nil {
-		x.close = true
-		return errGone
+		x.closeConn = true
+		return errClientGone
 	}
 	return nil
 }
--- a/internal/front/s3/get.go
+++ b/internal/front/s3/get.go
@@ -17,72 +17,72 @@
 )
 
 const (
-	smallAnswer = 64 << 10  // bodies up to this are read whole before the answer begins
-	copyBytes   = 128 << 10 // of a body on its way through
+	maxBufferedBody = 64 << 10  // bodies up to this are read whole before the answer begins
+	copyBufferSize   = 128 << 10 // of a body on its way through
 )
 
-var copyBuffers = sync.Pool{New: func() any { return new([copyBytes]byte) }}
+var copyBufferPool = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// reading is a GET or HEAD of an object.
-type reading struct {
-	x    *exchange
-	head bool
-	rng  string // the Range field; "": the whole object
-	cond conditions
+// objectRead is a GET or HEAD of an object.
+type objectRead struct {
+	exchange    *exchange
+	headOnly bool
+	rangeField  string // the Range field; "": the whole object
+	conditions conditions
 
-	rec     *record
-	refused error  // what the answer's head settled
-	small   []byte // a small body, read whole
-	pooled  *[copyBytes]byte
-	rest    *spool.Buffer // what the client did not take in time
-	list    *manifest     // the object is in pieces
+	record     *record
+	refusal error  // what the answer's head settled
+	bufferedBody   []byte // a small body, read whole
+	pooledBuf  *[copyBufferSize]byte
+	spooled    *spool.Buffer // what the client did not take in time
+	manifest    *manifest     // the object is in pieces
 	status  int
-	want    span
+	span    byteRange
 }
 
 // getObject serves GET and HEAD of an object.
 func (x *exchange) getObject(head bool) error {
-	if err := x.noBody(); err != nil {
+	if err := x.checkEmptyBody(); err != nil {
 		return err
 	}
-	g := &reading{x: x, head: head, cond: parseConditions(x.c.req.Fields, "")}
+	g := &objectRead{exchange: x, headOnly: head, conditions: parseConditions(x.conn.req.Fields, "")}
 	if !head {
-		g.rng = x.c.req.Fields.Get("Range")
+		g.rangeField = x.conn.req.Fields.Get("Range")
 	}
-	if ifRange, ok := x.c.req.Fields.Lookup("If-Range"); ok && g.rng != "" {
-		same, err := x.unchanged(ifRange)
+	if ifRange, ok := x.conn.req.Fields.Lookup("If-Range"); ok && g.rangeField != "" {
+		same, err := x.ifRangeMatches(ifRange)
 		if err != nil {
 			return err
 		}
 		if !same {
-			g.rng = ""
+			g.rangeField = ""
 		}
 	}
 	defer g.release()
-	return g.serve()
+	return g.run()
 }
 
-// unchanged tells whether an If-Range field names the object as it is.
-func (x *exchange) unchanged(ifRange string) (bool, error) {
-	rec, err := x.lookUp(x.bucket, x.key)
+// ifRangeMatches tells whether an If-Range field names the object as it is.
+func (x *exchange) ifRangeMatches(ifRange string) (bool, error) {
+	rec, err := x.readRecord(x.bucket, x.key)
 	if err != nil {
 		return false, err
 	}
 	if t, ok := parseDate(http1.Fields{{Name: "If-Range", Value: ifRange}}, "If-Range"); ok {
 		return t.Equal(rec.modified().Truncate(0)) || rec.modified().Unix() == t.Unix(), nil
 	}
-	return ifRange == quote(rec.ETag), nil
+	return ifRange == quoteETag(rec.ETag), nil
 }
 
-// lookUp reads an object's record.
-func (x *exchange) lookUp(bucket, key string) (*record, error) {
+// readRecord reads an object's record.
+func (x *exchange) readRecord(bucket, key string) (*record, error) {
 	name := placement.Object(bucket, key)
-	ans, _, ok, err := x.fetch(brick.SpaceObjects, name, x.home(name), false)
+	ans, _, ok, err := x.readBlob(brick.SpaceObjects, name, x.shardOf(name), false)
 	if err != nil {
 		return nil, err
 	}
 	if !ok {
-		return nil, x.missing(bucket)
+		return nil, x.notFoundError(bucket)
 	}
 	rec, err := decodeRecord(ans.Meta)
 	if err != nil {
@@ -91,8 +91,8 @@
 	return rec, nil
 }
 
-// missing names what is not there: the key or its bucket.
-func (x *exchange) missing(bucket string) error {
+// notFoundError names what is not there: the key or its bucket.
+func (x *exchange) notFoundError(bucket string) error {
 	if ok, err := x.bucketExists(bucket); err != nil {
 		return err
 	} else if !ok {
@@ -102,80 +102,80 @@
 }
 
 // release gives back what the reading holds.
-func (g *reading) release() {
-	if g.rest != nil {
-		g.rest.Release()
+func (g *objectRead) release() {
+	if g.spooled != nil {
+		g.spooled.Release()
 	}
-	if g.pooled != nil {
-		copyBuffers.Put(g.pooled)
-		g.pooled = nil
+	if g.pooledBuf != nil {
+		copyBufferPool.Put(g.pooledBuf)
+		g.pooledBuf = nil
 	}
 }
 
-// serve reads the object's home and answers out of it, or out of the pieces
+// run reads the object's home and answers out of it, or out of the pieces
 // that it names.
-func (g *reading) serve() error {
-	x := g.x
+func (g *objectRead) run() error {
+	x := g.exchange
 	name := placement.Object(x.bucket, x.key)
-	j := x.readJob(brick.SpaceObjects, name, x.home(name), g.expect())
-	j.Request.Range = g.rng
-	if _, ok, _ := parseRange(g.rng, 1<<62); !ok && g.rng != "" {
+	j := x.newReadCall(brick.SpaceObjects, name, x.shardOf(name), g.expectedBytes())
+	j.Request.Range = g.rangeField
+	if _, ok, _ := parseRange(g.rangeField, 1<<62); !ok && g.rangeField != "" {
 		j.Request.Range = "" // passed over
-		g.rng = ""
+		g.rangeField = ""
 	}
-	j.HandleResponse = g.take
-	if g.head {
+	j.HandleResponse = g.handleResponse
+	if g.headOnly {
 		j.Request.Method = "HEAD"
 	}
-	if err := x.do(j); err != nil {
+	if err := x.runCall(j); err != nil {
 		return err
 	}
-	if g.refused != nil {
-		if errors.Is(g.refused, errNoSuchKey) {
-			return x.missing(x.bucket)
+	if g.refusal != nil {
+		if errors.Is(g.refusal, errNoSuchKey) {
+			return x.notFoundError(x.bucket)
 		}
-		return g.refused
+		return g.refusal
 	}
-	x.s.sizes.Observe(uint64(x.volume.ID), g.want.length)
+	x.server.sizeEstimator.Observe(uint64(x.volume.ID), g.span.length)
 	switch {
-	case g.head:
-		return x.answerHead(g)
-	case g.list != nil:
-		return g.servePieces()
-	case g.rest != nil:
-		return x.writeRest(g.rest)
-	case x.begun:
+	case g.headOnly:
+		return x.respondHead(g)
+	case g.manifest != nil:
+		return g.streamPieces()
+	case g.spooled != nil:
+		return x.writeSpooled(g.spooled)
+	case x.responseStarted:
 		return nil
 	}
-	g.writeHead()
-	return x.writeParts(net.Buffers{x.c.out, g.small})
+	g.buildHead()
+	return x.writeBuffers(net.Buffers{x.conn.writeBuf, g.bufferedBody})
 }
 
-// expect returns how many bytes the read should move.
-func (g *reading) expect() int64 {
-	most := g.x.s.cfg.PieceBytes
-	if g.head {
+// expectedBytes returns how many bytes the read should move.
+func (g *objectRead) expectedBytes() int64 {
+	most := g.exchange.server.cfg.PieceBytes
+	if g.headOnly {
 		return 0
 	}
-	guess := g.x.s.sizes.Estimate(uint64(g.x.volume.ID), most)
-	if s, ok, err := parseRange(g.rng, 1<<62); ok && err == nil && s.length < 1<<60 {
+	guess := g.exchange.server.sizeEstimator.Estimate(uint64(g.exchange.volume.ID), most)
+	if s, ok, err := parseRange(g.rangeField, 1<<62); ok && err == nil && s.length < 1<<60 {
 		return min(s.length, most)
 	}
 	return guess
 }
 
-// take looks at the home's answer: it settles the status and reads or passes
+// handleResponse looks at the home's answer: it settles the status and reads or passes
 // on the body.
-func (g *reading) take(j *attempts.Call, ans *brick.Response) error {
-	g.refused, g.list, g.small = nil, nil, nil
+func (g *objectRead) handleResponse(j *attempts.Call, ans *brick.Response) error {
+	g.refusal, g.manifest, g.bufferedBody = nil, nil, nil
 	switch ans.Status {
 	case 404:
-		g.refused = errNoSuchKey
+		g.refusal = errNoSuchKey
 	case 200, 206, 416:
 	default:
-		g.refused = errInternal
+		g.refusal = errInternal
 	}
-	if g.refused != nil {
+	if g.refusal != nil {
 		g.discard(ans)
 		return nil
 	}
@@ -183,84 +183,84 @@
 	if err != nil {
 		return &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonBadAnswer, Err: err}
 	}
-	g.rec = rec
-	g.status, g.want = 200, span{0, rec.Size}
-	if g.rng != "" {
-		s, ok, err := parseRange(g.rng, rec.Size)
+	g.record = rec
+	g.status, g.span = 200, byteRange{0, rec.Size}
+	if g.rangeField != "" {
+		s, ok, err := parseRange(g.rangeField, rec.Size)
 		if err != nil {
-			g.refused = err
+			g.refusal = err
 		} else if ok {
-			g.status, g.want = 206, s
+			g.status, g.span = 206, s
 		}
 	}
-	if err := g.cond.check(rec); err != nil {
-		g.refused = err
+	if err := g.conditions.check(rec); err != nil {
+		g.refusal = err
 	}
-	if g.refused != nil || g.head {
+	if g.refusal != nil || g.headOnly {
 		g.discard(ans)
 		return nil
 	}
 	if ans.Whole {
-		return g.takeManifest(ans)
+		return g.readManifest(ans)
 	}
-	if ans.Length != g.want.length || ans.Status != g.status || ans.Status == 206 && ans.RangeStart != g.want.from {
+	if ans.Length != g.span.length || ans.Status != g.status || ans.Status == 206 && ans.RangeStart != g.span.from {
 		return &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonBadAnswer, Err: errors.New("the answer is not the range that was asked for")}
 	}
-	if ans.Length <= smallAnswer {
-		return g.takeSmall(ans)
+	if ans.Length <= maxBufferedBody {
+		return g.bufferBody(ans)
 	}
-	return g.pass(j, ans, ans.Length)
+	return g.streamBody(j, ans, ans.Length)
 }
 
 // discard gives up an answer's body: a short one is read, for a long one the
 // connection goes.
-func (g *reading) discard(ans *brick.Response) {
-	ans.Release(g.x.s.opt.Pool, ans.Body.Drain(smallAnswer))
+func (g *objectRead) discard(ans *brick.Response) {
+	ans.Release(g.exchange.server.opts.Pool, ans.Body.Drain(maxBufferedBody))
 }
 
-func (g *reading) takeSmall(ans *brick.Response) error {
-	if g.pooled == nil {
-		g.pooled = copyBuffers.Get().(*[copyBytes]byte)
+func (g *objectRead) bufferBody(ans *brick.Response) error {
+	if g.pooledBuf == nil {
+		g.pooledBuf = copyBufferPool.Get().(*[copyBufferSize]byte)
 	}
 	var err error
-	g.small, err = ans.ReadAll(g.x.s.opt.Pool, g.pooled[:0], smallAnswer)
+	g.bufferedBody, err = ans.ReadAll(g.exchange.server.opts.Pool, g.pooledBuf[:0], maxBufferedBody)
 	return err
 }
 
-func (g *reading) takeManifest(ans *brick.Response) error {
-	text, err := ans.ReadAll(g.x.s.opt.Pool, nil, manifestMost)
+func (g *objectRead) readManifest(ans *brick.Response) error {
+	text, err := ans.ReadAll(g.exchange.server.opts.Pool, nil, maxManifestBytes)
 	if err != nil {
 		return err
 	}
 	m := &manifest{}
-	if err := json.Unmarshal(text, m); err != nil || !m.valid(g.rec.Size) {
+	if err := json.Unmarshal(text, m); err != nil || !m.isValid(g.record.Size) {
 		return &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonBadAnswer, Err: fmt.Errorf("manifest: bad, %v", err)}
 	}
-	g.list = m
+	g.manifest = m
 	return nil
 }
 
-// writeHead builds the head of the answer.
-func (g *reading) writeHead() {
-	x := g.x
-	fields := g.rec.fields(g.status == 200 && x.wantsChecksums())
+// buildHead builds the head of the answer.
+func (g *objectRead) buildHead() {
+	x := g.exchange
+	fields := g.record.responseFields(g.status == 200 && x.wantsChecksums())
 	if g.status == 206 {
 		fields = append(fields, http1.Field{Name: "Content-Range",
-			Value: fmt.Sprintf("bytes %d-%d/%d", g.want.from, g.want.from+g.want.length-1, g.rec.Size)})
+			Value: fmt.Sprintf("bytes %d-%d/%d", g.span.from, g.span.from+g.span.length-1, g.record.Size)})
 	}
 	for _, p := range x.query { // what a signed request may set of the answer
-		if name := responseFields[p.Name]; name != "" {
+		if name := responseOverrides[p.Name]; name != "" {
 			fields = setField(fields, name, p.Value)
 		}
 	}
-	x.head(g.status, fields, g.want.length)
+	x.buildHead(g.status, fields, g.span.length)
 }
 
 func (x *exchange) wantsChecksums() bool {
-	return x.c.req.Fields.Get("X-Amz-Checksum-Mode") == "ENABLED"
+	return x.conn.req.Fields.Get("X-Amz-Checksum-Mode") == "ENABLED"
 }
 
-var responseFields = map[string]string{
+var responseOverrides = map[string]string{
 	"response-content-type": "Content-Type", "response-content-language": "content-language",
 	"response-expires": "expires", "response-cache-control": "cache-control",
 	"response-content-disposition": "content-disposition", "response-content-encoding": "content-encoding",
@@ -276,20 +276,20 @@
 	return append(fields, http1.Field{Name: name, Value: value})
 }
 
-func (x *exchange) answerHead(g *reading) error {
-	g.writeHead()
+func (x *exchange) respondHead(g *objectRead) error {
+	g.buildHead()
 	return x.flush()
 }
 
-// pass sends length bytes of a brick's answer on to the client as they come.
+// streamBody sends length bytes of a brick's answer on to the client as they come.
 // A client that takes none for a while does not hold the brick: the rest is
 // kept, and sent after the attempt is over.
-func (g *reading) pass(j *attempts.Call, ans *brick.Response, length int64) error {
-	x, pool := g.x, g.x.s.opt.Pool
-	buf := copyBuffers.Get().(*[copyBytes]byte)
-	defer copyBuffers.Put(buf)
+func (g *objectRead) streamBody(j *attempts.Call, ans *brick.Response, length int64) error {
+	x, pool := g.exchange, g.exchange.server.opts.Pool
+	buf := copyBufferPool.Get().(*[copyBufferSize]byte)
+	defer copyBufferPool.Put(buf)
 	for left := length; left > 0; {
-		n, err := ans.ReadBlock(pool, buf[:min(left, copyBytes)])
+		n, err := ans.ReadBlock(pool, buf[:min(left, copyBufferSize)])
 		if n == 0 && err != nil {
 			if errors.Is(err, io.EOF) {
 				err = &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonShort, Err: io.ErrUnexpectedEOF}
@@ -299,42 +299,42 @@
 		left -= int64(n)
 		if !j.ResponseBegun {
 			j.BeginStream()
-			if !x.begun {
-				g.writeHead()
-				if err := x.write(x.c.out); err != nil {
-					return errTake
+			if !x.responseStarted {
+				g.buildHead()
+				if err := x.write(x.conn.writeBuf); err != nil {
+					return errClientWrite
 				}
 			}
 		}
 		ans.BeginStream(pool)
-		took, err := x.writeSome(buf[:n])
+		took, err := x.writePartial(buf[:n])
 		if err != nil {
-			return errTake
+			return errClientWrite
 		}
 		if took < n {
-			kept, err := g.keep(ans, buf[took:n], left)
+			kept, err := g.spoolRemainder(ans, buf[took:n], left)
 			if kept || err != nil {
 				return err
 			}
 			if err := x.write(buf[took:n]); err != nil {
-				return errTake
+				return errClientWrite
 			}
 		}
 	}
 	return nil
 }
 
-// keep reads the rest of an answer into a buffer; false: there is no room.
-func (g *reading) keep(ans *brick.Response, begun []byte, left int64) (bool, error) {
-	b := g.x.s.opt.Spool.NewBuffer()
-	if u := g.x.s.opt.Spool.Usage(); u.Memory+left+int64(len(begun)) > g.x.s.cfg.Bounds.MemoryBytes {
+// spoolRemainder reads the rest of an answer into a buffer; false: there is no room.
+func (g *objectRead) spoolRemainder(ans *brick.Response, begun []byte, left int64) (bool, error) {
+	b := g.exchange.server.opts.Spool.NewBuffer()
+	if u := g.exchange.server.opts.Spool.Usage(); u.Memory+left+int64(len(begun)) > g.exchange.server.cfg.Bounds.MemoryBytes {
 		return false, nil
 	}
 	if _, err := b.Write(begun); err != nil {
 		b.Release()
 		return false, nil
 	}
-	n, err := b.Fill(answerReader{ans, g.x.s.opt.Pool}, left)
+	n, err := b.Fill(responseReader{ans, g.exchange.server.opts.Pool}, left)
 	if err == nil && n < left {
 		err = &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonShort, Err: io.ErrUnexpectedEOF}
 	}
@@ -342,19 +342,19 @@
 		b.Release()
 		return true, err
 	}
-	g.rest = b
+	g.spooled = b
 	return true, nil
 }
 
-type answerReader struct {
-	ans  *brick.Response
+type responseReader struct {
+	response  *brick.Response
 	pool *brick.Pool
 }
 
-func (r answerReader) Read(p []byte) (int, error) { return r.ans.Read(r.pool, p) }
+func (r responseReader) Read(p []byte) (int, error) { return r.response.Read(r.pool, p) }
 
-// writeRest sends what was kept.
-func (x *exchange) writeRest(b *spool.Buffer) error {
+// writeSpooled sends what was kept.
+func (x *exchange) writeSpooled(b *spool.Buffer) error {
 	parts, r := b.Parts()
 	if r == nil {
 		for _, p := range parts { // each has its own time to be taken
@@ -364,8 +364,8 @@
 		}
 		return nil
 	}
-	buf := copyBuffers.Get().(*[copyBytes]byte)
-	defer copyBuffers.Put(buf)
+	buf := copyBufferPool.Get().(*[copyBufferSize]byte)
+	defer copyBufferPool.Put(buf)
 	for {
 		n, err := r.Read(buf[:])
 		if n > 0 {
@@ -377,28 +377,28 @@
 			return nil
 		}
 		if err != nil {
-			return errCut
+			return errTruncated
 		}
 	}
 }
 
-// servePieces answers with the pieces that the range covers, one after the
+// streamPieces answers with the pieces that the range covers, one after the
 // other. The answer begins with the first piece's first bytes, so that until
 // then it can be refused.
-func (g *reading) servePieces() error {
-	x := g.x
-	list := g.list.pieces(g.want)
+func (g *objectRead) streamPieces() error {
+	x := g.exchange
+	list := g.manifest.pieces(g.span)
 	if len(list) == 0 { // an empty object
-		g.writeHead()
+		g.buildHead()
 		return x.flush()
 	}
 	for _, p := range list {
-		if x.begun { // the client has taken what came before
-			x.renew()
+		if x.responseStarted { // the client has taken what came before
+			x.restartWait()
 		}
-		if err := g.servePiece(p); err != nil {
-			if x.begun && !errors.Is(err, errGone) {
-				return errCut
+		if err := g.streamPiece(p); err != nil {
+			if x.responseStarted && !errors.Is(err, errClientGone) {
+				return errTruncated
 			}
 			return err
 		}
@@ -406,9 +406,9 @@
 	return nil
 }
 
-func (g *reading) servePiece(p piece) error {
-	x := g.x
-	j := x.readJob(brick.SpacePieces, p.name, x.home(p.name), p.length)
+func (g *objectRead) streamPiece(p piece) error {
+	x := g.exchange
+	j := x.newReadCall(brick.SpacePieces, p.name, x.shardOf(p.name), p.length)
 	if p.length < p.size {
 		j.Request.Range = fmt.Sprintf("bytes=%d-%d", p.from, p.from+p.length-1)
 	}
@@ -422,20 +422,20 @@
 		if ans.Length != p.length {
 			return &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonBadAnswer, Err: errors.New("the piece is not of its size")}
 		}
-		return g.pass(j, ans, p.length)
+		return g.streamBody(j, ans, p.length)
 	}
-	if err := x.do(j); err != nil {
+	if err := x.runCall(j); err != nil {
 		return err
 	}
 	if lost {
-		x.s.log.Error("piece missing", "request", x.id, "brick", string(j.Node.ID), "status", j.Response.Status)
+		x.server.log.Error("piece missing", "request", x.requestID, "brick", string(j.Node.ID), "status", j.Response.Status)
 		return errInternal
 	}
-	if g.rest != nil {
-		rest := g.rest
-		g.rest = nil
+	if g.spooled != nil {
+		rest := g.spooled
+		g.spooled = nil
 		defer rest.Release()
-		return x.writeRest(rest)
+		return x.writeSpooled(rest)
 	}
 	return nil
 }
--- a/internal/front/s3/list.go
+++ b/internal/front/s3/list.go
@@ -13,50 +13,50 @@
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// listing is what the two versions of ListObjects, and ListMultipartUploads,
+// listParams is what the two versions of ListObjects, and ListMultipartUploads,
 // ask for.
-type listing struct {
+type listParams struct {
 	prefix, delimiter string
-	most              int
-	encoded           bool // names are to be percent-encoded
+	maxItems              int
+	urlEncode           bool // names are to be percent-encoded
 }
 
-const keysMost = 1000 // in a page, as the specification has it
+const maxListItems = 1000 // in a page, as the specification has it
 
-func (x *exchange) listing(most string) (listing, error) {
-	l := listing{prefix: x.query.Get("prefix"), delimiter: x.query.Get("delimiter"), most: keysMost}
+func (x *exchange) parseListParams(most string) (listParams, error) {
+	l := listParams{prefix: x.query.Get("prefix"), delimiter: x.query.Get("delimiter"), maxItems: maxListItems}
 	if text, ok := x.query.Lookup(most); ok {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 0 {
-			return l, refuse(400, "InvalidArgument", "Argument %s must be an integer between 0 and 2147483647.", most)
+			return l, newAPIError(400, "InvalidArgument", "Argument %s must be an integer between 0 and 2147483647.", most)
 		}
-		l.most = min(n, keysMost)
+		l.maxItems = min(n, maxListItems)
 	}
 	switch encoding := x.query.Get("encoding-type"); encoding {
 	case "":
 	case "url":
-		l.encoded = true
+		l.urlEncode = true
 	default:
-		return l, refuse(400, "InvalidArgument", "Invalid Encoding Method specified in Request.")
+		return l, newAPIError(400, "InvalidArgument", "Invalid Encoding Method specified in Request.")
 	}
 	return l, nil
 }
 
-func (l *listing) text(s string) string {
-	if l.encoded {
+func (l *listParams) encodeName(s string) string {
+	if l.urlEncode {
 		return string(sigv4.AppendPercentEncoded(nil, s, true))
 	}
 	return s
 }
 
-func (l *listing) encodingType() string {
-	if l.encoded {
+func (l *listParams) encodingType() string {
+	if l.urlEncode {
 		return "url"
 	}
 	return ""
 }
 
-type listResult struct {
+type listObjectsResult struct {
 	XMLName               xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ ListBucketResult"`
 	Name                  string
 	Prefix                string
@@ -87,14 +87,14 @@
 
 // listObjects serves ListObjects in both its versions.
 func (x *exchange) listObjects() error {
-	if err := x.noBody(); err != nil {
+	if err := x.checkEmptyBody(); err != nil {
 		return err
 	}
-	l, err := x.listing("max-keys")
+	l, err := x.parseListParams("max-keys")
 	if err != nil {
 		return err
 	}
-	if err := x.needBucket(); err != nil {
+	if err := x.requireBucket(); err != nil {
 		return err
 	}
 	second := false
@@ -103,10 +103,10 @@
 	case "2":
 		second = true
 	default:
-		return refuse(400, "InvalidArgument", "Invalid list-type.")
+		return newAPIError(400, "InvalidArgument", "Invalid list-type.")
 	}
-	out := &listResult{Name: x.bucket, Prefix: l.text(l.prefix), MaxKeys: l.most, Delimiter: l.text(l.delimiter), EncodingType: l.encodingType()}
-	after, err := x.listStart(out, &l, second)
+	out := &listObjectsResult{Name: x.bucket, Prefix: l.encodeName(l.prefix), MaxKeys: l.maxItems, Delimiter: l.encodeName(l.delimiter), EncodingType: l.encodingType()}
+	after, err := x.pageStart(out, &l, second)
 	if err != nil {
 		return err
 	}
@@ -121,44 +121,44 @@
 			out.NextContinuationToken = base64.URLEncoding.EncodeToString([]byte(last))
 		}
 	} else if out.IsTruncated && l.delimiter != "" {
-		out.NextMarker = l.text(last)
+		out.NextMarker = l.encodeName(last)
 	}
-	return x.answerXML(200, out)
+	return x.respondXML(200, out)
 }
 
-// listStart returns the key after which the page begins.
-func (x *exchange) listStart(out *listResult, l *listing, second bool) (string, error) {
+// pageStart returns the key after which the page begins.
+func (x *exchange) pageStart(out *listObjectsResult, l *listParams, second bool) (string, error) {
 	if !second {
 		marker := x.query.Get("marker")
-		text := l.text(marker)
+		text := l.encodeName(marker)
 		out.Marker = &text
 		return marker, nil
 	}
 	after := x.query.Get("start-after")
-	out.StartAfter = l.text(after)
+	out.StartAfter = l.encodeName(after)
 	token, ok := x.query.Lookup("continuation-token")
 	if !ok {
 		return after, nil
 	}
 	key, err := base64.URLEncoding.DecodeString(token)
 	if err != nil {
-		return "", refuse(400, "InvalidArgument", "The continuation token provided is incorrect.")
+		return "", newAPIError(400, "InvalidArgument", "The continuation token provided is incorrect.")
 	}
 	out.ContinuationToken = token
 	return string(key), nil
 }
 
 // fillPage reads a page of keys and returns the last of them.
-func (x *exchange) fillPage(out *listResult, l *listing, after string, anonymous bool) (string, error) {
-	if l.most == 0 {
+func (x *exchange) fillPage(out *listObjectsResult, l *listParams, after string, anonymous bool) (string, error) {
+	if l.maxItems == 0 {
 		return "", nil
 	}
 	lead := x.bucket + "/"
-	list := brick.ListQuery{Prefix: lead + l.prefix, Delimiter: l.delimiter, MaxItems: l.most}
+	list := brick.ListQuery{Prefix: lead + l.prefix, Delimiter: l.delimiter, MaxItems: l.maxItems}
 	if after != "" {
 		list.After = lead + after
 	}
-	items, more, err := x.pagesEverywhere(brick.SpaceObjects, list)
+	items, more, err := x.listAllShards(brick.SpaceObjects, list)
 	if err != nil {
 		return "", err
 	}
@@ -167,16 +167,16 @@
 	for _, it := range items {
 		last = string(it.Name[len(lead):])
 		if it.IsPrefix {
-			out.CommonPrefixes = append(out.CommonPrefixes, commonPrefix{l.text(last)})
+			out.CommonPrefixes = append(out.CommonPrefixes, commonPrefix{l.encodeName(last)})
 			continue
 		}
 		rec, err := decodeRecord(it.Meta)
 		if err != nil {
 			return "", err
 		}
-		o := listedObject{Key: l.text(last), LastModified: isoTime(rec.Time), ETag: quote(rec.ETag), Size: rec.Size, StorageClass: "STANDARD"}
+		o := listedObject{Key: l.encodeName(last), LastModified: formatISOTime(rec.ModifiedMS), ETag: quoteETag(rec.ETag), Size: rec.Size, StorageClass: "STANDARD"}
 		if !anonymous {
-			o.Owner = &ours
+			o.Owner = &defaultOwner
 		}
 		out.Contents = append(out.Contents, o)
 	}
--- a/internal/front/s3/multipart.go
+++ b/internal/front/s3/multipart.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	partsMost = 10_000
-	partLeast = 5 << 20 // bytes of a part that is not the last
+	maxParts = 10_000
+	minPartBytes = 5 << 20 // bytes of a part that is not the last
 )
 
 // uploadRecord is kept of a multipart upload, at the object's home. Every
@@ -29,7 +29,7 @@
 // win.
 type uploadRecord struct {
 	Object record `json:"o"` // what the object will be told to be
-	Time   int64  `json:"t"`
+	CreatedMS   int64  `json:"t"`
 	// Completing is a digest of the part list that a complete has claimed the
 	// upload for; the same list may be claimed again, after a crash or a
 	// repeat, any other may not, and abort may not.
@@ -42,21 +42,21 @@
 	Number int               `json:"n"`
 	ETag   string            `json:"e"`
 	Size   int64             `json:"s"`
-	Time   int64             `json:"t"`
+	UploadedMS   int64             `json:"t"`
 	Base   string            `json:"b"` // of its pieces
-	Sums   map[string]string `json:"k,omitempty"`
+	Checksums   map[string]string `json:"k,omitempty"`
 }
 
 func uploadName(bucket, key, id string) string { return placement.Object(bucket, key) + "\x00" + id }
 
-func validUpload(id string) bool {
+func isValidUploadID(id string) bool {
 	return len(id) == 34 && strings.Trim(id, "0123456789abcdef") == ""
 }
 
-// objectHome returns the shard where all records of the object's uploads are.
-func (x *exchange) objectHome() int { return x.home(placement.Object(x.bucket, x.key)) }
+// objectShard returns the shard where all records of the object's uploads are.
+func (x *exchange) objectShard() int { return x.shardOf(placement.Object(x.bucket, x.key)) }
 
-type createResult struct {
+type createUploadResult struct {
 	XMLName  xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ InitiateMultipartUploadResult"`
 	Bucket   string
 	Key      string
@@ -64,17 +64,17 @@
 }
 
 func (x *exchange) createUpload() error {
-	if err := x.noBody(); err != nil {
+	if err := x.checkEmptyBody(); err != nil {
 		return err
 	}
-	if err := x.needBucket(); err != nil {
+	if err := x.requireBucket(); err != nil {
 		return err
 	}
-	if err := refuseSettings(x.c.req.Fields); err != nil {
+	if err := rejectUnsupportedFields(x.conn.req.Fields); err != nil {
 		return err
 	}
-	up := uploadRecord{Time: time.Now().UnixMilli()}
-	if err := x.describe(&up.Object); err != nil {
+	up := uploadRecord{CreatedMS: time.Now().UnixMilli()}
+	if err := x.readMetadata(&up.Object); err != nil {
 		return err
 	}
 	if _, err := up.Object.encode(); err != nil {
@@ -84,25 +84,25 @@
 	if err != nil {
 		return err
 	}
-	id := newID()
+	id := newUniqueID()
 	call := brick.Request{Space: brick.SpaceUploads, Name: uploadName(x.bucket, x.key, id), Meta: meta, IfAbsent: true}
-	if _, err := x.store(call, x.objectHome()); err != nil {
+	if _, err := x.writeBlob(call, x.objectShard()); err != nil {
 		return err
 	}
 	var fields http1.Fields
-	if a := x.c.req.Fields.Get("x-amz-checksum-algorithm"); a != "" {
+	if a := x.conn.req.Fields.Get("x-amz-checksum-algorithm"); a != "" {
 		fields = http1.Fields{{Name: "x-amz-checksum-algorithm", Value: a}}
 	}
 	fields = append(fields, http1.Field{Name: "Content-Type", Value: "application/xml"})
-	return x.answer(200, fields, append([]byte(xml.Header), marshal(createResult{Bucket: x.bucket, Key: x.key, UploadID: id})...))
+	return x.respond(200, fields, append([]byte(xml.Header), marshalXML(createUploadResult{Bucket: x.bucket, Key: x.key, UploadID: id})...))
 }
 
-// findUpload reads an upload's record, or refuses.
-func (x *exchange) findUpload(id string) (*uploadRecord, uint64, error) {
-	if !validUpload(id) {
+// readUpload reads an upload's record, or refuses.
+func (x *exchange) readUpload(id string) (*uploadRecord, uint64, error) {
+	if !isValidUploadID(id) {
 		return nil, 0, errNoSuchUpload
 	}
-	ans, _, ok, err := x.fetch(brick.SpaceUploads, uploadName(x.bucket, x.key, id), x.objectHome(), false)
+	ans, _, ok, err := x.readBlob(brick.SpaceUploads, uploadName(x.bucket, x.key, id), x.objectShard(), false)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -121,73 +121,73 @@
 // record was written has not seen the part, and nobody else will drop it.
 func (x *exchange) uploadPart(id string) error {
 	number, err := strconv.Atoi(x.query.Get("partNumber"))
-	if err != nil || number < 1 || number > partsMost {
-		return refuse(400, "InvalidArgument", "Part number must be an integer between 1 and %d, inclusive.", partsMost)
+	if err != nil || number < 1 || number > maxParts {
+		return newAPIError(400, "InvalidArgument", "Part number must be an integer between 1 and %d, inclusive.", maxParts)
 	}
-	if _, _, err := x.findUpload(id); err != nil {
+	if _, _, err := x.readUpload(id); err != nil {
 		return err
 	}
 	u, err := x.newUpload()
 	if err != nil {
 		return err
 	}
-	part := partRecord{Number: number, Base: id + "/" + newID()}
-	runs, err := x.storeParts(u, part.Base)
+	part := partRecord{Number: number, Base: id + "/" + newUniqueID()}
+	runs, err := x.storePartBody(u, part.Base)
 	if err == nil {
-		err = u.finish()
+		err = u.verify()
 	}
 	if err == nil {
-		part.ETag, part.Size, part.Sums, part.Time = u.etag(), u.got, u.checked(), time.Now().UnixMilli()
-		err = x.storePart(id, &part)
+		part.ETag, part.Size, part.Checksums, part.UploadedMS = u.etag(), u.received, u.verifiedChecksums(), time.Now().UnixMilli()
+		err = x.storePartRecord(id, &part)
 	}
 	if err != nil {
-		x.s.janitor.dropRuns(x, runs)
+		x.server.gc.deleteRuns(x, runs)
 		return err
 	}
-	if _, _, err := x.findUpload(id); err != nil {
+	if _, _, err := x.readUpload(id); err != nil {
 		if errors.Is(err, errNoSuchUpload) {
-			x.s.janitor.dropPart(x, id, part)
+			x.server.gc.deletePart(x, id, part)
 		}
 		return err
 	}
-	return x.answer(200, u.answerFields(), nil)
+	return x.respond(200, u.responseFields(), nil)
 }
 
-// storeParts stores a part's body as pieces, however small it is.
-func (x *exchange) storeParts(u *upload, base string) ([]run, error) {
-	body := x.s.opt.Spool.NewBuffer()
+// storePartBody stores a part's body as pieces, however small it is.
+func (x *exchange) storePartBody(u *upload, base string) ([]pieceRun, error) {
+	body := x.server.opts.Spool.NewBuffer()
 	defer body.Release()
 	runs, err := x.storeBody(u, base, body)
 	if err != nil || runs != nil || body.Len() == 0 {
 		return runs, err
 	}
 	name := placement.Piece(base, 0)
-	if _, err := x.store(brick.Request{Space: brick.SpacePieces, Name: name, Body: body}, x.home(name)); err != nil {
-		return []run{{base, body.Len(), x.s.cfg.PieceBytes}}, err
+	if _, err := x.writeBlob(brick.Request{Space: brick.SpacePieces, Name: name, Body: body}, x.shardOf(name)); err != nil {
+		return []pieceRun{{base, body.Len(), x.server.cfg.PieceBytes}}, err
 	}
-	return []run{{base, body.Len(), x.s.cfg.PieceBytes}}, nil
+	return []pieceRun{{base, body.Len(), x.server.cfg.PieceBytes}}, nil
 }
 
 func partName(upload string, p *partRecord) string {
 	return fmt.Sprintf("%s/%05d/%s", upload, p.Number, p.Base[len(upload)+1:])
 }
 
-func (x *exchange) storePart(upload string, p *partRecord) error {
+func (x *exchange) storePartRecord(upload string, p *partRecord) error {
 	meta, err := json.Marshal(p)
 	if err != nil {
 		return err
 	}
-	_, err = x.store(brick.Request{Space: brick.SpaceParts, Name: partName(upload, p), Meta: meta}, x.objectHome())
+	_, err = x.writeBlob(brick.Request{Space: brick.SpaceParts, Name: partName(upload, p), Meta: meta}, x.objectShard())
 	return err
 }
 
-// parts reads the records of an upload's parts, in the order of their numbers
+// listPartRecords reads the records of an upload's listPartRecords, in the order of their numbers
 // and then of their times.
-func (x *exchange) parts(upload string, shard int) ([]partRecord, error) {
+func (x *exchange) listPartRecords(upload string, shard int) ([]partRecord, error) {
 	var out []partRecord
-	list := brick.ListQuery{Prefix: upload + "/", MaxItems: keysMost}
+	list := brick.ListQuery{Prefix: upload + "/", MaxItems: maxListItems}
 	for {
-		page, err := x.page(brick.SpaceParts, shard, list)
+		page, err := x.listPage(brick.SpaceParts, shard, list)
 		if err != nil {
 			return nil, err
 		}
@@ -205,8 +205,8 @@
 	}
 }
 
-// latest keeps the last record of each part number.
-func latest(parts []partRecord) []partRecord {
+// latestParts keeps the last record of each part number.
+func latestParts(parts []partRecord) []partRecord {
 	var out []partRecord
 	for _, p := range parts {
 		if n := len(out); n > 0 && out[n-1].Number == p.Number {
@@ -218,7 +218,7 @@
 	return out
 }
 
-type completeBody struct {
+type completeUploadBody struct {
 	XMLName xml.Name `xml:"CompleteMultipartUpload"`
 	Part    []completePart
 }
@@ -233,12 +233,12 @@
 	ChecksumSHA256    string
 }
 
-func (p *completePart) sums() map[string]string {
+func (p *completePart) checksums() map[string]string {
 	return map[string]string{"crc32": p.ChecksumCRC32, "crc32c": p.ChecksumCRC32C, "crc64nvme": p.ChecksumCRC64NVME,
 		"sha1": p.ChecksumSHA1, "sha256": p.ChecksumSHA256}
 }
 
-type completeResult struct {
+type completeUploadResult struct {
 	XMLName  xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ CompleteMultipartUploadResult"`
 	Location string
 	Bucket   string
@@ -247,71 +247,71 @@
 }
 
 func (x *exchange) completeUpload(id string) error {
-	text, err := x.readSmall(4 << 20)
+	text, err := x.readSmallBody(4 << 20)
 	if err != nil {
 		return err
 	}
-	var in completeBody
-	if err := xml.Unmarshal(text, &in); err != nil || len(in.Part) == 0 || len(in.Part) > partsMost {
+	var in completeUploadBody
+	if err := xml.Unmarshal(text, &in); err != nil || len(in.Part) == 0 || len(in.Part) > maxParts {
 		return errMalformedXML
 	}
 	for i := 1; i < len(in.Part); i++ {
 		if in.Part[i].PartNumber <= in.Part[i-1].PartNumber {
-			return refuse(400, "InvalidPartOrder", "The list of parts was not in ascending order. Parts must be ordered by part number.")
+			return newAPIError(400, "InvalidPartOrder", "The list of parts was not in ascending order. Parts must be ordered by part number.")
 		}
 	}
-	up, version, err := x.findUpload(id)
+	up, version, err := x.readUpload(id)
 	if errors.Is(err, errNoSuchUpload) {
-		return x.completedBefore(id)
+		return x.respondAlreadyCompleted(id)
 	}
 	if err != nil {
 		return err
 	}
-	all, err := x.parts(id, x.objectHome())
+	all, err := x.listPartRecords(id, x.objectShard())
 	if err != nil {
 		return err
 	}
-	chosen, err := choose(in.Part, latest(all))
+	chosen, err := selectParts(in.Part, latestParts(all))
 	if err != nil {
 		return err
 	}
-	if err := x.claim(id, up, version, digest(chosen)); err != nil {
+	if err := x.claimCompletion(id, up, version, partListDigest(chosen)); err != nil {
 		return err
 	}
-	rec, err := x.assemble(id, up, chosen)
+	rec, err := x.writeCompletedObject(id, up, chosen)
 	if err != nil {
 		return err
 	}
-	if _, _, err := x.remove(brick.SpaceUploads, uploadName(x.bucket, x.key, id), x.objectHome(), 0); err != nil {
-		x.s.log.Warn("completed upload left behind", "request", x.id, "error", err) // the object is whole all the same
+	if _, _, err := x.deleteBlob(brick.SpaceUploads, uploadName(x.bucket, x.key, id), x.objectShard(), 0); err != nil {
+		x.server.log.Warn("completed upload left behind", "request", x.requestID, "error", err) // the object is whole all the same
 	} else {
-		x.s.janitor.dropUnused(x, id, chosen)
+		x.server.gc.deleteUnusedParts(x, id, chosen)
 	}
-	return x.answerCompleted(rec)
+	return x.respondCompleted(rec)
 }
 
-// choose picks the parts that the client names out of those there are.
-func choose(wanted []completePart, have []partRecord) ([]partRecord, error) {
+// selectParts picks the parts that the client names out of those there are.
+func selectParts(wanted []completePart, have []partRecord) ([]partRecord, error) {
 	chosen := make([]partRecord, 0, len(wanted))
 	for i, w := range wanted {
 		at, ok := slices.BinarySearchFunc(have, w.PartNumber, func(p partRecord, n int) int { return cmp.Compare(p.Number, n) })
 		if !ok || have[at].ETag != strings.Trim(w.ETag, `"`) {
-			return nil, refuse(400, "InvalidPart", "Part %d could not be found, or its entity tag is not that of the last upload of it.", w.PartNumber)
+			return nil, newAPIError(400, "InvalidPart", "Part %d could not be found, or its entity tag is not that of the last upload of it.", w.PartNumber)
 		}
-		for algorithm, sum := range w.sums() {
-			if kept := have[at].Sums[algorithm]; sum != "" && kept != "" && sum != kept {
-				return nil, refuse(400, "InvalidPart", "Part %d: its %s is another.", w.PartNumber, algorithm)
+		for algorithm, sum := range w.checksums() {
+			if kept := have[at].Checksums[algorithm]; sum != "" && kept != "" && sum != kept {
+				return nil, newAPIError(400, "InvalidPart", "Part %d: its %s is another.", w.PartNumber, algorithm)
 			}
 		}
-		if i < len(wanted)-1 && have[at].Size < partLeast {
-			return nil, refuse(400, "EntityTooSmall", "Your proposed upload is smaller than the minimum allowed size: part %d.", w.PartNumber)
+		if i < len(wanted)-1 && have[at].Size < minPartBytes {
+			return nil, newAPIError(400, "EntityTooSmall", "Your proposed upload is smaller than the minimum allowed size: part %d.", w.PartNumber)
 		}
 		chosen = append(chosen, have[at])
 	}
 	return chosen, nil
 }
 
-func digest(chosen []partRecord) string {
+func partListDigest(chosen []partRecord) string {
 	h := sha256.New()
 	for _, p := range chosen {
 		fmt.Fprintf(h, "%s\n", p.Base)
@@ -319,11 +319,11 @@
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-var errConflict = refuse(409, "OperationAborted", "A conflicting conditional operation is currently in progress against this resource. Try again.")
+var errConflict = newAPIError(409, "OperationAborted", "A conflicting conditional operation is currently in progress against this resource. Try again.")
 
-// claim marks the upload as being completed with this list of parts, unless
+// claimCompletion marks the upload as being completed with this list of parts, unless
 // another list, or an abort, was quicker.
-func (x *exchange) claim(id string, up *uploadRecord, version uint64, list string) error {
+func (x *exchange) claimCompletion(id string, up *uploadRecord, version uint64, list string) error {
 	if up.Completing == list {
 		return nil
 	}
@@ -335,11 +335,11 @@
 	if err != nil {
 		return err
 	}
-	_, err = x.store(brick.Request{Space: brick.SpaceUploads, Name: uploadName(x.bucket, x.key, id), Meta: meta, IfVersion: version}, x.objectHome())
+	_, err = x.writeBlob(brick.Request{Space: brick.SpaceUploads, Name: uploadName(x.bucket, x.key, id), Meta: meta, IfVersion: version}, x.objectShard())
 	if !errors.Is(err, errPrecondition) {
 		return err
 	}
-	now, _, err := x.findUpload(id)
+	now, _, err := x.readUpload(id)
 	if err != nil {
 		return err
 	}
@@ -349,12 +349,12 @@
 	return nil
 }
 
-// assemble writes the object out of its parts, in one step.
-func (x *exchange) assemble(id string, up *uploadRecord, chosen []partRecord) (*record, error) {
+// writeCompletedObject writes the object out of its parts, in one step.
+func (x *exchange) writeCompletedObject(id string, up *uploadRecord, chosen []partRecord) (*record, error) {
 	rec := up.Object
-	rec.Upload, rec.Time = id, time.Now().UnixMilli()
+	rec.UploadID, rec.ModifiedMS = id, time.Now().UnixMilli()
 	sum := md5.New()
-	runs := make([]run, 0, len(chosen))
+	runs := make([]pieceRun, 0, len(chosen))
 	for _, p := range chosen {
 		raw, err := hex.DecodeString(p.ETag)
 		if err != nil {
@@ -363,23 +363,23 @@
 		sum.Write(raw)
 		rec.Size += p.Size
 		if p.Size > 0 {
-			runs = append(runs, run{p.Base, p.Size, x.s.cfg.PieceBytes})
+			runs = append(runs, pieceRun{p.Base, p.Size, x.server.cfg.PieceBytes})
 		}
 	}
 	rec.ETag = hex.EncodeToString(sum.Sum(nil)) + "-" + strconv.Itoa(len(chosen))
-	call, err := x.writeConditions()
+	call, err := x.parseWriteConditions()
 	if err != nil {
 		return nil, err
 	}
 	return &rec, x.storeRecord(call, &rec, id, runs, nil)
 }
 
-// completedBefore answers a complete of an upload that is gone: with the same
+// respondAlreadyCompleted answers a complete of an upload that is gone: with the same
 // answer where the object is that upload's.
-func (x *exchange) completedBefore(id string) error {
-	rec, err := x.lookUp(x.bucket, x.key)
-	if err == nil && rec.Upload == id {
-		return x.answerCompleted(rec)
+func (x *exchange) respondAlreadyCompleted(id string) error {
+	rec, err := x.readRecord(x.bucket, x.key)
+	if err == nil && rec.UploadID == id {
+		return x.respondCompleted(rec)
 	}
 	if err != nil && !errors.Is(err, errNoSuchKey) {
 		return err
@@ -387,22 +387,22 @@
 	return errNoSuchUpload
 }
 
-func (x *exchange) answerCompleted(rec *record) error {
-	return x.answerXML(200, completeResult{Location: "/" + x.bucket + "/" + x.key, Bucket: x.bucket, Key: x.key, ETag: quote(rec.ETag)})
+func (x *exchange) respondCompleted(rec *record) error {
+	return x.respondXML(200, completeUploadResult{Location: "/" + x.bucket + "/" + x.key, Bucket: x.bucket, Key: x.key, ETag: quoteETag(rec.ETag)})
 }
 
 func (x *exchange) abortUpload(id string) error {
-	if err := x.noBody(); err != nil {
+	if err := x.checkEmptyBody(); err != nil {
 		return err
 	}
-	up, version, err := x.findUpload(id)
+	up, version, err := x.readUpload(id)
 	if err != nil {
 		return err
 	}
 	if up.Completing != "" {
 		return errConflict
 	}
-	_, ok, err := x.remove(brick.SpaceUploads, uploadName(x.bucket, x.key, id), x.objectHome(), version)
+	_, ok, err := x.deleteBlob(brick.SpaceUploads, uploadName(x.bucket, x.key, id), x.objectShard(), version)
 	switch {
 	case errors.Is(err, errPrecondition):
 		return errConflict
@@ -411,12 +411,12 @@
 	case !ok:
 		return errNoSuchUpload
 	}
-	x.s.janitor.dropUnused(x, id, nil)
-	x.head(204, nil, -1)
+	x.server.gc.deleteUnusedParts(x, id, nil)
+	x.buildHead(204, nil, -1)
 	return x.flush()
 }
 
-type partsResult struct {
+type listPartsResult struct {
 	XMLName              xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ ListPartsResult"`
 	Bucket               string
 	Key                  string
@@ -439,43 +439,43 @@
 }
 
 func (x *exchange) listParts(id string) error {
-	if err := x.noBody(); err != nil {
+	if err := x.checkEmptyBody(); err != nil {
 		return err
 	}
-	l, err := x.listing("max-parts")
+	l, err := x.parseListParams("max-parts")
 	if err != nil {
 		return err
 	}
 	marker := 0
 	if text, ok := x.query.Lookup("part-number-marker"); ok {
 		if marker, err = strconv.Atoi(text); err != nil || marker < 0 {
-			return refuse(400, "InvalidArgument", "Argument part-number-marker must be an integer.")
+			return newAPIError(400, "InvalidArgument", "Argument part-number-marker must be an integer.")
 		}
 	}
-	if _, _, err := x.findUpload(id); err != nil {
+	if _, _, err := x.readUpload(id); err != nil {
 		return err
 	}
-	all, err := x.parts(id, x.objectHome())
+	all, err := x.listPartRecords(id, x.objectShard())
 	if err != nil {
 		return err
 	}
-	out := partsResult{Bucket: x.bucket, Key: l.text(x.key), UploadID: id, Initiator: ours, Owner: ours,
-		StorageClass: "STANDARD", PartNumberMarker: marker, MaxParts: l.most}
-	for _, p := range latest(all) {
+	out := listPartsResult{Bucket: x.bucket, Key: l.encodeName(x.key), UploadID: id, Initiator: defaultOwner, Owner: defaultOwner,
+		StorageClass: "STANDARD", PartNumberMarker: marker, MaxParts: l.maxItems}
+	for _, p := range latestParts(all) {
 		if p.Number <= marker {
 			continue
 		}
-		if len(out.Part) == l.most {
+		if len(out.Part) == l.maxItems {
 			out.IsTruncated = true
 			break
 		}
-		out.Part = append(out.Part, listedPart{p.Number, isoTime(p.Time), quote(p.ETag), p.Size})
+		out.Part = append(out.Part, listedPart{p.Number, formatISOTime(p.UploadedMS), quoteETag(p.ETag), p.Size})
 		out.NextPartNumberMarker = p.Number
 	}
-	return x.answerXML(200, out)
+	return x.respondXML(200, out)
 }
 
-type uploadsResult struct {
+type listUploadsResult struct {
 	XMLName            xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ ListMultipartUploadsResult"`
 	Bucket             string
 	KeyMarker          string
@@ -501,45 +501,45 @@
 }
 
 func (x *exchange) listUploads() error {
-	if err := x.noBody(); err != nil {
+	if err := x.checkEmptyBody(); err != nil {
 		return err
 	}
-	l, err := x.listing("max-uploads")
+	l, err := x.parseListParams("max-uploads")
 	if err != nil {
 		return err
 	}
-	if err := x.needBucket(); err != nil {
+	if err := x.requireBucket(); err != nil {
 		return err
 	}
-	out := uploadsResult{Bucket: x.bucket, KeyMarker: l.text(x.query.Get("key-marker")), UploadIDMarker: x.query.Get("upload-id-marker"),
-		Prefix: l.text(l.prefix), Delimiter: l.text(l.delimiter), EncodingType: l.encodingType(), MaxUploads: l.most}
+	out := listUploadsResult{Bucket: x.bucket, KeyMarker: l.encodeName(x.query.Get("key-marker")), UploadIDMarker: x.query.Get("upload-id-marker"),
+		Prefix: l.encodeName(l.prefix), Delimiter: l.encodeName(l.delimiter), EncodingType: l.encodingType(), MaxUploads: l.maxItems}
 	lead := x.bucket + "/"
-	list := brick.ListQuery{Prefix: lead + l.prefix, Delimiter: l.delimiter, MaxItems: max(1, l.most)}
+	list := brick.ListQuery{Prefix: lead + l.prefix, Delimiter: l.delimiter, MaxItems: max(1, l.maxItems)}
 	if marker := x.query.Get("key-marker"); marker != "" {
 		list.After = lead + marker + "\x00" + cmp.Or(out.UploadIDMarker, "~") // an id is before "~"
 		if l.delimiter != "" && strings.HasSuffix(marker, l.delimiter) {
 			list.After = lead + marker
 		}
 	}
-	items, more, err := x.pagesEverywhere(brick.SpaceUploads, list)
+	items, more, err := x.listAllShards(brick.SpaceUploads, list)
 	if err != nil {
 		return err
 	}
 	for _, it := range items {
 		key, id, _ := strings.Cut(string(it.Name[len(lead):]), "\x00")
-		out.NextKeyMarker, out.NextUploadIDMarker = l.text(key), id
+		out.NextKeyMarker, out.NextUploadIDMarker = l.encodeName(key), id
 		if it.IsPrefix {
-			out.CommonPrefixes = append(out.CommonPrefixes, commonPrefix{l.text(key)})
+			out.CommonPrefixes = append(out.CommonPrefixes, commonPrefix{l.encodeName(key)})
 			continue
 		}
 		var up uploadRecord
 		if err := json.Unmarshal(it.Meta, &up); err != nil {
 			return fmt.Errorf("upload record: %w", err)
 		}
-		out.Upload = append(out.Upload, listedUpload{l.text(key), id, ours, ours, "STANDARD", isoTime(up.Time)})
+		out.Upload = append(out.Upload, listedUpload{l.encodeName(key), id, defaultOwner, defaultOwner, "STANDARD", formatISOTime(up.CreatedMS)})
 	}
 	if out.IsTruncated = more; !more {
 		out.NextKeyMarker, out.NextUploadIDMarker = "", ""
 	}
-	return x.answerXML(200, out)
+	return x.respondXML(200, out)
 }
--- a/internal/front/s3/put.go
+++ b/internal/front/s3/put.go
@@ -18,17 +18,17 @@
 
 // putObject serves PUT of an object.
 func (x *exchange) putObject() error {
-	if err := x.needBucket(); err != nil {
+	if err := x.requireBucket(); err != nil {
 		return err
 	}
-	if err := refuseSettings(x.c.req.Fields); err != nil {
+	if err := rejectUnsupportedFields(x.conn.req.Fields); err != nil {
 		return err
 	}
 	rec := &record{}
-	if err := x.describe(rec); err != nil {
+	if err := x.readMetadata(rec); err != nil {
 		return err
 	}
-	call, err := x.writeConditions()
+	call, err := x.parseWriteConditions()
 	if err != nil {
 		return err
 	}
@@ -36,30 +36,30 @@
 	if err != nil {
 		return err
 	}
-	id := newID()
-	body := x.s.opt.Spool.NewBuffer()
+	id := newUniqueID()
+	body := x.server.opts.Spool.NewBuffer()
 	defer body.Release()
 	runs, err := x.storeBody(u, id+"/o", body)
 	if err == nil {
-		err = u.finish()
+		err = u.verify()
 	}
 	if err == nil {
-		rec.ETag, rec.Size, rec.Sums = u.etag(), u.got, u.checked()
-		rec.Time = time.Now().UnixMilli()
+		rec.ETag, rec.Size, rec.Checksums = u.etag(), u.received, u.verifiedChecksums()
+		rec.ModifiedMS = time.Now().UnixMilli()
 		err = x.storeRecord(call, rec, id, runs, body)
 	}
 	if err != nil {
 		if len(runs) > 0 {
-			x.s.janitor.dropRuns(x, runs)
+			x.server.gc.deleteRuns(x, runs)
 		}
 		return err
 	}
-	return x.answer(200, u.answerFields(), nil)
+	return x.respond(200, u.responseFields(), nil)
 }
 
-// refuseSettings refuses fields that ask for what is not there, where passing
+// rejectUnsupportedFields refuses fields that ask for what is not there, where passing
 // them over would break a promise to the client.
-func refuseSettings(fields http1.Fields) error {
+func rejectUnsupportedFields(fields http1.Fields) error {
 	for i := range fields {
 		name := strings.ToLower(fields[i].Name)
 		if strings.HasPrefix(name, "x-amz-server-side-encryption") || strings.HasPrefix(name, "x-amz-object-lock") ||
@@ -73,10 +73,10 @@
 	return nil
 }
 
-// writeConditions reads If-Match and If-None-Match of a write.
-func (x *exchange) writeConditions() (brick.Request, error) {
+// parseWriteConditions reads If-Match and If-None-Match of a write.
+func (x *exchange) parseWriteConditions() (brick.Request, error) {
 	var call brick.Request
-	fields := x.c.req.Fields
+	fields := x.conn.req.Fields
 	if v, ok := fields.Lookup("If-None-Match"); ok {
 		if v != "*" {
 			return call, errNotImplemented
@@ -88,7 +88,7 @@
 		return call, nil
 	}
 	name := placement.Object(x.bucket, x.key)
-	ans, _, there, err := x.fetch(brick.SpaceObjects, name, x.home(name), false)
+	ans, _, there, err := x.readBlob(brick.SpaceObjects, name, x.shardOf(name), false)
 	if err != nil {
 		return call, err
 	}
@@ -99,7 +99,7 @@
 	if err != nil {
 		return call, err
 	}
-	if !etagIn(match, rec.ETag) {
+	if !matchesETag(match, rec.ETag) {
 		return call, errPrecondition
 	}
 	call.IfVersion = ans.Version
@@ -109,17 +109,17 @@
 // storeBody reads an upload. What fits into one piece is left in body; else
 // the pieces are stored as they come, and their run is returned, also with an
 // error, so that they can be dropped.
-func (x *exchange) storeBody(u *upload, base string, body *spool.Buffer) ([]run, error) {
-	most := x.s.cfg.PieceBytes
-	var runs []run
+func (x *exchange) storeBody(u *upload, base string, body *spool.Buffer) ([]pieceRun, error) {
+	most := x.server.cfg.PieceBytes
+	var runs []pieceRun
 	for index := 0; ; index++ {
 		got, err := body.Fill(u, most)
 		if err != nil {
 			return runs, err
 		}
-		last := got < most || u.got == u.size
+		last := got < most || u.received == u.declaredSize
 		if last && got == most {
-			if err := readEnd(u); err != nil {
+			if err := readBodyEnd(u); err != nil {
 				return runs, err
 			}
 		}
@@ -128,16 +128,16 @@
 		}
 		if got > 0 {
 			if runs == nil {
-				runs = []run{{Base: base, Piece: most}}
+				runs = []pieceRun{{Base: base, PieceSize: most}}
 			}
 			runs[0].Size += got
 			name := placement.Piece(base, index)
 			call := brick.Request{Space: brick.SpacePieces, Name: name, Body: body}
 			began := time.Now()
-			if _, err := x.store(call, x.home(name)); err != nil {
+			if _, err := x.writeBlob(call, x.shardOf(name)); err != nil {
 				return runs, err
 			}
-			x.awaySince(began)
+			x.recordReadPause(began)
 			body.Release()
 		}
 		if last {
@@ -146,14 +146,14 @@
 	}
 }
 
-// readEnd reads the end of a body whose bytes have all come: the last chunk's
+// readBodyEnd reads the end of a body whose bytes have all come: the last chunk's
 // signature and the trailer.
-func readEnd(u *upload) error {
+func readBodyEnd(u *upload) error {
 	var one [1]byte
 	for range 3 {
 		n, err := u.Read(one[:])
 		if n > 0 {
-			return refuse(400, "InvalidRequest", "The body is longer than it said.")
+			return newAPIError(400, "InvalidRequest", "The body is longer than it said.")
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) {
@@ -167,10 +167,10 @@
 
 // storeRecord writes an object's one record: with its body, or with the list
 // of its pieces. The pieces of the object that it replaces are dropped.
-func (x *exchange) storeRecord(call brick.Request, rec *record, id string, runs []run, body *spool.Buffer) error {
+func (x *exchange) storeRecord(call brick.Request, rec *record, id string, runs []pieceRun, body *spool.Buffer) error {
 	call.Space, call.Name = brick.SpaceObjects, placement.Object(x.bucket, x.key)
 	if runs != nil {
-		rec.Data = id
+		rec.PiecePrefix = id
 		text, err := json.Marshal(manifest{runs})
 		if err != nil {
 			return err
@@ -183,53 +183,53 @@
 	if call.Meta, err = rec.encode(); err != nil {
 		return err
 	}
-	ans, err := x.store(call, x.home(call.Name))
+	ans, err := x.writeBlob(call, x.shardOf(call.Name))
 	if err != nil {
 		return err
 	}
-	x.dropReplaced(ans.Replaced, rec.Data)
+	x.deleteReplacedPieces(ans.Replaced, rec.PiecePrefix)
 	return nil
 }
 
-// dropReplaced drops the pieces of an object that is no more.
-func (x *exchange) dropReplaced(meta []byte, by string) {
+// deleteReplacedPieces drops the pieces of an object that is no more.
+func (x *exchange) deleteReplacedPieces(meta []byte, by string) {
 	if len(meta) == 0 {
 		return
 	}
-	if old, err := decodeRecord(meta); err == nil && old.Data != "" && old.Data != by {
-		x.s.janitor.drop(x, old.Data)
+	if old, err := decodeRecord(meta); err == nil && old.PiecePrefix != "" && old.PiecePrefix != by {
+		x.server.gc.deletePieces(x, old.PiecePrefix)
 	}
 }
 
 // deleteObject serves DELETE of an object; one that is not there is deleted
 // already.
 func (x *exchange) deleteObject() error {
-	if err := x.noBody(); err != nil {
+	if err := x.checkEmptyBody(); err != nil {
 		return err
 	}
-	if err := x.needBucket(); err != nil {
+	if err := x.requireBucket(); err != nil {
 		return err
 	}
 	if err := x.deleteKey(x.key); err != nil {
 		return err
 	}
-	x.head(204, nil, -1)
+	x.buildHead(204, nil, -1)
 	return x.flush()
 }
 
 func (x *exchange) deleteKey(key string) error {
 	name := placement.Object(x.bucket, key)
-	ans, ok, err := x.remove(brick.SpaceObjects, name, x.home(name), 0)
+	ans, ok, err := x.deleteBlob(brick.SpaceObjects, name, x.shardOf(name), 0)
 	if err != nil {
 		return err
 	}
 	if ok {
-		x.dropReplaced(ans.Replaced, "")
+		x.deleteReplacedPieces(ans.Replaced, "")
 	}
 	return nil
 }
 
-type deleteBody struct {
+type deleteObjectsBody struct {
 	XMLName xml.Name `xml:"Delete"`
 	Quiet   bool
 	Object  []struct {
@@ -238,7 +238,7 @@
 	}
 }
 
-type deleteResult struct {
+type deleteObjectsResult struct {
 	XMLName xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ DeleteResult"`
 	Deleted []deletedKey
 	Error   []deleteError
@@ -250,47 +250,47 @@
 
 // deleteObjects serves POST ?delete: up to 1000 keys, each with its own answer.
 func (x *exchange) deleteObjects() error {
-	if err := x.needBucket(); err != nil {
+	if err := x.requireBucket(); err != nil {
 		return err
 	}
-	text, err := x.readSmall(2 << 20)
+	text, err := x.readSmallBody(2 << 20)
 	if err != nil {
 		return err
 	}
-	var in deleteBody
+	var in deleteObjectsBody
 	if err := xml.Unmarshal(text, &in); err != nil || len(in.Object) == 0 || len(in.Object) > 1000 {
 		return errMalformedXML
 	}
 	errs := make([]error, len(in.Object))
-	x.parallel(len(in.Object), func(i int) {
+	x.runParallel(len(in.Object), func(i int) {
 		switch o := in.Object[i]; {
 		case o.VersionID != "" && o.VersionID != "null":
 			errs[i] = errNotImplemented
-		case o.Key == "" || len(o.Key) > keyMost:
-			errs[i] = refuse(400, "KeyTooLongError", "Your key is too long or empty.")
+		case o.Key == "" || len(o.Key) > maxKeyBytes:
+			errs[i] = newAPIError(400, "KeyTooLongError", "Your key is too long or empty.")
 		default:
 			errs[i] = x.deleteKey(o.Key)
 		}
 	})
-	out := deleteResult{}
+	out := deleteObjectsResult{}
 	for i, o := range in.Object {
-		if errors.Is(errs[i], errGone) {
-			return errGone
+		if errors.Is(errs[i], errClientGone) {
+			return errClientGone
 		}
 		if errs[i] != nil {
-			api := asAPI(errs[i])
+			api := toAPIError(errs[i])
 			if api == nil {
-				api = asAPI(errInternal)
+				api = toAPIError(errInternal)
 			}
 			out.Error = append(out.Error, deleteError{o.Key, api.code, api.message})
 		} else if !in.Quiet {
 			out.Deleted = append(out.Deleted, deletedKey{o.Key})
 		}
 	}
-	return x.answerXML(200, out)
+	return x.respondXML(200, out)
 }
 
-type copyResult struct {
+type copyObjectResult struct {
 	XMLName      xml.Name `xml:"CopyObjectResult"`
 	ETag         string
 	LastModified string
@@ -298,11 +298,11 @@
 
 // copyObject serves PUT with x-amz-copy-source.
 func (x *exchange) copyObject() error {
-	fields := x.c.req.Fields
-	if err := refuseSettings(fields); err != nil {
+	fields := x.conn.req.Fields
+	if err := rejectUnsupportedFields(fields); err != nil {
 		return err
 	}
-	if err := x.noBody(); err != nil {
+	if err := x.checkEmptyBody(); err != nil {
 		return err
 	}
 	source, err := brick.Unescape(strings.TrimPrefix(fields.Get("x-amz-copy-source"), "/"))
@@ -311,19 +311,19 @@
 		return errNotImplemented
 	}
 	if err != nil || !ok || bucket == "" || key == "" {
-		return refuse(400, "InvalidArgument", "Copy Source must mention the source bucket and key: sourcebucket/sourcekey.")
+		return newAPIError(400, "InvalidArgument", "Copy Source must mention the source bucket and key: sourcebucket/sourcekey.")
 	}
 	directive := fields.Get("x-amz-metadata-directive")
 	if directive != "" && directive != "COPY" && directive != "REPLACE" {
-		return refuse(400, "InvalidArgument", "Unknown metadata directive.")
+		return newAPIError(400, "InvalidArgument", "Unknown metadata directive.")
 	}
 	if source == x.bucket+"/"+x.key && directive != "REPLACE" {
-		return refuse(400, "InvalidRequest", "This copy request is illegal because it is trying to copy an object to itself without changing the object's metadata.")
+		return newAPIError(400, "InvalidRequest", "This copy request is illegal because it is trying to copy an object to itself without changing the object's metadata.")
 	}
-	if err := x.needBucket(); err != nil {
+	if err := x.requireBucket(); err != nil {
 		return err
 	}
-	call, err := x.writeConditions()
+	call, err := x.parseWriteConditions()
 	if err != nil {
 		return err
 	}
@@ -332,34 +332,34 @@
 
 func (x *exchange) copyFrom(bucket, key string, replace bool, call brick.Request) error {
 	from := placement.Object(bucket, key)
-	ans, text, ok, err := x.fetch(brick.SpaceObjects, from, x.home(from), true)
+	ans, text, ok, err := x.readBlob(brick.SpaceObjects, from, x.shardOf(from), true)
 	if err != nil {
 		return err
 	}
 	if !ok {
-		return x.missing(bucket)
+		return x.notFoundError(bucket)
 	}
 	rec, err := decodeRecord(ans.Meta)
 	if err != nil {
 		return err
 	}
-	cond := parseConditions(x.c.req.Fields, "x-amz-copy-source-")
+	cond := parseConditions(x.conn.req.Fields, "x-amz-copy-source-")
 	if err := cond.check(rec); err != nil {
 		return errPrecondition
 	}
-	to := &record{ETag: rec.ETag, Size: rec.Size, Sums: rec.Sums, Type: rec.Type, Fields: rec.Fields}
+	to := &record{ETag: rec.ETag, Size: rec.Size, Checksums: rec.Checksums, ContentType: rec.ContentType, Fields: rec.Fields}
 	if replace {
-		to.Type, to.Fields = "", nil
-		if err := x.describe(to); err != nil {
+		to.ContentType, to.Fields = "", nil
+		if err := x.readMetadata(to); err != nil {
 			return err
 		}
 	}
-	to.Time = time.Now().UnixMilli()
-	id := newID()
-	var runs []run
+	to.ModifiedMS = time.Now().UnixMilli()
+	id := newUniqueID()
+	var runs []pieceRun
 	if ans.Whole {
 		if runs, err = x.copyPieces(text, id, rec.Size); err != nil {
-			x.s.janitor.drop(x, id)
+			x.server.gc.deletePieces(x, id)
 			return err
 		}
 	} else {
@@ -367,35 +367,35 @@
 	}
 	if err := x.storeRecord(call, to, id, runs, nil); err != nil {
 		if runs != nil {
-			x.s.janitor.drop(x, id)
+			x.server.gc.deletePieces(x, id)
 		}
 		return err
 	}
-	return x.answerXML(200, copyResult{ETag: quote(to.ETag), LastModified: isoTime(to.Time)})
+	return x.respondXML(200, copyObjectResult{ETag: quoteETag(to.ETag), LastModified: formatISOTime(to.ModifiedMS)})
 }
 
 // copyPieces copies an object's pieces under another name.
-func (x *exchange) copyPieces(text []byte, id string, size int64) ([]run, error) {
+func (x *exchange) copyPieces(text []byte, id string, size int64) ([]pieceRun, error) {
 	var m manifest
-	if err := json.Unmarshal(text, &m); err != nil || !m.valid(size) {
+	if err := json.Unmarshal(text, &m); err != nil || !m.isValid(size) {
 		return nil, fmt.Errorf("manifest of the copy's source: %v", err)
 	}
-	runs := make([]run, len(m.Runs))
+	runs := make([]pieceRun, len(m.Runs))
 	for i, r := range m.Runs {
-		runs[i] = run{Base: id + "/" + strconv.Itoa(i), Size: r.Size, Piece: r.Piece}
-		for index := range int((r.Size + r.Piece - 1) / r.Piece) {
-			if x.wait == 0 { // a copy takes as long as it is large
-				x.renew()
+		runs[i] = pieceRun{Base: id + "/" + strconv.Itoa(i), Size: r.Size, PieceSize: r.PieceSize}
+		for index := range int((r.Size + r.PieceSize - 1) / r.PieceSize) {
+			if x.clientTimeout == 0 { // a copy takes as long as it is large
+				x.restartWait()
 			}
 			from, to := placement.Piece(r.Base, index), placement.Piece(runs[i].Base, index)
-			_, data, ok, err := x.fetch(brick.SpacePieces, from, x.home(from), true)
+			_, data, ok, err := x.readBlob(brick.SpacePieces, from, x.shardOf(from), true)
 			if err != nil {
 				return nil, err
 			}
 			if !ok {
 				return nil, errInternal
 			}
-			if _, err := x.store(brick.Request{Space: brick.SpacePieces, Name: to, Body: brick.Bytes(data)}, x.home(to)); err != nil {
+			if _, err := x.writeBlob(brick.Request{Space: brick.SpacePieces, Name: to, Body: brick.Bytes(data)}, x.shardOf(to)); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/front/s3/route.go
+++ b/internal/front/s3/route.go
@@ -22,10 +22,10 @@
 	}
 	switch {
 	case x.bucket == "":
-		if x.c.req.Method == "GET" {
+		if x.conn.req.Method == "GET" {
 			return x.listBuckets()
 		}
-		return errMethod
+		return errMethodNotAllowed
 	case x.key == "":
 		return x.routeBucket()
 	}
@@ -34,7 +34,7 @@
 
 func (x *exchange) routeBucket() error {
 	has := func(name string) bool { _, ok := x.query.Lookup(name); return ok }
-	switch x.c.req.Method {
+	switch x.conn.req.Method {
 	case "GET":
 		switch {
 		case has("location"):
@@ -55,14 +55,14 @@
 		}
 		return errNotImplemented // a form upload
 	}
-	return errMethod
+	return errMethodNotAllowed
 }
 
 func (x *exchange) routeObject() error {
 	upload, isUpload := x.query.Lookup("uploadId")
 	_, start := x.query.Lookup("uploads")
 	_, isPart := x.query.Lookup("partNumber")
-	switch x.c.req.Method {
+	switch x.conn.req.Method {
 	case "GET":
 		switch {
 		case isUpload:
@@ -77,7 +77,7 @@
 		}
 		return x.getObject(true)
 	case "PUT":
-		_, copied := x.c.req.Fields.Lookup("x-amz-copy-source")
+		_, copied := x.conn.req.Fields.Lookup("x-amz-copy-source")
 		switch {
 		case isUpload && copied:
 			return errNotImplemented
@@ -101,5 +101,5 @@
 		}
 		return x.deleteObject()
 	}
-	return errMethod
+	return errMethodNotAllowed
 }
--- a/internal/front/s3/server.go
+++ b/internal/front/s3/server.go
@@ -49,19 +49,19 @@
 
 // Server is the object API on one listener.
 type Server struct {
-	opt      Options
+	opts      Options
 	cfg      *config.Config
 	log      *slog.Logger
-	ln       net.Listener
+	listener       net.Listener
 	verifier *sigv4.Verifier
-	slots    *placement.Map
-	sizes    *sizing.Estimator
+	shards    *placement.Map
+	sizeEstimator    *sizing.Estimator
 	buckets  bucketCache
-	janitor  *janitor
-	limits   http1.Limits
-	sequence atomic.Uint64
+	gc  *garbageCollector
+	headLimits   http1.Limits
+	requestSeq atomic.Uint64
 	sender   attempts.Sender
-	longest  time.Duration // that a client may wait
+	maxClientWait  time.Duration // that a client may wait
 	stats    counters
 
 	mu      sync.Mutex
@@ -73,9 +73,9 @@
 
 // counters are what the front counts.
 type counters struct {
-	requests, refusedConns, badRequests, gone, cut atomic.Uint64
-	statuses                                       [6]atomic.Uint64 // by hundreds
-	conns                                          atomic.Int64
+	requests, refusedConns, badRequests, clientsGone, truncatedResponses atomic.Uint64
+	responsesByClass                                       [6]atomic.Uint64 // by hundreds
+	openConns                                          atomic.Int64
 }
 
 // Stats are counts since the start, and the connections open now.
@@ -89,9 +89,9 @@
 func (s *Server) Stats() Stats {
 	c := &s.stats
 	out := Stats{Requests: c.requests.Load(), RefusedConns: c.refusedConns.Load(), BadRequests: c.badRequests.Load(),
-		ClientsGone: c.gone.Load(), TruncatedResponses: c.cut.Load(), OpenConns: c.conns.Load()}
-	for i := range c.statuses {
-		out.ResponsesByClass[i] = c.statuses[i].Load()
+		ClientsGone: c.clientsGone.Load(), TruncatedResponses: c.truncatedResponses.Load(), OpenConns: c.openConns.Load()}
+	for i := range c.responsesByClass {
+		out.ResponsesByClass[i] = c.responsesByClass[i].Load()
 	}
 	return out
 }
@@ -109,22 +109,22 @@
 		opt.Now = time.Now
 	}
 	cfg := opt.Config
-	s := &Server{opt: opt, cfg: cfg, log: opt.Log, ln: ln, slots: slots, conns: map[*conn]struct{}{},
-		quit: make(chan struct{}), sizes: sizing.NewEstimator(64 << 10),
+	s := &Server{opts: opt, cfg: cfg, log: opt.Log, listener: ln, shards: slots, conns: map[*conn]struct{}{},
+		quit: make(chan struct{}), sizeEstimator: sizing.NewEstimator(64 << 10),
 		verifier: sigv4.NewVerifier(cfg.Region, config.MS(cfg.Timeouts.SkewMS), opt.Secrets),
-		limits:   http1.Limits{MaxLineBytes: min(16<<10, cfg.Bounds.HeaderBytes), MaxHeadBytes: cfg.Bounds.HeaderBytes, MaxFields: 200}}
+		headLimits:   http1.Limits{MaxLineBytes: min(16<<10, cfg.Bounds.HeaderBytes), MaxHeadBytes: cfg.Bounds.HeaderBytes, MaxFields: 200}}
 	s.sender = attempts.Sender{Pool: opt.Pool, Host: opt.Host, Config: cfg, Observe: opt.OnObservation, AcceptAnyBrick: opt.AcceptAnyBrick}
-	s.longest = s.sender.MaxTimeout()
+	s.maxClientWait = s.sender.MaxTimeout()
 	s.buckets.init(cfg)
-	s.janitor = startJanitor(s)
+	s.gc = startGarbageCollector(s)
 	s.wg.Add(2)
-	go s.accept()
-	go s.watch()
+	go s.acceptLoop()
+	go s.watchClients()
 	return s, nil
 }
 
 // Addr returns the address that the server listens on.
-func (s *Server) Addr() string { return s.ln.Addr().String() }
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Shutdown stops accepting, lets the requests that were taken get their
 // answers, and closes the connections; when ctx ends it cuts what is left.
@@ -132,12 +132,12 @@
 	if s.closing.Swap(true) {
 		return
 	}
-	s.ln.Close()
-	s.eachConn(func(c *conn) { c.wakeIdle() })
+	s.listener.Close()
+	s.forEachConn(func(c *conn) { c.interruptIdle() })
 	done := make(chan struct{})
 	go func() {
-		s.waitConns(ctx)
-		s.janitor.stop(ctx)
+		s.waitForConns(ctx)
+		s.gc.stop(ctx)
 		close(s.quit)
 		s.wg.Wait()
 		close(done)
@@ -145,25 +145,25 @@
 	<-done
 }
 
-// waitConns waits for the connections to end, and cuts them when ctx ends.
-func (s *Server) waitConns(ctx context.Context) {
+// waitForConns waits for the connections to end, and cuts them when ctx ends.
+func (s *Server) waitForConns(ctx context.Context) {
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
-	for s.stats.conns.Load() > 0 {
+	for s.stats.openConns.Load() > 0 {
 		select {
 		case <-tick.C:
-			s.eachConn(func(c *conn) { c.wakeIdle() })
+			s.forEachConn(func(c *conn) { c.interruptIdle() })
 		case <-ctx.Done():
-			s.eachConn(func(c *conn) {
-				c.abandon()
-				c.nc.Close()
+			s.forEachConn(func(c *conn) {
+				c.abandonTasks()
+				c.netConn.Close()
 			})
 			<-tick.C
 		}
 	}
 }
 
-func (s *Server) eachConn(do func(*conn)) {
+func (s *Server) forEachConn(do func(*conn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -171,10 +171,10 @@
 	}
 }
 
-func (s *Server) accept() {
+func (s *Server) acceptLoop() {
 	defer s.wg.Done()
 	for {
-		nc, err := s.ln.Accept()
+		nc, err := s.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
@@ -187,21 +187,21 @@
 			}
 			continue
 		}
-		s.open(nc)
+		s.startConn(nc)
 	}
 }
 
-// open serves a connection, or refuses it where there are too many.
-func (s *Server) open(nc net.Conn) {
-	if s.stats.conns.Add(1) > int64(s.cfg.Bounds.Connections) || s.closing.Load() {
-		s.stats.conns.Add(-1)
+// startConn serves a connection, or refuses it where there are too many.
+func (s *Server) startConn(nc net.Conn) {
+	if s.stats.openConns.Add(1) > int64(s.cfg.Bounds.Connections) || s.closing.Load() {
+		s.stats.openConns.Add(-1)
 		s.stats.refusedConns.Add(1)
 		nc.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
 		nc.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
 		nc.Close()
 		return
 	}
-	c := &conn{s: s, nc: nc, raw: sockstate.RawConn(nc)}
+	c := &conn{server: s, netConn: nc, rawConn: sockstate.RawConn(nc)}
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
@@ -209,14 +209,14 @@
 	go c.serve()
 }
 
-// watchEvery is how often the server looks whether waiting clients have gone.
-const watchEvery = 50 * time.Millisecond
+// clientCheckInterval is how often the server looks whether waiting clients have gone.
+const clientCheckInterval = 50 * time.Millisecond
 
-// watch looks whether the clients of waiting requests are still there: nobody
+// watchClients looks whether the clients of waiting requests are still there: nobody
 // reads their connections meanwhile, so nobody else would see it.
-func (s *Server) watch() {
+func (s *Server) watchClients() {
 	defer s.wg.Done()
-	tick := time.NewTicker(watchEvery)
+	tick := time.NewTicker(clientCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -225,144 +225,144 @@
 		case <-tick.C:
 		}
 		var gone []*conn
-		s.eachConn(func(c *conn) {
-			if c.waits() && sockstate.AtEOF(c.raw) {
+		s.forEachConn(func(c *conn) {
+			if c.needsClientCheck() && sockstate.AtEOF(c.rawConn) {
 				gone = append(gone, c)
 			}
 		})
 		for _, c := range gone {
-			c.abandon()
+			c.abandonTasks()
 		}
 	}
 }
 
 // conn is one client's connection.
 type conn struct {
-	s    *Server
-	nc   net.Conn
-	raw  syscall.RawConn
-	in   *bufio.Reader // nil while idle
-	out  []byte
+	server    *Server
+	netConn   net.Conn
+	rawConn  syscall.RawConn
+	reader   *bufio.Reader // nil while idle
+	writeBuf  []byte
 	req  http1.Request
 	body http1.Body
 
-	empty time.Time // the connection's socket was seen empty, or nearly so
+	socketEmptyAt time.Time // the connection's socket was seen empty, or nearly so
 
 	mu      sync.Mutex
 	idle    bool
-	left    bool                     // the client has gone
-	waiting map[*host.Task]time.Time // tasks that wait for the host
-	first   *host.Task               // the only one, in most requests
-	since   time.Time                // of first
+	clientGone    bool                     // the client has gone
+	otherTasks map[*host.Task]time.Time // tasks that wait for the host
+	firstTask   *host.Task               // the only one, in most requests
+	firstTaskSince   time.Time                // of first
 }
 
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 8<<10) }}
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 8<<10) }}
 
 func (c *conn) serve() {
-	defer c.s.wg.Done()
+	defer c.server.wg.Done()
 	defer func() {
-		c.release()
-		c.nc.Close()
-		c.s.mu.Lock()
-		delete(c.s.conns, c)
-		c.s.mu.Unlock()
-		c.s.stats.conns.Add(-1)
+		c.releaseBuffers()
+		c.netConn.Close()
+		c.server.mu.Lock()
+		delete(c.server.conns, c)
+		c.server.mu.Unlock()
+		c.server.stats.openConns.Add(-1)
 	}()
-	for c.awaitRequest() && c.serveOne() {
+	for c.waitForRequest() && c.serveRequest() {
 	}
 }
 
-// release gives the reader back while nothing is read.
-func (c *conn) release() {
-	if c.in != nil {
-		c.in.Reset(nil)
-		readers.Put(c.in)
-		c.in = nil
+// releaseBuffers gives the reader back while nothing is read.
+func (c *conn) releaseBuffers() {
+	if c.reader != nil {
+		c.reader.Reset(nil)
+		readerPool.Put(c.reader)
+		c.reader = nil
 	}
-	c.out = nil
+	c.writeBuf = nil
 	c.req = http1.Request{}
 }
 
-// awaitRequest waits, without a buffer, for the first byte of a request.
-func (c *conn) awaitRequest() bool {
-	if c.in != nil && c.in.Buffered() > 0 {
-		return !c.s.closing.Load()
+// waitForRequest waits, without a buffer, for the first byte of a request.
+func (c *conn) waitForRequest() bool {
+	if c.reader != nil && c.reader.Buffered() > 0 {
+		return !c.server.closing.Load()
 	}
-	c.empty = time.Now()
+	c.socketEmptyAt = time.Now()
 	c.mu.Lock()
 	c.idle = true
-	c.nc.SetReadDeadline(time.Now().Add(config.MS(c.s.cfg.Timeouts.IdleMS)))
-	closing := c.s.closing.Load()
+	c.netConn.SetReadDeadline(time.Now().Add(config.MS(c.server.cfg.Timeouts.IdleMS)))
+	closing := c.server.closing.Load()
 	c.mu.Unlock()
 	if closing {
 		return false
 	}
-	if c.raw != nil {
-		if err := c.awaitByte(); err != nil {
+	if c.rawConn != nil {
+		if err := c.waitForByte(); err != nil {
 			return false
 		}
 	}
 	c.mu.Lock()
 	c.idle = false
-	c.nc.SetReadDeadline(time.Now().Add(config.MS(c.s.cfg.Timeouts.HeaderMS)))
+	c.netConn.SetReadDeadline(time.Now().Add(config.MS(c.server.cfg.Timeouts.HeaderMS)))
 	c.mu.Unlock()
-	if c.in == nil {
-		c.in = readers.Get().(*bufio.Reader)
-		c.in.Reset(patient{c})
+	if c.reader == nil {
+		c.reader = readerPool.Get().(*bufio.Reader)
+		c.reader.Reset(stallTolerantReader{c})
 	}
 	return true
 }
 
-// releaseAfter is for how long a connection keeps its buffers between requests.
-const releaseAfter = 100 * time.Millisecond
+// bufferReleaseDelay is for how long a connection keeps its buffers between requests.
+const bufferReleaseDelay = 100 * time.Millisecond
 
-// awaitByte waits for a byte to read. A connection that stays idle gives its
+// waitForByte waits for a byte to read. A connection that stays idle gives its
 // buffers back first.
-func (c *conn) awaitByte() error {
-	if c.in != nil {
+func (c *conn) waitForByte() error {
+	if c.reader != nil {
 		c.mu.Lock()
-		if !c.s.closing.Load() {
-			c.nc.SetReadDeadline(time.Now().Add(releaseAfter))
+		if !c.server.closing.Load() {
+			c.netConn.SetReadDeadline(time.Now().Add(bufferReleaseDelay))
 		}
 		c.mu.Unlock()
-		_, err := c.in.Peek(1)
-		if err == nil || !isTimeout(err) || c.s.closing.Load() {
+		_, err := c.reader.Peek(1)
+		if err == nil || !isTimeout(err) || c.server.closing.Load() {
 			return err
 		}
-		c.release()
+		c.releaseBuffers()
 		c.mu.Lock()
-		c.nc.SetReadDeadline(time.Now().Add(config.MS(c.s.cfg.Timeouts.IdleMS)))
+		c.netConn.SetReadDeadline(time.Now().Add(config.MS(c.server.cfg.Timeouts.IdleMS)))
 		c.mu.Unlock()
-		if c.s.closing.Load() {
+		if c.server.closing.Load() {
 			return net.ErrClosed
 		}
 	}
-	return sockstate.WaitReadable(c.raw)
+	return sockstate.WaitReadable(c.rawConn)
 }
 
-// patient reads a connection. Where its time is up and bytes are there all the
+// stallTolerantReader reads a connection. Where its time is up and bytes are there all the
 // same, nobody looked in time: a host that stood still, or a busy one, does not
 // take that for the client's silence.
-type patient struct{ c *conn }
+type stallTolerantReader struct{ conn *conn }
 
-// lookAgain is for how long bytes that are there are waited for.
-const lookAgain = 50 * time.Millisecond
+// lateReadTimeout is for how long bytes that are there are waited for.
+const lateReadTimeout = 50 * time.Millisecond
 
 // Read reads what has come.
-func (p patient) Read(b []byte) (int, error) {
-	n, err := p.c.nc.Read(b)
-	if n > 0 || !isTimeout(err) || p.c.raw == nil || p.c.s.closing.Load() || !sockstate.Readable(p.c.raw) {
+func (p stallTolerantReader) Read(b []byte) (int, error) {
+	n, err := p.conn.netConn.Read(b)
+	if n > 0 || !isTimeout(err) || p.conn.rawConn == nil || p.conn.server.closing.Load() || !sockstate.Readable(p.conn.rawConn) {
 		return n, err
 	}
-	p.c.nc.SetReadDeadline(time.Now().Add(lookAgain))
-	return p.c.nc.Read(b)
+	p.conn.netConn.SetReadDeadline(time.Now().Add(lateReadTimeout))
+	return p.conn.netConn.Read(b)
 }
 
-// wakeIdle ends an idle connection's wait when the server closes.
-func (c *conn) wakeIdle() {
+// interruptIdle ends an idle connection's wait when the server closes.
+func (c *conn) interruptIdle() {
 	c.mu.Lock()
 	if c.idle {
-		c.nc.SetReadDeadline(time.Unix(1, 0))
+		c.netConn.SetReadDeadline(time.Unix(1, 0))
 	}
 	c.mu.Unlock()
 }
@@ -372,124 +372,124 @@
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// enter notes that a task waits for the host; false: the client has gone.
-func (c *conn) enter(t *host.Task) bool {
+// addTask notes that a task waits for the host; false: the client has gone.
+func (c *conn) addTask(t *host.Task) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.left {
+	if c.clientGone {
 		return false
 	}
-	if c.first == nil {
-		c.first, c.since = t, time.Now()
+	if c.firstTask == nil {
+		c.firstTask, c.firstTaskSince = t, time.Now()
 		return true
 	}
-	if c.waiting == nil {
-		c.waiting = map[*host.Task]time.Time{}
+	if c.otherTasks == nil {
+		c.otherTasks = map[*host.Task]time.Time{}
 	}
-	c.waiting[t] = time.Now()
+	c.otherTasks[t] = time.Now()
 	return true
 }
 
-func (c *conn) leave(t *host.Task) {
+func (c *conn) removeTask(t *host.Task) {
 	c.mu.Lock()
-	if c.first == t {
-		c.first = nil
+	if c.firstTask == t {
+		c.firstTask = nil
 	} else {
-		delete(c.waiting, t)
+		delete(c.otherTasks, t)
 	}
 	c.mu.Unlock()
 }
 
-// waits tells whether a task has waited long enough for a look at the client.
-func (c *conn) waits() bool {
+// needsClientCheck tells whether a task has waited long enough for a look at the client.
+func (c *conn) needsClientCheck() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.first != nil && time.Since(c.since) > watchEvery || len(c.waiting) > 0
+	return c.firstTask != nil && time.Since(c.firstTaskSince) > clientCheckInterval || len(c.otherTasks) > 0
 }
 
-// abandon tells the host that the client has gone.
-func (c *conn) abandon() {
+// abandonTasks tells the host that the client has gone.
+func (c *conn) abandonTasks() {
 	c.mu.Lock()
-	c.left = true
+	c.clientGone = true
 	tasks := make([]*host.Task, 0, 1)
-	if c.first != nil {
-		tasks = append(tasks, c.first)
+	if c.firstTask != nil {
+		tasks = append(tasks, c.firstTask)
 	}
-	for t := range c.waiting {
+	for t := range c.otherTasks {
 		tasks = append(tasks, t)
 	}
 	c.mu.Unlock()
 	for _, t := range tasks {
-		c.s.opt.Host.Abandon(t)
+		c.server.opts.Host.Abandon(t)
 	}
 }
 
-// serveOne reads and answers one request; false: the connection ends.
-func (c *conn) serveOne() bool {
-	c.s.opt.Host.Heartbeat()
-	heads := http1.NewReader(c.in, c.s.limits)
+// serveRequest reads and answers one request; false: the connection ends.
+func (c *conn) serveRequest() bool {
+	c.server.opts.Host.Heartbeat()
+	heads := http1.NewReader(c.reader, c.server.headLimits)
 	if err := heads.ReadRequest(&c.req); err != nil {
-		c.refuseHead(err)
+		c.rejectHead(err)
 		return false
 	}
-	c.s.stats.requests.Add(1)
-	c.body.Reset(c.in, c.req.Framing)
+	c.server.stats.requests.Add(1)
+	c.body.Reset(c.reader, c.req.Framing)
 	x := newExchange(c)
-	x.begin()
+	x.recordHeadArrival()
 	x.handle()
-	for _, t := range x.late {
-		c.s.opt.Host.ResponseSent(t)
+	for _, t := range x.lateTasks {
+		c.server.opts.Host.ResponseSent(t)
 	}
-	if x.close || c.req.Close || c.s.closing.Load() {
-		c.linger()
+	if x.closeConn || c.req.Close || c.server.closing.Load() {
+		c.lingeringClose()
 		return false
 	}
 	if !c.body.Done() {
-		c.nc.SetReadDeadline(time.Now().Add(time.Second))
-		return c.body.Drain(drainMost)
+		c.netConn.SetReadDeadline(time.Now().Add(time.Second))
+		return c.body.Drain(maxDrainBytes)
 	}
 	return true
 }
 
 const (
-	// drainMost is how much of an unread body is read so that the connection
+	// maxDrainBytes is how much of an unread body is read so that the connection
 	// can go on.
-	drainMost = 256 << 10
-	// lingerMost and lingerFor bound what is read of a client that still sends
+	maxDrainBytes = 256 << 10
+	// maxLingerBytes and lingerFor bound what is read of a client that still sends
 	// after its answer, so that closing does not reset the connection under it.
-	lingerMost = 64 << 20
-	lingerFor  = 2 * time.Second
+	maxLingerBytes = 64 << 20
+	lingerTimeout  = 2 * time.Second
 )
 
-// refuseHead answers what is no request, if there is anybody to answer.
-func (c *conn) refuseHead(err error) {
+// rejectHead answers what is no request, if there is anybody to answer.
+func (c *conn) rejectHead(err error) {
 	status := http1.StatusOf(err)
 	if status == 0 {
-		if !isTimeout(err) || c.in.Buffered() == 0 && errors.Is(err, io.EOF) {
+		if !isTimeout(err) || c.reader.Buffered() == 0 && errors.Is(err, io.EOF) {
 			return
 		}
 		status = 408
 	}
-	c.s.stats.badRequests.Add(1)
+	c.server.stats.badRequests.Add(1)
 	x := newExchange(c)
-	x.close = true
+	x.closeConn = true
 	code := map[int]string{408: "RequestTimeout", 414: "InvalidURI", 431: "RequestHeaderSectionTooLarge", 501: "NotImplemented"}[status]
 	if code == "" {
 		code = "InvalidRequest"
 	}
-	x.finish(&apiError{status: status, code: code, message: err.Error()})
-	c.linger()
+	x.respondError(&apiError{status: status, code: code, message: err.Error()})
+	c.lingeringClose()
 }
 
-// linger reads what the client still sends for a while, so that closing does
+// lingeringClose reads what the client still sends for a while, so that closing does
 // not reset the connection under the answer.
-func (c *conn) linger() {
-	if c.body.Done() && c.in.Buffered() == 0 {
+func (c *conn) lingeringClose() {
+	if c.body.Done() && c.reader.Buffered() == 0 {
 		return
 	}
-	if tcp, ok := c.nc.(*net.TCPConn); ok {
+	if tcp, ok := c.netConn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
 	}
-	c.nc.SetReadDeadline(time.Now().Add(lingerFor))
-	io.CopyN(io.Discard, c.in, lingerMost)
+	c.netConn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	io.CopyN(io.Discard, c.reader, maxLingerBytes)
 }
--- a/internal/front/s3/sigv4/sigv4.go
+++ b/internal/front/s3/sigv4/sigv4.go
@@ -26,8 +26,8 @@
 	// EmptyPayloadHash is the SHA-256 of nothing.
 	EmptyPayloadHash = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
 
-	longestPresign = 7 * 24 * time.Hour
-	signedMost     = 64 // names in SignedHeaders
+	maxPresignExpiry = 7 * 24 * time.Hour
+	maxSignedHeaders     = 64 // names in SignedHeaders
 )
 
 // Error is a refusal, with the specification's code.
@@ -38,7 +38,7 @@
 
 func (e *Error) Error() string { return e.Code + ": " + e.Message }
 
-func refuse(code, format string, args ...any) error {
+func newError(code, format string, args ...any) error {
 	return &Error{code, fmt.Sprintf(format, args...)}
 }
 
@@ -79,40 +79,40 @@
 	Signature   string // of the request: the seed of chunk signatures
 	Presigned   bool
 
-	key   []byte
-	stamp string
+	signingKey   []byte
+	timestamp string
 	scope string
 }
 
 // Verifier knows the keys. It is safe for concurrent use.
 type Verifier struct {
 	region string
-	skew   time.Duration
+	maxSkew   time.Duration
 
 	mu      sync.RWMutex
 	secrets map[string]string
-	derived map[string][]byte // signing keys, by access key and date
+	signingKeys map[string][]byte // signing keys, by access key and date
 }
 
 // NewVerifier returns a verifier for a region with the greatest clock skew
 // that it lets pass.
 func NewVerifier(region string, skew time.Duration, secrets map[string]string) *Verifier {
-	return &Verifier{region: region, skew: skew, secrets: secrets, derived: map[string][]byte{}}
+	return &Verifier{region: region, maxSkew: skew, secrets: secrets, signingKeys: map[string][]byte{}}
 }
 
 // credential is ACCESS/DATE/REGION/SERVICE/aws4_request.
-type credential struct{ access, date, scope string }
+type credential struct{ accessKey, date, scope string }
 
-func (v *Verifier) credential(text, code string) (credential, error) {
+func (v *Verifier) parseCredential(text, code string) (credential, error) {
 	parts := strings.Split(text, "/")
 	if len(parts) != 5 || parts[4] != "aws4_request" || len(parts[1]) != 8 {
-		return credential{}, refuse(code, "the credential is not KEY/DATE/REGION/s3/aws4_request")
+		return credential{}, newError(code, "the credential is not KEY/DATE/REGION/s3/aws4_request")
 	}
 	if parts[2] != v.region {
-		return credential{}, refuse(code, "the region %q is wrong; expecting %q", parts[2], v.region)
+		return credential{}, newError(code, "the region %q is wrong; expecting %q", parts[2], v.region)
 	}
 	if parts[3] != "s3" {
-		return credential{}, refuse(code, "the service %q is wrong; expecting \"s3\"", parts[3])
+		return credential{}, newError(code, "the service %q is wrong; expecting \"s3\"", parts[3])
 	}
 	return credential{parts[0], parts[1], strings.Join(parts[1:], "/")}, nil
 }
@@ -121,21 +121,21 @@
 func (v *Verifier) Verify(r *Request, now time.Time) (*Identity, error) {
 	if auth, ok := r.Fields.Lookup("Authorization"); ok {
 		if _, twice := r.Query.Lookup("X-Amz-Signature"); twice {
-			return nil, refuse("InvalidArgument", "only one way of signing is allowed")
+			return nil, newError("InvalidArgument", "only one way of signing is allowed")
 		}
 		return v.verifyHeader(r, auth, now)
 	}
 	if _, ok := r.Query.Lookup("X-Amz-Algorithm"); ok {
 		return v.verifyQuery(r, now)
 	}
-	return nil, refuse("AccessDenied", "the request is not signed")
+	return nil, newError("AccessDenied", "the request is not signed")
 }
 
 func (v *Verifier) verifyHeader(r *Request, auth string, now time.Time) (*Identity, error) {
 	const code = "AuthorizationHeaderMalformed"
 	rest, ok := strings.CutPrefix(auth, algorithm)
 	if !ok {
-		return nil, refuse("InvalidRequest", "the authorization mechanism is not supported; use "+algorithm)
+		return nil, newError("InvalidRequest", "the authorization mechanism is not supported; use "+algorithm)
 	}
 	var text, signed, signature string
 	for _, part := range strings.Split(rest, ",") {
@@ -149,81 +149,81 @@
 			signature = value
 		}
 	}
-	cred, err := v.credential(text, code)
+	cred, err := v.parseCredential(text, code)
 	if err != nil {
 		return nil, err
 	}
 	stamp := r.Fields.Get("X-Amz-Date")
 	at, err := time.Parse(timeFormat, stamp)
 	if err != nil {
-		return nil, refuse("AccessDenied", "header x-amz-date is missing or not YYYYMMDDTHHMMSSZ")
+		return nil, newError("AccessDenied", "header x-amz-date is missing or not YYYYMMDDTHHMMSSZ")
 	}
-	if d := now.Sub(at); d > v.skew || d < -v.skew {
-		return nil, refuse("RequestTimeTooSkewed", "the request's time %s is too far from the server's", stamp)
+	if d := now.Sub(at); d > v.maxSkew || d < -v.maxSkew {
+		return nil, newError("RequestTimeTooSkewed", "the request's time %s is too far from the server's", stamp)
 	}
 	payload := r.Fields.Get("X-Amz-Content-Sha256")
 	if payload == "" {
-		return nil, refuse("InvalidRequest", "missing required header x-amz-content-sha256")
+		return nil, newError("InvalidRequest", "missing required header x-amz-content-sha256")
 	}
-	id := &Identity{AccessKey: cred.access, PayloadHash: payload, Signature: signature, stamp: stamp, scope: cred.scope}
-	return id, v.check(r, id, cred, signed, code)
+	id := &Identity{AccessKey: cred.accessKey, PayloadHash: payload, Signature: signature, timestamp: stamp, scope: cred.scope}
+	return id, v.checkSignature(r, id, cred, signed, code)
 }
 
 func (v *Verifier) verifyQuery(r *Request, now time.Time) (*Identity, error) {
 	const code = "AuthorizationQueryParametersError"
 	if a := r.Query.Get("X-Amz-Algorithm"); a != algorithm {
-		return nil, refuse(code, "X-Amz-Algorithm only supports %q", algorithm)
+		return nil, newError(code, "X-Amz-Algorithm only supports %q", algorithm)
 	}
-	cred, err := v.credential(r.Query.Get("X-Amz-Credential"), code)
+	cred, err := v.parseCredential(r.Query.Get("X-Amz-Credential"), code)
 	if err != nil {
 		return nil, err
 	}
 	stamp := r.Query.Get("X-Amz-Date")
 	at, err := time.Parse(timeFormat, stamp)
 	if err != nil {
-		return nil, refuse(code, "X-Amz-Date must be in the ISO8601 format YYYYMMDDTHHMMSSZ")
+		return nil, newError(code, "X-Amz-Date must be in the ISO8601 format YYYYMMDDTHHMMSSZ")
 	}
 	span, err := strconv.Atoi(r.Query.Get("X-Amz-Expires"))
-	if err != nil || span < 1 || time.Duration(span)*time.Second > longestPresign {
-		return nil, refuse(code, "X-Amz-Expires must be a number of seconds from 1 to 604800")
+	if err != nil || span < 1 || time.Duration(span)*time.Second > maxPresignExpiry {
+		return nil, newError(code, "X-Amz-Expires must be a number of seconds from 1 to 604800")
 	}
-	if now.Add(v.skew).Before(at) {
-		return nil, refuse("AccessDenied", "the request is not yet valid")
+	if now.Add(v.maxSkew).Before(at) {
+		return nil, newError("AccessDenied", "the request is not yet valid")
 	}
 	if now.After(at.Add(time.Duration(span) * time.Second)) {
-		return nil, refuse("AccessDenied", "the request has expired")
+		return nil, newError("AccessDenied", "the request has expired")
 	}
 	payload := r.Fields.Get("X-Amz-Content-Sha256")
 	if payload == "" {
 		payload = UnsignedPayload
 	}
-	id := &Identity{AccessKey: cred.access, PayloadHash: payload, Signature: r.Query.Get("X-Amz-Signature"),
-		Presigned: true, stamp: stamp, scope: cred.scope}
-	return id, v.check(r, id, cred, r.Query.Get("X-Amz-SignedHeaders"), code)
+	id := &Identity{AccessKey: cred.accessKey, PayloadHash: payload, Signature: r.Query.Get("X-Amz-Signature"),
+		Presigned: true, timestamp: stamp, scope: cred.scope}
+	return id, v.checkSignature(r, id, cred, r.Query.Get("X-Amz-SignedHeaders"), code)
 }
 
-// check compares the signature with the one that the secret gives.
-func (v *Verifier) check(r *Request, id *Identity, cred credential, signed, code string) error {
+// checkSignature compares the signature with the one that the secret gives.
+func (v *Verifier) checkSignature(r *Request, id *Identity, cred credential, signed, code string) error {
 	names := strings.Split(signed, ";")
-	if len(names) > signedMost || !slices.Contains(names, "host") || !slices.IsSorted(names) {
-		return refuse(code, "SignedHeaders must be sorted and hold \"host\"")
+	if len(names) > maxSignedHeaders || !slices.Contains(names, "host") || !slices.IsSorted(names) {
+		return newError(code, "SignedHeaders must be sorted and hold \"host\"")
 	}
 	for i := range r.Fields {
 		if name := r.Fields[i].Name; len(name) > 6 && strings.EqualFold(name[:6], "x-amz-") && !containsFold(names, name) {
-			return refuse("AccessDenied", "header %s is present but not signed", strings.ToLower(name))
+			return newError("AccessDenied", "header %s is present but not signed", strings.ToLower(name))
 		}
 	}
-	if !strings.HasPrefix(id.stamp, cred.date) {
-		return refuse(code, "the credential's date %s is not that of the request", cred.date)
+	if !strings.HasPrefix(id.timestamp, cred.date) {
+		return newError(code, "the credential's date %s is not that of the request", cred.date)
 	}
 	key, ok := v.signingKey(cred)
 	if !ok {
-		return refuse("InvalidAccessKeyId", "the access key does not exist in our records")
+		return newError("InvalidAccessKeyId", "the access key does not exist in our records")
 	}
-	id.key = key
-	want := stringSignature(key, id.stamp, cred.scope, canonical(r, names, id.PayloadHash, id.Presigned))
+	id.signingKey = key
+	want := signCanonicalRequest(key, id.timestamp, cred.scope, canonicalRequest(r, names, id.PayloadHash, id.Presigned))
 	if subtle.ConstantTimeCompare([]byte(want), []byte(id.Signature)) != 1 {
-		return refuse("SignatureDoesNotMatch", "the signature does not match the one that the secret key gives")
+		return newError("SignatureDoesNotMatch", "the signature does not match the one that the secret key gives")
 	}
 	return nil
 }
@@ -234,48 +234,48 @@
 
 // signingKey returns the key of a day, derived once.
 func (v *Verifier) signingKey(c credential) ([]byte, bool) {
-	at := c.access + "/" + c.date
+	at := c.accessKey + "/" + c.date
 	v.mu.RLock()
-	key := v.derived[at]
-	secret, ok := v.secrets[c.access]
+	key := v.signingKeys[at]
+	secret, ok := v.secrets[c.accessKey]
 	v.mu.RUnlock()
 	if key != nil || !ok {
 		return key, ok
 	}
-	key = derive(secret, c.date, v.region)
+	key = deriveSigningKey(secret, c.date, v.region)
 	v.mu.Lock()
-	if len(v.derived) > 64 { // days pass
-		clear(v.derived)
+	if len(v.signingKeys) > 64 { // days pass
+		clear(v.signingKeys)
 	}
-	v.derived[at] = key
+	v.signingKeys[at] = key
 	v.mu.Unlock()
 	return key, true
 }
 
-func derive(secret, date, region string) []byte {
-	key := mac([]byte("AWS4"+secret), date)
-	key = mac(key, region)
-	key = mac(key, "s3")
-	return mac(key, "aws4_request")
+func deriveSigningKey(secret, date, region string) []byte {
+	key := hmacSHA256([]byte("AWS4"+secret), date)
+	key = hmacSHA256(key, region)
+	key = hmacSHA256(key, "s3")
+	return hmacSHA256(key, "aws4_request")
 }
 
-func mac(key []byte, text string) []byte {
+func hmacSHA256(key []byte, text string) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write([]byte(text))
 	return h.Sum(nil)
 }
 
-func stringSignature(key []byte, stamp, scope string, request []byte) string {
+func signCanonicalRequest(key []byte, stamp, scope string, request []byte) string {
 	sum := sha256.Sum256(request)
-	return hex.EncodeToString(mac(key, algorithm+"\n"+stamp+"\n"+scope+"\n"+hex.EncodeToString(sum[:])))
+	return hex.EncodeToString(hmacSHA256(key, algorithm+"\n"+stamp+"\n"+scope+"\n"+hex.EncodeToString(sum[:])))
 }
 
-// canonical returns the canonical request.
-func canonical(r *Request, names []string, payload string, presigned bool) []byte {
+// canonicalRequest returns the canonicalRequest request.
+func canonicalRequest(r *Request, names []string, payload string, presigned bool) []byte {
 	b := make([]byte, 0, 1024)
 	b = append(append(b, r.Method...), '\n')
 	b = append(AppendPercentEncoded(b, r.Path, true), '\n')
-	b = append(appendQuery(b, r.Query, presigned), '\n')
+	b = append(appendCanonicalQuery(b, r.Query, presigned), '\n')
 	for _, name := range names {
 		b = append(append(b, name...), ':')
 		first := true
@@ -287,7 +287,7 @@
 				b = append(b, ',')
 			}
 			first = false
-			b = appendSqueezed(b, r.Fields[i].Value)
+			b = appendCollapsed(b, r.Fields[i].Value)
 		}
 		b = append(b, '\n')
 	}
@@ -302,8 +302,8 @@
 	return append(b, payload...)
 }
 
-// appendSqueezed folds runs of spaces into one.
-func appendSqueezed(b []byte, value string) []byte {
+// appendCollapsed folds runs of spaces into one.
+func appendCollapsed(b []byte, value string) []byte {
 	for i := 0; i < len(value); i++ {
 		if value[i] == ' ' && i > 0 && value[i-1] == ' ' {
 			continue
@@ -313,7 +313,7 @@
 	return b
 }
 
-func appendQuery(b []byte, q Query, presigned bool) []byte {
+func appendCanonicalQuery(b []byte, q Query, presigned bool) []byte {
 	pairs := make([]string, 0, len(q))
 	for _, p := range q {
 		if presigned && p.Name == "X-Amz-Signature" {
@@ -345,8 +345,8 @@
 // ChunkSigner gives the signatures of a streamed body's chunks, each over the
 // one before.
 type ChunkSigner struct {
-	id       *Identity
-	previous string
+	identity       *Identity
+	previousSignature string
 }
 
 // NewChunkSigner returns the signer of the chunks that follow a verified request.
@@ -354,16 +354,16 @@
 
 // SignChunk returns the signature of the next chunk, given its SHA-256.
 func (c *ChunkSigner) SignChunk(sum []byte) string {
-	c.previous = hex.EncodeToString(mac(c.id.key, "AWS4-HMAC-SHA256-PAYLOAD\n"+c.id.stamp+"\n"+c.id.scope+"\n"+
-		c.previous+"\n"+EmptyPayloadHash+"\n"+hex.EncodeToString(sum)))
-	return c.previous
+	c.previousSignature = hex.EncodeToString(hmacSHA256(c.identity.signingKey, "AWS4-HMAC-SHA256-PAYLOAD\n"+c.identity.timestamp+"\n"+c.identity.scope+"\n"+
+		c.previousSignature+"\n"+EmptyPayloadHash+"\n"+hex.EncodeToString(sum)))
+	return c.previousSignature
 }
 
 // SignTrailer returns the signature of the trailer, given the SHA-256 of its
 // lines, each "name:value\n".
 func (c *ChunkSigner) SignTrailer(sum []byte) string {
-	return hex.EncodeToString(mac(c.id.key, "AWS4-HMAC-SHA256-TRAILER\n"+c.id.stamp+"\n"+c.id.scope+"\n"+
-		c.previous+"\n"+hex.EncodeToString(sum)))
+	return hex.EncodeToString(hmacSHA256(c.identity.signingKey, "AWS4-HMAC-SHA256-TRAILER\n"+c.identity.timestamp+"\n"+c.identity.scope+"\n"+
+		c.previousSignature+"\n"+hex.EncodeToString(sum)))
 }
 
 // Signer signs requests for clients: the load tool, proofs and tests.
@@ -387,12 +387,12 @@
 	slices.Sort(names)
 	names = slices.Compact(names)
 	scope := stamp[:8] + "/" + s.Region + "/s3/aws4_request"
-	key := derive(s.SecretKey, stamp[:8], s.Region)
+	key := deriveSigningKey(s.SecretKey, stamp[:8], s.Region)
 	signed := Request{Method: r.Method, Path: r.Path, Query: r.Query, Fields: all}
-	signature := stringSignature(key, stamp, scope, canonical(&signed, names, payload, false))
+	signature := signCanonicalRequest(key, stamp, scope, canonicalRequest(&signed, names, payload, false))
 	auth := algorithm + " Credential=" + s.AccessKey + "/" + scope + ", SignedHeaders=" + strings.Join(names, ";") +
 		", Signature=" + signature
-	id := &Identity{AccessKey: s.AccessKey, PayloadHash: payload, Signature: signature, key: key, stamp: stamp, scope: scope}
+	id := &Identity{AccessKey: s.AccessKey, PayloadHash: payload, Signature: signature, signingKey: key, timestamp: stamp, scope: scope}
 	return append(added, http1.Field{Name: "Authorization", Value: auth}), id
 }
 
@@ -406,14 +406,14 @@
 			continue
 		}
 		if len(q) >= most {
-			return nil, refuse("InvalidArgument", "over %d query parameters", most)
+			return nil, newError("InvalidArgument", "over %d query parameters", most)
 		}
 		name, value, _ := strings.Cut(one, "=")
-		n, err := unescape(name)
+		n, err := unescapeQuery(name)
 		if err != nil {
 			return nil, err
 		}
-		v, err := unescape(value)
+		v, err := unescapeQuery(value)
 		if err != nil {
 			return nil, err
 		}
@@ -422,7 +422,7 @@
 	return q, nil
 }
 
-func unescape(s string) (string, error) {
+func unescapeQuery(s string) (string, error) {
 	if !strings.ContainsAny(s, "%+") {
 		return s, nil
 	}
@@ -435,11 +435,11 @@
 			b = append(b, s[i])
 		default:
 			if i+2 >= len(s) {
-				return "", refuse("InvalidURI", "bad escape in the query")
+				return "", newError("InvalidURI", "bad escape in the query")
 			}
 			v, err := strconv.ParseUint(s[i+1:i+3], 16, 8)
 			if err != nil {
-				return "", refuse("InvalidURI", "bad escape in the query")
+				return "", newError("InvalidURI", "bad escape in the query")
 			}
 			b = append(b, byte(v))
 			i += 2
--- a/internal/front/s3/sigv4/sigv4_test.go
+++ b/internal/front/s3/sigv4/sigv4_test.go
@@ -24,9 +24,9 @@
 	r := &Request{Method: "GET", Path: "/test.txt", Fields: http1.Fields{
 		{Name: "Host", Value: "examplebucket.s3.amazonaws.com"}, {Name: "Range", Value: "bytes=0-9"},
 		{Name: "x-amz-content-sha256", Value: EmptyPayloadHash}, {Name: "x-amz-date", Value: "20130524T000000Z"}}}
-	key := derive("wJalrXUtnFEMI/K7MDENG/bPxRfiCYEXAMPLEKEY", "20130524", "us-east-1")
+	key := deriveSigningKey("wJalrXUtnFEMI/K7MDENG/bPxRfiCYEXAMPLEKEY", "20130524", "us-east-1")
 	names := []string{"host", "range", "x-amz-content-sha256", "x-amz-date"}
-	got := stringSignature(key, "20130524T000000Z", "20130524/us-east-1/s3/aws4_request", canonical(r, names, EmptyPayloadHash, false))
+	got := signCanonicalRequest(key, "20130524T000000Z", "20130524/us-east-1/s3/aws4_request", canonicalRequest(r, names, EmptyPayloadHash, false))
 	if want := "f0e8bdb87c964420e857bd35b5d6ed310bd44f0170aba48dd91039c6036bdb41"; got != want {
 		t.Errorf("signature %s, want %s", got, want)
 	}
@@ -100,8 +100,8 @@
 	r := &Request{Method: "GET", Path: "/b/k", Fields: http1.Fields{{Name: "Host", Value: "h"}}, Query: Query{
 		{"X-Amz-Algorithm", algorithm}, {"X-Amz-Credential", "AKID/20261201/us-east-1/s3/aws4_request"},
 		{"X-Amz-Date", "20261201T100000Z"}, {"X-Amz-Expires", span}, {"X-Amz-SignedHeaders", "host"}}}
-	key := derive("secret", "20261201", "us-east-1")
-	sig := stringSignature(key, "20261201T100000Z", "20261201/us-east-1/s3/aws4_request", canonical(r, []string{"host"}, UnsignedPayload, true))
+	key := deriveSigningKey("secret", "20261201", "us-east-1")
+	sig := signCanonicalRequest(key, "20261201T100000Z", "20261201/us-east-1/s3/aws4_request", canonicalRequest(r, []string{"host"}, UnsignedPayload, true))
 	r.Query = append(r.Query, Param{"X-Amz-Signature", sig})
 	if change != nil {
 		change(r)
@@ -152,10 +152,10 @@
 		if strings.ContainsAny(escaped, "\n ?&") {
 			t.Errorf("path %q escapes to %q", path, escaped)
 		}
-		if back, err := unescape(escaped); err != nil || back != path {
+		if back, err := unescapeQuery(escaped); err != nil || back != path {
 			t.Errorf("path %q comes back as %q, %v", path, back, err)
 		}
-		pairs := strings.Split(string(appendQuery(nil, q, false)), "&")
+		pairs := strings.Split(string(appendCanonicalQuery(nil, q, false)), "&")
 		if !slices.IsSorted(pairs) || len(q) > 0 && len(pairs) != len(q) {
 			t.Errorf("query %q: pairs %q", query, pairs)
 		}
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -17,83 +17,83 @@
 	"arrowwalk/internal/host"
 )
 
-// openDesk opens the record of orders and plays it again, before any brick is
+// openController opens the record of orders and plays it again, before any brick is
 // told of: a drain by hand holds from the first moment.
-func (g *Gateway) openDesk() error {
+func (g *Gateway) openController() error {
 	var err error
-	if g.opt.ControlSocket != "" {
-		if g.book, err = orderlog.Open(filepath.Join(g.opt.DataDir, "orders.db")); err != nil {
+	if g.opts.ControlSocket != "" {
+		if g.orderLog, err = orderlog.Open(filepath.Join(g.opts.DataDir, "orders.db")); err != nil {
 			return err
 		}
 	}
-	g.desk, err = control.NewController(g.book)
+	g.controller, err = control.NewController(g.orderLog)
 	return err
 }
 
 // startControl opens the operators' socket.
 func (g *Gateway) startControl() error {
-	if at, ok := strings.CutPrefix(g.opt.DisabledGuard, "crash-"); ok { // ends outright there, for a proof
-		g.desk.OnStage = func(stage string) {
+	if at, ok := strings.CutPrefix(g.opts.DisabledGuard, "crash-"); ok { // ends outright there, for a proof
+		g.controller.OnStage = func(stage string) {
 			if stage == at {
 				syscall.Kill(syscall.Getpid(), syscall.SIGKILL)
 				select {}
 			}
 		}
 	}
-	g.desk.SetApplyFunc(func() {
-		if g.opt.DisabledGuard == "apply" { // recorded, and not carried out: a proof must see it
+	g.controller.SetApplyFunc(func() {
+		if g.opts.DisabledGuard == "apply" { // recorded, and not carried out: a proof must see it
 			return
 		}
-		g.words.Clear() // what an order took back may be said again
-		g.keeper.Refresh()
+		g.selfDraining.Clear() // what an order took back may be said again
+		g.tracker.Refresh()
 		g.host.Snapshot() // comes back after the host has taken the change
 	})
-	if g.opt.ControlSocket == "" {
+	if g.opts.ControlSocket == "" {
 		return nil
 	}
 	var err error
-	g.ctl, err = control.Listen(g.opt.ControlSocket, g.desk, g, g.opt.Log)
+	g.controlServer, err = control.Listen(g.opts.ControlSocket, g.controller, g, g.opts.Log)
 	return err
 }
 
-// listed tells the desk of discovery's word.
-func (g *Gateway) listed(members []host.Member) {
+// updateController tells the desk of discovery's word.
+func (g *Gateway) updateController(members []host.Member) {
 	states := map[arrowwalk.NodeState]drains.State{arrowwalk.Ready: drains.Ready, arrowwalk.Draining: drains.Draining, arrowwalk.Removed: drains.Gone}
 	list := make([]drains.Brick, 0, len(members))
 	for _, m := range members {
 		list = append(list, drains.Brick{Name: string(m.ID), Shard: m.Shard, State: states[m.State], Started: int64(m.Started)})
 	}
 	slices.SortFunc(list, func(a, b drains.Brick) int { return cmp.Compare(a.Name, b.Name) })
-	g.desk.UpdateBricks(list)
+	g.controller.UpdateBricks(list)
 }
 
-// overlay makes of a member what the desk decides.
-func (g *Gateway) overlay(m *host.Member) {
-	if g.desk.BrickState(string(m.ID)) == drains.Draining && m.State == arrowwalk.Ready {
+// applyDrains makes of a member what the desk decides.
+func (g *Gateway) applyDrains(m *host.Member) {
+	if g.controller.BrickState(string(m.ID)) == drains.Draining && m.State == arrowwalk.Ready {
 		m.State = arrowwalk.Draining
 	}
 }
 
-// said takes in what a brick says of itself in an answer. Nearly all say the
+// recordSelfDraining takes in what a brick says of itself in an answer. Nearly all say the
 // same as before, which is all that a request's goroutine finds out.
-func (g *Gateway) said(brick string, draining bool) {
-	if before, known := g.words.Load(brick); known && before == draining || !known && !draining {
+func (g *Gateway) recordSelfDraining(brick string, draining bool) {
+	if before, known := g.selfDraining.Load(brick); known && before == draining || !known && !draining {
 		return
 	}
-	g.words.Store(brick, draining)
-	if g.desk.SetSelfDraining(brick, draining) {
-		g.keeper.RefreshAsync()
+	g.selfDraining.Store(brick, draining)
+	if g.controller.SetSelfDraining(brick, draining) {
+		g.tracker.RefreshAsync()
 	}
 }
 
-// ended counts how a collection's task ended.
-func (g *Gateway) ended(bucket string, plan, shard int, end host.TaskStatus) {
+// recordOutcome counts how a collection's task recordOutcome.
+func (g *Gateway) recordOutcome(bucket string, plan, shard int, end host.TaskStatus) {
 	if bucket == "" { // a chore of the gateway's own: no collection's
 		return
 	}
 	ends := map[host.TaskStatus]trafficstats.Outcome{host.Served: trafficstats.Served, host.Refused: trafficstats.Refused, host.Failed: trafficstats.Failed}
 	if e, ok := ends[end]; ok {
-		g.desk.Stats.RecordOutcome(bucket, g.opt.Config.Plans[plan].Name, shard, e)
+		g.controller.Stats.RecordOutcome(bucket, g.opts.Config.Plans[plan].Name, shard, e)
 	}
 }
 
@@ -121,7 +121,7 @@
 	stats, front, use := g.host.Stats(), g.front.Stats(), g.spool.Usage()
 	s := &control.Snapshot{At: now.UnixMicro(), Host: g.host.RunID(), Accepted: stats.Accepted,
 		Served: stats.Ended["served"], Refused: stats.Ended["refused"], Failed: stats.Ended["failed"], Connections: front.OpenConns,
-		BodyMemoryBytes: use.Memory, SpoolBytes: use.File, LastEvent: g.desk.LastEventNumber()}
+		BodyMemoryBytes: use.Memory, SpoolBytes: use.File, LastEvent: g.controller.LastEventNumber()}
 	state := g.host.Snapshot()
 	if state == nil {
 		return s
@@ -130,7 +130,7 @@
 	for _, v := range state.Nodes {
 		views[v.ID] = v
 	}
-	s.Volumes = g.volumes(state)
+	s.Volumes = g.volumeStatuses(state)
 	out, units := map[string]int{}, map[string]float64{}
 	for _, r := range state.Running {
 		if r.Stage == "sent" {
@@ -145,15 +145,15 @@
 	for _, m := range state.Members {
 		members[string(m.ID)] = m
 	}
-	figures, levels := g.desk.Stats.Bricks(now), g.keeper.TrustLevels()
+	figures, levels := g.controller.Stats.Bricks(now), g.tracker.TrustLevels()
 	bad := map[string]int{}
-	for _, e := range g.bricks {
-		bad[e.name] = e.dir.QuarantinedBlocks()
+	for _, e := range g.embeddedBricks {
+		bad[e.name] = e.store.QuarantinedBlocks()
 	}
 	n, longest := g.host.StallStats()
 	s.Stalls, s.MaxStallUS = n, longest.Microseconds()
-	warm := arrowwalk.Micros(g.opt.Config.Rules.WarmWithinMS) * 1000
-	for _, st := range g.desk.Statuses() {
+	warm := arrowwalk.Micros(g.opts.Config.Rules.WarmWithinMS) * 1000
+	for _, st := range g.controller.Statuses() {
 		m := members[st.Brick]
 		b := control.BrickStatus{Status: st, BrickStats: figures[st.Brick], Address: m.Address, Zone: m.Zone, Trust: levels[st.Brick],
 			OutstandingRequests: out[st.Brick], OutstandingUnits: units[st.Brick], Cap: views[m.ID].MaxUnitsInFlight, QueueUS: int64(views[m.ID].QueueDelay)}
@@ -167,14 +167,14 @@
 	return s
 }
 
-// volumes joins what was counted of collections with the module's view.
-func (g *Gateway) volumes(state *host.Snapshot) []control.VolumeStatus {
+// volumeStatuses joins what was counted of collections with the module's view.
+func (g *Gateway) volumeStatuses(state *host.Snapshot) []control.VolumeStatus {
 	views := map[arrowwalk.VolumeID]arrowwalk.VolumeView{}
 	for _, v := range state.Volumes {
 		views[v.ID] = v
 	}
 	var out []control.VolumeStatus
-	for _, v := range g.desk.Stats.Volumes() {
+	for _, v := range g.controller.Stats.Volumes() {
 		view := views[s3.VolumeID(v.Name)]
 		out = append(out, control.VolumeStatus{VolumeStats: v, Quadrant: view.Quadrant, TokenRate: view.TokenRate, MeasuredRate: view.ServedRate, Reserve: view.ReserveUnits})
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -55,35 +55,35 @@
 
 // Gateway is a running gateway.
 type Gateway struct {
-	opt     Options
+	opts     Options
 	Keys    []config.Key
 	host    *host.Host
 	front   *s3.Server
 	pool    *brick.Pool
 	spool   *spool.Pool
-	file    *membership.FileSource
-	zk      *membership.ZKSource
-	keeper  *membership.Tracker
-	desk    *control.Controller
-	exports *exports
-	book    *orderlog.Log
-	ctl     *control.Server
-	bricks  []*embedded
-	words   sync.Map         // brick to whether it last said that it drains
-	out     map[string]error // embedded bricks that could not be started
+	fileSource    *membership.FileSource
+	zkSource      *membership.ZKSource
+	tracker  *membership.Tracker
+	controller    *control.Controller
+	exports *volumeExports
+	orderLog    *orderlog.Log
+	controlServer     *control.Server
+	embeddedBricks  []*embeddedBrick
+	selfDraining   sync.Map         // brick to whether it last said that it drains
+	failedBricks     map[string]error // embedded bricks that could not be started
 }
 
-// embedded is a brick in this process.
-type embedded struct {
+// embeddedBrick is a brick in this process.
+type embeddedBrick struct {
 	name   string
 	server *brickd.Server
-	dir    *store.Store
-	keeper *maintenance.Runner
+	store    *store.Store
+	maintenance *maintenance.Runner
 }
 
 // Start opens the sockets and serves. Nothing is left open after an error.
 func Start(opt Options) (*Gateway, error) {
-	g := &Gateway{opt: opt}
+	g := &Gateway{opts: opt}
 	if err := g.start(); err != nil {
 		g.closeAll()
 		return nil, err
@@ -92,8 +92,8 @@
 }
 
 func (g *Gateway) start() error {
-	cfg := g.opt.Config
-	keys, err := g.keys()
+	cfg := g.opts.Config
+	keys, err := g.loadKeys()
 	if err != nil {
 		return err
 	}
@@ -102,41 +102,41 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	if err := g.startRooms(ln); err != nil {
+	if err := g.startComponents(ln); err != nil {
 		ln.Close()
 		return err
 	}
 	return nil
 }
 
-func (g *Gateway) startRooms(ln net.Listener) error {
-	cfg := g.opt.Config
-	if err := g.openDesk(); err != nil {
+func (g *Gateway) startComponents(ln net.Listener) error {
+	cfg := g.opts.Config
+	if err := g.openController(); err != nil {
 		return err
 	}
 	list, err := g.startBricks()
 	if err != nil {
 		return err
 	}
-	if g.host, err = host.New(host.Options{Settings: cfg.Module(), Log: g.opt.Log}); err != nil {
+	if g.host, err = host.New(host.Options{Settings: cfg.Module(), Log: g.opts.Log}); err != nil {
 		return err
 	}
 	g.pool = brick.NewPool(brick.PoolOptions{MaxIdlePerBrick: cfg.Bounds.BrickIdle, DialTimeout: config.MS(cfg.Timeouts.DialMS),
 		StallTimeout: config.MS(cfg.Classes.Read.DeadlineMS)})
 	g.spool = spool.NewPool(cfg.Bounds.MemoryBytes, cfg.Bounds.SpoolBytes, cfg.Bounds.SpoolDir)
-	if err := g.follow(list); err != nil {
+	if err := g.followMembership(list); err != nil {
 		return err
 	}
 	secrets := map[string]string{}
 	for _, k := range g.Keys {
 		secrets[k.Access] = k.Secret
 	}
-	opt := s3.Options{OnObservation: g.seen, OnTaskEnd: g.ended, NotReadyReason: g.unready, Config: cfg, Host: g.host, Pool: g.pool, Spool: g.spool, Secrets: secrets, Log: g.opt.Log, Now: g.opt.Now,
-		AcceptAnyBrick: g.opt.DisabledGuard == "expect", IgnoreSocketAge: g.opt.DisabledGuard == "age"}
+	opt := s3.Options{OnObservation: g.recordObservation, OnTaskEnd: g.recordOutcome, NotReadyReason: g.notReadyReason, Config: cfg, Host: g.host, Pool: g.pool, Spool: g.spool, Secrets: secrets, Log: g.opts.Log, Now: g.opts.Now,
+		AcceptAnyBrick: g.opts.DisabledGuard == "expect", IgnoreSocketAge: g.opts.DisabledGuard == "age"}
 	if g.front, err = s3.Start(ln, opt); err != nil {
 		return err
 	}
-	if err := g.openExports(); err != nil {
+	if err := g.startExports(); err != nil {
 		return err
 	}
 	return g.startControl()
@@ -145,7 +145,7 @@
 // startBricks starts the embedded bricks and returns the list of all in the
 // settings.
 func (g *Gateway) startBricks() (*membership.List, error) {
-	cfg := g.opt.Config
+	cfg := g.opts.Config
 	zones := map[string]*brickd.Zone{}
 	meter := brickd.NewMeter(max(time.Second, config.MS(cfg.MeterMS)))
 	list := &membership.List{}
@@ -159,43 +159,43 @@
 				zones[b.Zone] = zone
 			}
 			e, err := g.startBrick(b, zone, meter)
-			if err != nil && g.opt.SkipFailedBricks {
-				g.without(b, err)
+			if err != nil && g.opts.SkipFailedBricks {
+				g.skipBrick(b, err)
 				continue
 			}
 			if err != nil {
 				return nil, err
 			}
-			g.bricks = append(g.bricks, e)
+			g.embeddedBricks = append(g.embeddedBricks, e)
 			entry.Address = e.server.Addr()
 		}
 		list.Bricks = append(list.Bricks, entry)
 	}
 	if len(list.Bricks) == 0 && len(cfg.Bricks) > 0 {
-		return nil, fmt.Errorf("no brick can be used: %w", g.out[cfg.Bricks[0].Name])
+		return nil, fmt.Errorf("no brick can be used: %w", g.failedBricks[cfg.Bricks[0].Name])
 	}
 	return list, nil
 }
 
-// without goes on without a brick, and says so.
-func (g *Gateway) without(b config.Brick, err error) {
-	if g.out == nil {
-		g.out = map[string]error{}
-	}
-	g.out[b.Name] = err
-	g.opt.Log.Error("going on without a brick", "brick", b.Name, "error", err)
-	g.desk.PublishEvent("without", b.Name, fmt.Sprintf("%s takes no part: %v", b.Name, err))
+// skipBrick goes on skipBrick a brick, and says so.
+func (g *Gateway) skipBrick(b config.Brick, err error) {
+	if g.failedBricks == nil {
+		g.failedBricks = map[string]error{}
+	}
+	g.failedBricks[b.Name] = err
+	g.opts.Log.Error("going on without a brick", "brick", b.Name, "error", err)
+	g.controller.PublishEvent("without", b.Name, fmt.Sprintf("%s takes no part: %v", b.Name, err))
 }
 
 // FailedBricks returns the embedded bricks that could not be started, and why.
-func (g *Gateway) FailedBricks() map[string]error { return g.out }
+func (g *Gateway) FailedBricks() map[string]error { return g.failedBricks }
 
-func (g *Gateway) startBrick(b config.Brick, zone *brickd.Zone, meter *brickd.Meter) (*embedded, error) {
+func (g *Gateway) startBrick(b config.Brick, zone *brickd.Zone, meter *brickd.Meter) (*embeddedBrick, error) {
 	path := b.Data
 	if path == "" {
-		path = filepath.Join(g.opt.DataDir, "bricks", b.Name)
+		path = filepath.Join(g.opts.DataDir, "bricks", b.Name)
 	}
-	dir, err := store.Open(path, store.Options{NoSync: g.opt.NoSync, Log: g.opt.Log.With("brick", b.Name)})
+	dir, err := store.Open(path, store.Options{NoSync: g.opts.NoSync, Log: g.opts.Log.With("brick", b.Name)})
 	if err != nil {
 		return nil, fmt.Errorf("brick %s: %w", b.Name, err)
 	}
@@ -204,26 +204,26 @@
 		dir.Close()
 		return nil, fmt.Errorf("brick %s: %w", b.Name, err)
 	}
-	e := &embedded{name: b.Name, server: brickd.Start(ln, dir, brickd.Options{ID: b.Name, Zone: zone, Meter: meter, Log: g.opt.Log}), dir: dir}
-	e.keeper = maintenance.Start(maintenance.Options{Store: dir, Load: e.server.Load, Log: g.opt.Log.With("brick", b.Name)})
+	e := &embeddedBrick{name: b.Name, server: brickd.Start(ln, dir, brickd.Options{ID: b.Name, Zone: zone, Meter: meter, Log: g.opts.Log}), store: dir}
+	e.maintenance = maintenance.Start(maintenance.Options{Store: dir, Load: e.server.Load, Log: g.opts.Log.With("brick", b.Name)})
 	return e, nil
 }
 
-// follow tells the host of the settings' bricks, or follows the source that
+// followMembership tells the host of the settings' bricks, or follows the source that
 // the settings name, with what was kept of it before.
-func (g *Gateway) follow(list *membership.List) error {
-	cfg := g.opt.Config
+func (g *Gateway) followMembership(list *membership.List) error {
+	cfg := g.opts.Config
 	shape := membership.Topology{Zones: cfg.Zones, Shards: cfg.Shards}
-	keeper, err := membership.StartTracker(membership.TrackerOptions{Topology: shape, Host: g.host, Prober: asker{g.pool}, CacheDir: cfg.CacheDir,
-		Log: g.opt.Log, OnAddresses: g.pool.CloseIdleExcept, TrustCache: g.opt.DisabledGuard == "expect", OnList: g.listed, Overlay: g.overlay})
+	keeper, err := membership.StartTracker(membership.TrackerOptions{Topology: shape, Host: g.host, Prober: brickProber{g.pool}, CacheDir: cfg.CacheDir,
+		Log: g.opts.Log, OnAddresses: g.pool.CloseIdleExcept, TrustCache: g.opts.DisabledGuard == "expect", OnList: g.updateController, Overlay: g.applyDrains})
 	if err != nil {
 		return err
 	}
-	g.keeper = keeper
+	g.tracker = keeper
 	switch {
 	case cfg.Discovery != nil:
-		g.zk, err = membership.FollowZK(membership.ZKOptions{Servers: cfg.Discovery.Servers, Root: cfg.Discovery.Root,
-			SessionTimeout: config.MS(cfg.Discovery.SessionMS), RelistInterval: config.MS(cfg.Discovery.RelistMS), Topology: shape, Log: g.opt.Log},
+		g.zkSource, err = membership.FollowZK(membership.ZKOptions{Servers: cfg.Discovery.Servers, Root: cfg.Discovery.Root,
+			SessionTimeout: config.MS(cfg.Discovery.SessionMS), RelistInterval: config.MS(cfg.Discovery.RelistMS), Topology: shape, Log: g.opts.Log},
 			func(l *membership.List) { keeper.Offer("discovery", l) }, keeper.ReportFailure)
 		return err
 	case cfg.NodesFile == "":
@@ -231,7 +231,7 @@
 		keeper.Refresh() // the list is taken when this returns
 		return nil
 	}
-	g.file, err = membership.FollowFile(cfg.NodesFile, shape, g.opt.Log, func(l *membership.List) {
+	g.fileSource, err = membership.FollowFile(cfg.NodesFile, shape, g.opts.Log, func(l *membership.List) {
 		edit := *l // an edit is news whatever version its author gave it
 		edit.Version = time.Now().UnixMicro()
 		keeper.Offer("file", &edit)
@@ -240,16 +240,16 @@
 		return fmt.Errorf("node list %s: %w", cfg.NodesFile, err)
 	}
 	if err != nil {
-		g.opt.Log.Warn("node list not taken", "file", cfg.NodesFile, "error", err)
+		g.opts.Log.Warn("node list not taken", "file", cfg.NodesFile, "error", err)
 	}
 	return nil
 }
 
-// asker asks bricks who they are (membership.Asker).
-type asker struct{ pool *brick.Pool }
+// brickProber asks bricks who they are (membership.Asker).
+type brickProber struct{ pool *brick.Pool }
 
 // Probe asks the brick that should be name at address.
-func (a asker) Probe(ctx context.Context, address, name string) (trust.Observation, int64) {
+func (a brickProber) Probe(ctx context.Context, address, name string) (trust.Observation, int64) {
 	at := &brick.Attempt{}
 	defer context.AfterFunc(ctx, at.Abort)()
 	deadline, ok := ctx.Deadline()
@@ -257,11 +257,11 @@
 		deadline = time.Now().Add(time.Second)
 	}
 	id, err := a.pool.Identify(at, address, name, deadline)
-	return evidence(err), id.Started
+	return observationOf(err), id.Started
 }
 
-// evidence says what an attempt's end shows of the brick.
-func evidence(err error) trust.Observation {
+// observationOf says what an attempt's end shows of the brick.
+func observationOf(err error) trust.Observation {
 	var f *brick.Failure
 	switch {
 	case err == nil:
@@ -274,46 +274,46 @@
 	return trust.TimedOut
 }
 
-// seen passes on what an attempt showed.
-func (g *Gateway) seen(s attempts.Observation) {
+// recordObservation passes on what an attempt showed.
+func (g *Gateway) recordObservation(s attempts.Observation) {
 	full := s.Reason == brick.ReasonDiskFull
-	turned := g.desk.Stats.RecordAttempt(trafficstats.Attempt{Brick: s.Brick, Volume: s.Volume, Units: s.Units, Latency: s.Latency,
+	turned := g.controller.Stats.RecordAttempt(trafficstats.Attempt{Brick: s.Brick, Volume: s.Volume, Units: s.Units, Latency: s.Latency,
 		OK: s.Reason == "", Reason: string(s.Reason), Util: s.Util, Write: s.Write, Full: full}, time.Now())
 	switch {
 	case turned && full:
-		g.desk.PublishEvent("full", s.Brick, s.Brick+" has no room: it refuses writes, reads go on")
+		g.controller.PublishEvent("full", s.Brick, s.Brick+" has no room: it refuses writes, reads go on")
 	case turned:
-		g.desk.PublishEvent("room", s.Brick, s.Brick+" takes writes again")
+		g.controller.PublishEvent("room", s.Brick, s.Brick+" takes writes again")
 	}
 	if s.Identity != "" {
-		g.said(s.Brick, s.Draining)
+		g.recordSelfDraining(s.Brick, s.Draining)
 		if id, ok := brick.ParseIdentity(s.Identity); ok && id.Name == s.Brick {
-			g.keeper.Observe(s.Brick, trust.Answered, id.Started)
+			g.tracker.Observe(s.Brick, trust.Answered, id.Started)
 		}
 		return
 	}
 	switch s.Reason {
 	case brick.ReasonWrongBrick, brick.ReasonRefused:
-		g.keeper.Observe(s.Brick, evidence(&brick.Failure{Reason: s.Reason}), 0)
+		g.tracker.Observe(s.Brick, observationOf(&brick.Failure{Reason: s.Reason}), 0)
 	case brick.ReasonTimeout, brick.ReasonDialTimeout:
-		g.keeper.Observe(s.Brick, trust.TimedOut, 0)
+		g.tracker.Observe(s.Brick, trust.TimedOut, 0)
 	}
 }
 
-// unready says why nothing can be served, or "".
-func (g *Gateway) unready() string {
-	if g.keeper.HasList() {
+// notReadyReason says why nothing can be served, or "".
+func (g *Gateway) notReadyReason() string {
+	if g.tracker.HasList() {
 		return ""
 	}
 	return "No brick is known yet: discovery has told none and no list is kept."
 }
 
-// keys returns the settings' keys, or a pair made at the first start and kept.
-func (g *Gateway) keys() ([]config.Key, error) {
-	if len(g.opt.Config.Keys) > 0 {
-		return g.opt.Config.Keys, nil
+// loadKeys returns the settings' loadKeys, or a pair made at the first start and kept.
+func (g *Gateway) loadKeys() ([]config.Key, error) {
+	if len(g.opts.Config.Keys) > 0 {
+		return g.opts.Config.Keys, nil
 	}
-	path := filepath.Join(g.opt.DataDir, "keys.json")
+	path := filepath.Join(g.opts.DataDir, "keys.json")
 	text, err := os.ReadFile(path)
 	if err == nil {
 		var keys []config.Key
@@ -325,10 +325,10 @@
 	if !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	if err := os.MkdirAll(g.opt.DataDir, 0o700); err != nil {
+	if err := os.MkdirAll(g.opts.DataDir, 0o700); err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	keys := []config.Key{{Access: "AW" + randomText(10), Secret: randomText(25)}}
+	keys := []config.Key{{Access: "AW" + randomBase32(10), Secret: randomBase32(25)}}
 	text, err = json.Marshal(keys)
 	if err != nil {
 		return nil, err
@@ -339,7 +339,7 @@
 	return keys, nil
 }
 
-func randomText(bytes int) string {
+func randomBase32(bytes int) string {
 	b := make([]byte, bytes)
 	rand.Read(b)
 	return base32.StdEncoding.WithPadding(base32.NoPadding).EncodeToString(b)
@@ -387,7 +387,7 @@
 
 // MaxStopDuration returns how long a request that was taken may still need.
 func (g *Gateway) MaxStopDuration() time.Duration {
-	c := g.opt.Config
+	c := g.opts.Config
 	return config.MS(max(c.Classes.Read.DeadlineMS, c.Classes.Write.DeadlineMS)) + 2*time.Second
 }
 
@@ -400,30 +400,30 @@
 	if g.exports != nil {
 		g.exports.close()
 	}
-	if g.ctl != nil {
-		g.ctl.Close()
+	if g.controlServer != nil {
+		g.controlServer.Close()
 	}
-	if g.file != nil {
-		g.file.Close()
+	if g.fileSource != nil {
+		g.fileSource.Close()
 	}
-	if g.zk != nil {
-		g.zk.Close()
+	if g.zkSource != nil {
+		g.zkSource.Close()
 	}
-	if g.keeper != nil {
-		g.keeper.Close()
+	if g.tracker != nil {
+		g.tracker.Close()
 	}
 	if g.host != nil {
 		g.host.Close()
 	}
-	if g.book != nil {
-		g.book.Close()
+	if g.orderLog != nil {
+		g.orderLog.Close()
 	}
 	if g.pool != nil {
 		g.pool.Close()
 	}
-	for _, b := range g.bricks {
+	for _, b := range g.embeddedBricks {
 		b.server.Close()
-		b.keeper.Close()
-		b.dir.Close()
+		b.maintenance.Close()
+		b.store.Close()
 	}
 }
--- a/internal/gateway/volumes.go
+++ b/internal/gateway/volumes.go
@@ -20,69 +20,69 @@
 	"arrowwalk/internal/volume/extent"
 )
 
-// exports are the block volumes that this gateway has attached, each on a
+// volumeExports are the block volumes that this gateway has attached, each on a
 // socket of its own. Which they are is kept in the data directory: a start
 // attaches them again, under an epoch over the last.
-type exports struct {
+type volumeExports struct {
 	store  *volume.Store
 	holder string
-	file   string
-	dir    string
+	path   string
+	socketDir    string
 	ctx    context.Context
-	end    context.CancelFunc
+	cancel    context.CancelFunc
 	wg     sync.WaitGroup
 
 	mu   sync.Mutex
-	open map[string]*export
-	want map[string]string // volume to socket: what the file says
+	attached map[string]*exportedVolume
+	sockets map[string]string // volume to socket: what the file says
 }
 
-type export struct {
+type exportedVolume struct {
 	volume *volume.Volume
 	server *vhost.Server
 	socket string
 }
 
-// attachWait is how long one try to attach may take.
-const attachWait = 10 * time.Second
+// attachTimeout is how long one try to attach may take.
+const attachTimeout = 10 * time.Second
 
-func (g *Gateway) openExports() error {
-	store, err := volume.New(volume.Options{Config: g.opt.Config, Host: g.host, Pool: g.pool, Log: g.opt.Log, NoFence: g.opt.DisabledGuard == "fence", Seen: g.seen,
-		Ended: func(name string, plan, shard int, end host.TaskStatus) { g.ended("volume/"+name, plan, shard, end) }})
+func (g *Gateway) startExports() error {
+	store, err := volume.New(volume.Options{Config: g.opts.Config, Host: g.host, Pool: g.pool, Log: g.opts.Log, NoFence: g.opts.DisabledGuard == "fence", Seen: g.recordObservation,
+		Ended: func(name string, plan, shard int, end host.TaskStatus) { g.recordOutcome("volume/"+name, plan, shard, end) }})
 	if err != nil {
 		return err
 	}
-	data, err := filepath.Abs(g.opt.DataDir)
+	data, err := filepath.Abs(g.opts.DataDir)
 	if err != nil {
 		return err
 	}
-	x := &exports{store: store, holder: fmt.Sprintf("host-%d", g.opt.Config.Host.Number), file: filepath.Join(data, "exports.json"),
-		dir: filepath.Join(data, "volumes"), open: map[string]*export{}, want: map[string]string{}}
-	x.ctx, x.end = context.WithCancel(context.Background())
+	x := &volumeExports{store: store, holder: fmt.Sprintf("host-%d", g.opts.Config.Host.Number), path: filepath.Join(data, "exports.json"),
+		socketDir: filepath.Join(data, "volumes"), attached: map[string]*exportedVolume{}, sockets: map[string]string{}}
+	x.ctx, x.cancel = context.WithCancel(context.Background())
 	g.exports = x
-	text, err := os.ReadFile(x.file)
+	text, err := os.ReadFile(x.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	if err := json.Unmarshal(text, &x.want); err != nil {
-		return fmt.Errorf("%s: %w", x.file, err)
+	if err := json.Unmarshal(text, &x.sockets); err != nil {
+		return fmt.Errorf("%s: %w", x.path, err)
 	}
-	for name, socket := range x.want {
+	for name, socket := range x.sockets {
 		x.wg.Add(1)
 		go func() {
 			defer x.wg.Done()
-			g.restore(name, socket)
+			g.reattach(name, socket)
 		}()
 	}
 	return nil
 }
 
-// restore attaches a volume of an earlier run again, until it is refused or
+// reattach attaches a volume of an earlier run again, until it is refused or
 // the gateway stops.
-func (g *Gateway) restore(name, socket string) {
+func (g *Gateway) reattach(name, socket string) {
 	x := g.exports
 	for x.ctx.Err() == nil {
 		err := x.attach(name, socket, false)
@@ -91,8 +91,8 @@
 			return
 		}
 		if errors.As(err, &held) || errors.Is(err, volume.ErrNotFound) {
-			g.opt.Log.Error("volume not exported again", "volume", name, "error", err)
-			g.desk.PublishEvent("volume", "", fmt.Sprintf("%s is not exported again: %v", name, err))
+			g.opts.Log.Error("volume not exported again", "volume", name, "error", err)
+			g.controller.PublishEvent("volume", "", fmt.Sprintf("%s is not exported again: %v", name, err))
 			return
 		}
 		t := time.NewTimer(200 * time.Millisecond)
@@ -104,11 +104,11 @@
 	}
 }
 
-func (x *exports) attach(name, socket string, steal bool) error {
-	ctx, cancel := context.WithTimeout(x.ctx, attachWait)
+func (x *volumeExports) attach(name, socket string, steal bool) error {
+	ctx, cancel := context.WithTimeout(x.ctx, attachTimeout)
 	defer cancel()
 	x.mu.Lock()
-	_, open := x.open[name]
+	_, open := x.attached[name]
 	x.mu.Unlock()
 	if open {
 		return fmt.Errorf("volume %s: %w", name, &extent.Held{Volume: name, Holder: x.holder})
@@ -127,26 +127,26 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.open[name] = &export{v, server, socket}
+	x.attached[name] = &exportedVolume{v, server, socket}
 	return nil
 }
 
-// keep writes which volumes are exported. Its caller holds x.mu.
-func (x *exports) keep() error {
-	text, err := json.Marshal(x.want)
+// save writes which volumes are exported. Its caller holds x.mu.
+func (x *volumeExports) save() error {
+	text, err := json.Marshal(x.sockets)
 	if err != nil {
 		return err
 	}
-	return WriteFileAtomic(x.file, text)
+	return WriteFileAtomic(x.path, text)
 }
 
 // close ends all devices; volumes stay attached to this host, for its next run.
-func (x *exports) close() {
-	x.end()
+func (x *volumeExports) close() {
+	x.cancel()
 	x.wg.Wait()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for _, e := range x.open {
+	for _, e := range x.attached {
 		e.server.Close()
 	}
 }
@@ -157,7 +157,7 @@
 	if x == nil {
 		return nil, errors.New("this gateway has no block volumes")
 	}
-	ctx, cancel := context.WithTimeout(x.ctx, attachWait)
+	ctx, cancel := context.WithTimeout(x.ctx, attachTimeout)
 	defer cancel()
 	switch q.Action {
 	case "create":
@@ -185,10 +185,10 @@
 	return x.list(ctx, q.Name)
 }
 
-func (x *exports) export(q *control.VolumeOrder) ([]control.VolumeInfo, error) {
+func (x *volumeExports) export(q *control.VolumeOrder) ([]control.VolumeInfo, error) {
 	socket := q.Socket
 	if socket == "" {
-		socket = filepath.Join(x.dir, q.Name+".sock")
+		socket = filepath.Join(x.socketDir, q.Name+".sock")
 	}
 	if strings.ContainsAny(q.Name, "/") || !filepath.IsAbs(socket) {
 		return nil, fmt.Errorf("volume %q, socket %q: must be a plain name and an absolute path", q.Name, socket)
@@ -197,8 +197,8 @@
 		return nil, err
 	}
 	x.mu.Lock()
-	x.want[q.Name] = socket
-	err := x.keep()
+	x.sockets[q.Name] = socket
+	err := x.save()
 	x.mu.Unlock()
 	if err != nil {
 		return nil, err
@@ -206,12 +206,12 @@
 	return x.list(x.ctx, q.Name)
 }
 
-func (x *exports) unexport(ctx context.Context, name string) error {
+func (x *volumeExports) unexport(ctx context.Context, name string) error {
 	x.mu.Lock()
-	e := x.open[name]
-	delete(x.open, name)
-	delete(x.want, name)
-	err := x.keep()
+	e := x.attached[name]
+	delete(x.attached, name)
+	delete(x.sockets, name)
+	err := x.save()
 	x.mu.Unlock()
 	if err != nil {
 		return err
@@ -225,7 +225,7 @@
 }
 
 // list tells of one volume, or of all.
-func (x *exports) list(ctx context.Context, name string) ([]control.VolumeInfo, error) {
+func (x *volumeExports) list(ctx context.Context, name string) ([]control.VolumeInfo, error) {
 	records, err := x.store.List(ctx)
 	if err != nil {
 		return nil, err
@@ -237,7 +237,7 @@
 		}
 		one := control.VolumeInfo{Record: *r}
 		x.mu.Lock()
-		if e := x.open[r.Name]; e != nil {
+		if e := x.attached[r.Name]; e != nil {
 			one.Socket, one.Requests, one.Errors, one.Superseded = e.socket, e.server.Stats.Requests.Load(), e.server.Stats.Errors.Load(), e.volume.Over()
 		}
 		x.mu.Unlock()
