--- a/internal/front/s3/awschunked/awschunked.go
+++ b/internal/front/s3/awschunked/awschunked.go
@@ -43,14 +43,14 @@
 // Reader decodes a body. Bytes come out before their chunk's signature is
 // checked: they count only once Read has returned io.EOF.
 type Reader struct {
-	source      *bufio.Reader
-	signer  *sigv4.ChunkSigner // nil: not signed
-	allowTrailer bool
-	chunkRemaining    int64
-	inChunk   bool
-	chunkSignature    string // signature of the current chunk
-	chunkHash     hash.Hash
-	err     error
+	source         *bufio.Reader
+	signer         *sigv4.ChunkSigner // nil: not signed
+	allowTrailer   bool
+	chunkRemaining int64
+	inChunk        bool
+	chunkSignature string // signature of the current chunk
+	chunkHash      hash.Hash
+	err            error
 
 	Trailer http1.Fields // after io.EOF
 }
--- a/internal/front/s3/body.go
+++ b/internal/front/s3/body.go
@@ -26,8 +26,8 @@
 
 // crc64NVMETable is the polynomial of x-amz-checksum-crc64nvme, reflected.
 var (
-	crc64NVMETable       = crc64.MakeTable(0x9a6c9329ac4bc9b5)
-	crc32cTable = crc32.MakeTable(crc32.Castagnoli)
+	crc64NVMETable = crc64.MakeTable(0x9a6c9329ac4bc9b5)
+	crc32cTable    = crc32.MakeTable(crc32.Castagnoli)
 )
 
 // checksumAlgorithms are the algorithms of x-amz-checksum-NAME.
@@ -43,17 +43,17 @@
 
 // upload reads a request's body and checks all that the client said of it.
 type upload struct {
-	exchange       *exchange
-	source      io.Reader
-	chunkReader  *awschunked.Reader // where the body is aws-chunked
-	declaredSize    int64              // as told; -1: not told
-	received     int64
-	md5     hash.Hash
+	exchange          *exchange
+	source            io.Reader
+	chunkReader       *awschunked.Reader // where the body is aws-chunked
+	declaredSize      int64              // as told; -1: not told
+	received          int64
+	md5               hash.Hash
 	payloadSHA256     hash.Hash            // where the payload's hash is signed
-	checksums    map[string]hash.Hash // by algorithm
-	declaredChecksums    map[string]string    // checksums that the head told
-	trailerAlgorithm string               // algorithm that the trailer is to tell
-	wantMD5 []byte
+	checksums         map[string]hash.Hash // by algorithm
+	declaredChecksums map[string]string    // checksums that the head told
+	trailerAlgorithm  string               // algorithm that the trailer is to tell
+	wantMD5           []byte
 }
 
 // newUpload prepares to read the request's body.
@@ -159,7 +159,9 @@
 
 // recordReadPause notes for how long the body was not read: a client may have sent
 // all of it into buffers meanwhile, and an empty socket tells nothing then.
-func (x *exchange) recordReadPause(t time.Time) { x.restMayBeBuffered = x.restMayBeBuffered || time.Since(t) > bufferTransitTime }
+func (x *exchange) recordReadPause(t time.Time) {
+	x.restMayBeBuffered = x.restMayBeBuffered || time.Since(t) > bufferTransitTime
+}
 
 func (b clientBody) Read(p []byte) (int, error) {
 	x := b.exchange
@@ -254,7 +256,9 @@
 	return nil
 }
 
-func equalConstantTime(a, b string) bool { return subtle.ConstantTimeCompare([]byte(a), []byte(b)) == 1 }
+func equalConstantTime(a, b string) bool {
+	return subtle.ConstantTimeCompare([]byte(a), []byte(b)) == 1
+}
 
 func (u *upload) checksum(algorithm string) string {
 	return base64.StdEncoding.EncodeToString(u.checksums[algorithm].Sum(nil))
--- a/internal/front/s3/bucket.go
+++ b/internal/front/s3/bucket.go
@@ -17,16 +17,16 @@
 // bucketCache remembers for a short while which buckets there are, so that a
 // write need not ask. Buckets of the settings are always there.
 type bucketCache struct {
-	configured map[string]int // plan of each bucket of the settings
+	configured  map[string]int // plan of each bucket of the settings
 	defaultPlan int            // plan of all others
 
-	mu   sync.Mutex
+	mu     sync.Mutex
 	seenAt map[string]time.Time
 }
 
 const (
-	bucketCacheTTL   = 2 * time.Second // for how long a bucket is taken to be there still
-	maxBuckets = 10_000
+	bucketCacheTTL = 2 * time.Second // for how long a bucket is taken to be there still
+	maxBuckets     = 10_000
 )
 
 func (b *bucketCache) init(cfg *config.Config) {
--- a/internal/front/s3/doc.go
+++ b/internal/front/s3/doc.go
@@ -1,12 +1,12 @@
-// Package s3 is the front that speaks the object API over HTTP/1.1: it takes
-// requests off connections, has the host decide on the reads and writes of
-// bricks that they need, and gives each request its one answer.
+// Package s3 implements an S3-compatible object API over HTTP/1.1. It reads
+// requests from client connections, submits the brick reads and writes that
+// they need to the host, and writes exactly one response per request.
 //
-// A request's life is: a connection's goroutine reads its head (http1), checks
-// its signature (sigv4), and calls a handler, which runs tasks on the host.
-// Handlers return errors; only exchange.finish writes them.
+// The goroutine of a connection parses the request head (http1), verifies its
+// signature (sigv4) and calls a handler, which runs tasks on the host. Handlers
+// return errors; only exchange.respondError writes them.
 //
-// An object lives at the home of its name as one blob of up to a piece, or as
-// a manifest of pieces that are spread by name. The manifest is written last
-// and in one step, so an object is whole or absent.
+// An object is stored at the shard of its name, either as one blob of at most
+// one piece, or as a manifest of pieces that are distributed by name. The
+// manifest is written last and atomically, so an object is complete or absent.
 package s3
--- a/internal/front/s3/exchange.go
+++ b/internal/front/s3/exchange.go
@@ -22,75 +22,80 @@
 	"arrowwalk/internal/spool"
 )
 
-// exchange is one request and its one answer.
+// exchange is one request and its response. It belongs to the connection's
+// goroutine; goroutines that runParallel starts may also run calls with it.
 type exchange struct {
-	server      *Server
-	conn      *conn
-	requestID     string
-	startedAt  time.Time
-	path   string // decoded
-	bucket string
-	key    string
-	query  sigv4.Query
-	identity    *sigv4.Identity
-	volume arrowwalk.Volume
-	clientTimeout   time.Duration // how long the client says it waits; 0: it does not say
-	isRetry  bool          // the client says that it tries again
-	continueSettled  bool          // 100 Continue was sent, or was not wanted
-	responseStarted  bool          // bytes of the answer were sent
-	closeConn  bool          // the connection ends after the answer
-	status int
-	bytesSent   int64
-	waitStart   time.Time // when the client began to wait: the last byte of its request had come
-	restMayBeBuffered   bool      // the body was not read for long: its rest may lie in the client's own buffers
-	markedAt   time.Time // since then sinceMark bytes of the body were read
-	hasClient  bool      // somebody waits for the answer on a socket
-	lateTasks   []*host.Task
+	server            *Server
+	conn              *conn
+	requestID         string
+	startedAt         time.Time
+	path              string // percent-decoded
+	bucket            string
+	key               string
+	query             sigv4.Query
+	identity          *sigv4.Identity
+	volume            arrowwalk.Volume
+	clientTimeout     time.Duration // from headerClientTimeout; 0 if not given
+	isRetry           bool          // the client marked the request as a retry
+	continueSettled   bool          // 100 Continue was sent or is not needed
+	responseStarted   bool          // bytes of the response were sent
+	closeConn         bool          // close the connection after the response
+	status            int
+	bytesSent         int64
+	waitStart         time.Time // when the client began to wait: its last byte had arrived
+	restMayBeBuffered bool      // reading paused for long enough that the rest of the body may be in the client's socket buffers
+	markedAt          time.Time // start of the period counted by bytesSinceMark
+	hasClient         bool      // a client waits for the response on a socket
+	lateTasks         []*host.Task
 
 	bytesSinceMark int64
 }
 
-// headerClientTimeout is how a client tells how many milliseconds it will wait for an
-// answer, less than the class's deadline.
+// headerClientTimeout is the request header with which a client shortens the
+// deadline of the class: the milliseconds that it waits for a response.
 const headerClientTimeout = "X-Arrowwalk-Wait-Ms"
 
 const (
 	maxQueryParams = 64
-	maxKeyBytes   = 1024 // bytes, as the specification has it
+	maxKeyBytes    = 1024 // limit of the S3 specification
 )
 
+// newExchange returns an exchange with a new request ID for the next request
+// of c.
 func newExchange(c *conn) *exchange {
 	id := c.server.opts.Host.RunID() + "-" + strconv.FormatUint(c.server.requestSeq.Add(1), 10)
 	now := time.Now()
 	return &exchange{server: c.server, conn: c, requestID: id, startedAt: now, waitStart: now}
 }
 
-// arrivalAfterStall tells since when the client may have waited, where a stall of this host
-// ended less than span ago: what is found then may have lain in its socket, and
-// the kernel is asked how old it is. got is what was read just before.
-func (x *exchange) arrivalAfterStall(got int, span time.Duration) (time.Time, bool) {
+// arrivalAfterStall returns when the last bytes of the client arrived, if a
+// stall of this host ended less than window ago. Bytes read after a stall may
+// have waited in the socket, so the kernel is asked for their age. justRead is
+// the number of bytes read immediately before.
+func (x *exchange) arrivalAfterStall(justRead int, window time.Duration) (time.Time, bool) {
 	if x.server.opts.IgnoreSocketAge {
 		return time.Time{}, false
 	}
-	rest := x.conn.body.Remaining()
-	if rest > 0 {
-		rest = max(0, rest-int64(x.conn.reader.Buffered()))
+	remaining := x.conn.body.Remaining()
+	if remaining > 0 {
+		remaining = max(0, remaining-int64(x.conn.reader.Buffered()))
 	}
-	from, ok := x.server.opts.Host.RequestArrival(x.conn.rawConn, x.conn.socketEmptyAt, got+x.conn.reader.Buffered(), rest, span)
-	x.restMayBeBuffered = x.restMayBeBuffered || ok && rest != 0
-	return from, ok
+	arrival, ok := x.server.opts.Host.RequestArrival(x.conn.rawConn, x.conn.socketEmptyAt, justRead+x.conn.reader.Buffered(), remaining, window)
+	x.restMayBeBuffered = x.restMayBeBuffered || ok && remaining != 0
+	return arrival, ok
 }
 
-// recordHeadArrival notes that the request's head was read: what is there of the request
-// may have lain in its socket for as long as its client may wait.
+// recordHeadArrival sets the start of the client's wait after the request head
+// was read. After a stall, the request may have waited in the socket for up to
+// the longest time that a client waits.
 func (x *exchange) recordHeadArrival() {
 	x.hasClient = true
-	if from, ok := x.arrivalAfterStall(0, x.server.maxClientWait); ok {
-		x.waitStart = from
+	if arrival, ok := x.arrivalAfterStall(0, x.server.maxClientWait); ok {
+		x.waitStart = arrival
 	}
 }
 
-// handle serves the request and gives its answer.
+// handle serves the request and writes its response.
 func (x *exchange) handle() {
 	err := x.dispatch()
 	if err == nil {
@@ -99,27 +104,29 @@
 	x.respondError(err)
 }
 
+// dispatch parses and authenticates the request and calls its handler.
 func (x *exchange) dispatch() error {
 	if err := x.parseRequest(); err != nil {
 		x.closeConn = true
 		return err
 	}
-	who, err := x.server.verifier.Verify(&sigv4.Request{
+	identity, err := x.server.verifier.Verify(&sigv4.Request{
 		Method: x.conn.req.Method, Path: x.path, Query: x.query, Fields: x.conn.req.Fields,
 	}, x.server.opts.Now())
 	if err != nil {
 		return err
 	}
-	x.identity = who
+	x.identity = identity
 	if x.server.opts.NotReadyReason != nil {
-		if why := x.server.opts.NotReadyReason(); why != "" {
-			return &apiError{status: 503, code: "SlowDown", message: why, retryAfter: time.Second}
+		if reason := x.server.opts.NotReadyReason(); reason != "" {
+			return &apiError{status: 503, code: "SlowDown", message: reason, retryAfter: time.Second}
 		}
 	}
 	return x.route()
 }
 
-// parseRequest reads the target and the fields that say how to treat the request.
+// parseRequest parses the request target and the headers that apply to all
+// requests.
 func (x *exchange) parseRequest() error {
 	req := &x.conn.req
 	path, query, _ := strings.Cut(req.Target, "?")
@@ -155,80 +162,84 @@
 	return nil
 }
 
-// VolumeID is the module's number of a bucket's volume, the same at all hosts.
+// VolumeID returns the scheduler's volume ID of a bucket. It is the same on
+// all hosts.
 func VolumeID(bucket string) arrowwalk.VolumeID {
 	return arrowwalk.VolumeID(placement.Hash(bucket) >> 1)
 }
 
-// deadline returns when the client stops waiting for a task of a class: it began to
-// wait at x.from.
+// deadline returns when the client stops waiting for a task of the given
+// class, counted from x.waitStart.
 func (x *exchange) deadline(class int) time.Time {
 	ms := x.server.cfg.Classes.Read.DeadlineMS
 	if class == config.ClassWrite {
 		ms = x.server.cfg.Classes.Write.DeadlineMS
 	}
-	span := config.MS(ms)
+	timeout := config.MS(ms)
 	if x.clientTimeout > 0 {
-		span = min(span, x.clientTimeout)
+		timeout = min(timeout, x.clientTimeout)
 	}
-	return x.waitStart.Add(span)
+	return x.waitStart.Add(timeout)
 }
 
-// restartWait lets the client's wait begin anew: it has taken more of the answer.
+// restartWait restarts the client's wait, because it has received more of the
+// response.
 func (x *exchange) restartWait() { x.waitStart = time.Now() }
 
-// respondError writes the one answer of a request that a handler gave up.
+// respondError writes the response for an error returned by a handler. If the
+// response has already started, it closes the connection instead.
 func (x *exchange) respondError(err error) {
 	if errors.Is(err, errClientGone) {
 		x.closeConn = true
 		x.server.stats.clientsGone.Add(1)
-		x.server.log.Debug("client gone", "request", x.requestID)
+		x.server.log.Debug("client disconnected", "request", x.requestID)
 		return
 	}
-	if x.responseStarted || errors.Is(err, errTruncated) { // too late for a status: a short answer tells that it failed
+	if x.responseStarted || errors.Is(err, errTruncated) { // too late for a status; the client sees a truncated response
 		x.closeConn = true
 		x.server.stats.truncatedResponses.Add(1)
-		x.server.log.Warn("answer cut short", "request", x.requestID, "sent", x.bytesSent, "error", err)
+		x.server.log.Warn("response truncated", "request", x.requestID, "sent", x.bytesSent, "error", err)
 		x.conn.netConn.Close()
 		return
 	}
-	api := toAPIError(err)
-	if api == nil {
-		api = x.bodyReadError(err)
+	apiErr := toAPIError(err)
+	if apiErr == nil {
+		apiErr = x.bodyReadError(err)
 	}
-	if left := x.conn.body.Remaining(); left < 0 || left > maxDrainBytes {
-		x.closeConn = true // the rest of the body would have to be read first
+	if remaining := x.conn.body.Remaining(); remaining < 0 || remaining > maxDrainBytes {
+		x.closeConn = true // too much unread body to reuse the connection
 	}
-	if api.status >= 500 && api.status != 501 {
+	if apiErr.status >= 500 && apiErr.status != 501 {
 		x.server.log.Warn("request not served", "request", x.requestID, "method", x.conn.req.Method, "bucket", x.bucket,
-			"status", api.status, "code", api.code, "after", time.Since(x.startedAt))
+			"status", apiErr.status, "code", apiErr.code, "after", time.Since(x.startedAt))
 	}
-	if api.status == 304 {
+	if apiErr.status == 304 {
 		x.buildHead(304, nil, -1)
 		x.flush()
 		return
 	}
-	text := append([]byte(xml.Header), marshalXML(errorBody{
-		Code: api.code, Message: api.message, Resource: x.path, RequestID: x.requestID, HostID: x.server.opts.Host.RunID(),
+	body := append([]byte(xml.Header), marshalXML(errorBody{
+		Code: apiErr.code, Message: apiErr.message, Resource: x.path, RequestID: x.requestID, HostID: x.server.opts.Host.RunID(),
 	})...)
 	fields := http1.Fields{{Name: "Content-Type", Value: "application/xml"}}
-	if api.status == 503 {
-		wait := max(1, int64((api.retryAfter+time.Second-1)/time.Second))
-		fields = append(fields, http1.Field{Name: "Retry-After", Value: strconv.FormatInt(wait, 10)})
+	if apiErr.status == 503 {
+		retrySeconds := max(1, int64((apiErr.retryAfter+time.Second-1)/time.Second))
+		fields = append(fields, http1.Field{Name: "Retry-After", Value: strconv.FormatInt(retrySeconds, 10)})
 	}
 	if !x.conn.body.Done() && x.conn.req.Expect100 && !x.continueSettled {
-		x.closeConn = true // the client may send the body or not: nothing else can follow
+		x.closeConn = true // unknown whether the client will send the body, so the connection cannot be reused
 	}
-	x.respond(api.status, fields, text)
+	x.respond(apiErr.status, fields, body)
 }
 
-// bodyReadError names what went wrong with reading the client's body.
+// bodyReadError returns the error response for a failure to read the request
+// body. The connection is closed after it.
 func (x *exchange) bodyReadError(err error) *apiError {
-	var bad *http1.Error
+	var httpErr *http1.Error
 	x.closeConn = true
 	switch {
-	case errors.As(err, &bad):
-		return &apiError{status: bad.Status, code: "InvalidRequest", message: bad.Reason}
+	case errors.As(err, &httpErr):
+		return &apiError{status: httpErr.Status, code: "InvalidRequest", message: httpErr.Reason}
 	case isTimeout(err):
 		return toAPIError(errRequestTimeout)
 	case errors.Is(err, io.ErrUnexpectedEOF):
@@ -240,25 +251,30 @@
 	return toAPIError(errInternal)
 }
 
+// marshalXML encodes a response body. It panics on error, because only types
+// of this package are encoded.
 func marshalXML(v any) []byte {
 	text, err := xml.Marshal(v)
 	if err != nil {
-		panic("xml: " + err.Error()) // our own types only
+		panic("xml: " + err.Error())
 	}
 	return text
 }
 
-// cachedDate is the Date field, made once a second.
+// cachedDate is the value of the Date header, formatted at most once per
+// second.
 var cachedDate atomic.Pointer[formattedDate]
 
+// formattedDate is the text of the Date header for one second.
 type formattedDate struct {
 	second int64
 	text   string
 }
 
-// httpTimeFormat is that of dates in HTTP.
+// httpTimeFormat is the layout of dates in HTTP headers.
 const httpTimeFormat = "Mon, 02 Jan 2006 15:04:05 GMT"
 
+// currentDate returns the value of the Date header.
 func currentDate() string {
 	now := time.Now()
 	if d := cachedDate.Load(); d != nil && d.second == now.Unix() {
@@ -269,7 +285,8 @@
 	return d.text
 }
 
-// buildHead builds the answer's buildHead; length -1: it has no body and tells no length.
+// buildHead builds the response head in the write buffer. A length of -1 means
+// no body and no Content-Length.
 func (x *exchange) buildHead(status int, fields http1.Fields, length int64) {
 	x.status = status
 	x.server.stats.responsesByClass[status/100].Add(1)
@@ -293,7 +310,7 @@
 	x.conn.writeBuf = append(b, "\r\n"...)
 }
 
-// respond gives a whole respond.
+// respond writes a complete response.
 func (x *exchange) respond(status int, fields http1.Fields, body []byte) error {
 	x.buildHead(status, fields, int64(len(body)))
 	if x.conn.req.Method != "HEAD" {
@@ -302,13 +319,13 @@
 	return x.flush()
 }
 
-// respondXML gives a whole answer with an XML body.
+// respondXML writes a complete response with an XML body.
 func (x *exchange) respondXML(status int, v any) error {
 	return x.respond(status, http1.Fields{{Name: "Content-Type", Value: "application/xml"}},
 		append([]byte(xml.Header), marshalXML(v)...))
 }
 
-// flush sends what head and answer have built.
+// flush writes the buffer that buildHead and respond have filled.
 func (x *exchange) flush() error {
 	err := x.write(x.conn.writeBuf)
 	if cap(x.conn.writeBuf) > 16<<10 {
@@ -317,14 +334,15 @@
 	return err
 }
 
-// write sends bytes of the answer; a client that does not take them in time
-// loses its connection.
+// write sends bytes of the response. A client that does not accept them within
+// the write stall timeout is disconnected.
 func (x *exchange) write(p []byte) error {
 	x.responseStarted = true
 	x.conn.netConn.SetWriteDeadline(time.Now().Add(config.MS(x.server.cfg.Timeouts.WriteStallMS)))
 	return x.recordWrite(x.conn.netConn.Write(p))
 }
 
+// recordWrite counts n sent bytes and converts a write error to errClientGone.
 func (x *exchange) recordWrite(n int, err error) error {
 	x.bytesSent += int64(n)
 	if err != nil {
@@ -334,20 +352,20 @@
 	return nil
 }
 
-// writeBuffers sends several slices at once.
-func (x *exchange) writeBuffers(parts net.Buffers) error {
+// writeBuffers sends several buffers in one call.
+func (x *exchange) writeBuffers(buffers net.Buffers) error {
 	x.responseStarted = true
 	x.conn.netConn.SetWriteDeadline(time.Now().Add(config.MS(x.server.cfg.Timeouts.WriteStallMS)))
-	n, err := parts.WriteTo(x.conn.netConn)
+	n, err := buffers.WriteTo(x.conn.netConn)
 	return x.recordWrite(int(n), err)
 }
 
-// partialWriteTimeout is for how long a brick's answer waits on a client that takes none
-// of it, before the rest is kept so that the brick is free.
+// partialWriteTimeout is how long a brick's response waits for a client that
+// accepts no data, before the rest is spooled to free the brick.
 const partialWriteTimeout = 20 * time.Millisecond
 
-// writePartial sends what the client takes without a long wait, and returns how
-// much that was.
+// writePartial sends what the client accepts within partialWriteTimeout and
+// returns the number of bytes sent.
 func (x *exchange) writePartial(p []byte) (int, error) {
 	x.responseStarted = true
 	x.conn.netConn.SetWriteDeadline(time.Now().Add(partialWriteTimeout))
@@ -359,7 +377,8 @@
 	return n, x.recordWrite(n, err)
 }
 
-// sendContinue tells a client that waits for it to send the body.
+// sendContinue sends 100 Continue if the client waits for it before it sends
+// the body.
 func (x *exchange) sendContinue() error {
 	if x.continueSettled || !x.conn.req.Expect100 || x.conn.reader.Buffered() > 0 {
 		x.continueSettled = true
--- a/internal/front/s3/gc.go
+++ b/internal/front/s3/gc.go
@@ -17,24 +17,24 @@
 // data they drop. What it has not dropped when the host stops is left over;
 // it is never read and costs only room.
 type garbageCollector struct {
-	server     *Server
-	queue chan deletion
-	abandoned  atomic.Uint64 // chores given up
-	deletedBlobs  atomic.Uint64 // blobs dropped
-	quit  chan struct{}
-	quitOnce  sync.Once
-	stopped chan struct{}
+	server       *Server
+	queue        chan deletion
+	abandoned    atomic.Uint64 // chores given up
+	deletedBlobs atomic.Uint64 // blobs dropped
+	quit         chan struct{}
+	quitOnce     sync.Once
+	stopped      chan struct{}
 }
 
 // deletion is something to drop.
 type deletion struct {
-	volume arrowwalk.Volume
-	piecePrefix   string          // drop all pieces whose names begin with it and a slash,
-	keepBases map[string]bool // but those with one of these bases
-	runs   []pieceRun           // or the pieces of these
-	uploadID string          // and the part records of this upload
-	partName   string          // or one part record
-	shard  int             // where the part records are
+	volume      arrowwalk.Volume
+	piecePrefix string          // drop all pieces whose names begin with it and a slash,
+	keepBases   map[string]bool // but those with one of these bases
+	runs        []pieceRun      // or the pieces of these
+	uploadID    string          // and the part records of this upload
+	partName    string          // or one part record
+	shard       int             // where the part records are
 }
 
 const maxQueuedDeletions = 4096
@@ -63,7 +63,9 @@
 }
 
 // deletePieces drops all pieces of an object's data.
-func (j *garbageCollector) deletePieces(x *exchange, data string) { j.enqueue(deletion{volume: x.volume, piecePrefix: data}) }
+func (j *garbageCollector) deletePieces(x *exchange, data string) {
+	j.enqueue(deletion{volume: x.volume, piecePrefix: data})
+}
 
 // deleteRuns drops pieces that were stored for a record that was not written.
 func (j *garbageCollector) deleteRuns(x *exchange, runs []pieceRun) {
@@ -112,8 +114,8 @@
 
 // deletionRetryDelay is how long a chore that was refused rests before its next try.
 const (
-	deletionRetryDelay  = 200 * time.Millisecond
-	maxDeletionTries = 5
+	deletionRetryDelay = 200 * time.Millisecond
+	maxDeletionTries   = 5
 )
 
 func (j *garbageCollector) deleteWithRetries(c deletion) {
--- a/internal/front/s3/get.go
+++ b/internal/front/s3/get.go
@@ -18,26 +18,26 @@
 
 const (
 	maxBufferedBody = 64 << 10  // bodies up to this are read whole before the answer begins
-	copyBufferSize   = 128 << 10 // of a body on its way through
+	copyBufferSize  = 128 << 10 // of a body on its way through
 )
 
 var copyBufferPool = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
 // objectRead is a GET or HEAD of an object.
 type objectRead struct {
-	exchange    *exchange
-	headOnly bool
-	rangeField  string // the Range field; "": the whole object
+	exchange   *exchange
+	headOnly   bool
+	rangeField string // the Range field; "": the whole object
 	conditions conditions
 
-	record     *record
-	refusal error  // what the answer's head settled
-	bufferedBody   []byte // a small body, read whole
-	pooledBuf  *[copyBufferSize]byte
-	spooled    *spool.Buffer // what the client did not take in time
-	manifest    *manifest     // the object is in pieces
-	status  int
-	span    byteRange
+	record       *record
+	refusal      error  // what the answer's head settled
+	bufferedBody []byte // a small body, read whole
+	pooledBuf    *[copyBufferSize]byte
+	spooled      *spool.Buffer // what the client did not take in time
+	manifest     *manifest     // the object is in pieces
+	status       int
+	span         byteRange
 }
 
 // getObject serves GET and HEAD of an object.
@@ -347,8 +347,8 @@
 }
 
 type responseReader struct {
-	response  *brick.Response
-	pool *brick.Pool
+	response *brick.Response
+	pool     *brick.Pool
 }
 
 func (r responseReader) Read(p []byte) (int, error) { return r.response.Read(r.pool, p) }
--- a/internal/front/s3/list.go
+++ b/internal/front/s3/list.go
@@ -17,8 +17,8 @@
 // ask for.
 type listParams struct {
 	prefix, delimiter string
-	maxItems              int
-	urlEncode           bool // names are to be percent-encoded
+	maxItems          int
+	urlEncode         bool // names are to be percent-encoded
 }
 
 const maxListItems = 1000 // in a page, as the specification has it
--- a/internal/front/s3/multipart.go
+++ b/internal/front/s3/multipart.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	maxParts = 10_000
+	maxParts     = 10_000
 	minPartBytes = 5 << 20 // bytes of a part that is not the last
 )
 
@@ -28,8 +28,8 @@
 // change of it is conditional on its version: complete and abort cannot both
 // win.
 type uploadRecord struct {
-	Object record `json:"o"` // what the object will be told to be
-	CreatedMS   int64  `json:"t"`
+	Object    record `json:"o"` // what the object will be told to be
+	CreatedMS int64  `json:"t"`
 	// Completing is a digest of the part list that a complete has claimed the
 	// upload for; the same list may be claimed again, after a crash or a
 	// repeat, any other may not, and abort may not.
@@ -39,12 +39,12 @@
 // partRecord is kept of each part that was uploaded, at the object's home. A
 // part that is sent again gets a record of its own; the latest counts.
 type partRecord struct {
-	Number int               `json:"n"`
-	ETag   string            `json:"e"`
-	Size   int64             `json:"s"`
-	UploadedMS   int64             `json:"t"`
-	Base   string            `json:"b"` // of its pieces
-	Checksums   map[string]string `json:"k,omitempty"`
+	Number     int               `json:"n"`
+	ETag       string            `json:"e"`
+	Size       int64             `json:"s"`
+	UploadedMS int64             `json:"t"`
+	Base       string            `json:"b"` // of its pieces
+	Checksums  map[string]string `json:"k,omitempty"`
 }
 
 func uploadName(bucket, key, id string) string { return placement.Object(bucket, key) + "\x00" + id }
--- a/internal/front/s3/record.go
+++ b/internal/front/s3/record.go
@@ -13,14 +13,14 @@
 
 // record is what is kept of an object beside its bytes.
 type record struct {
-	ETag   string            `json:"e"`           // without quotes
-	Size   int64             `json:"s"`           // bytes
-	ModifiedMS   int64             `json:"t"`           // of the last change, milliseconds since 1970
-	ContentType   string            `json:"c,omitempty"` // Content-Type
-	Fields map[string]string `json:"h,omitempty"` // other fields to give back, by lower-case name
+	ETag        string            `json:"e"`           // without quotes
+	Size        int64             `json:"s"`           // bytes
+	ModifiedMS  int64             `json:"t"`           // of the last change, milliseconds since 1970
+	ContentType string            `json:"c,omitempty"` // Content-Type
+	Fields      map[string]string `json:"h,omitempty"` // other fields to give back, by lower-case name
 	Checksums   map[string]string `json:"k,omitempty"` // checksums in base64, by algorithm
-	PiecePrefix   string            `json:"d,omitempty"` // pieces' names begin with it and a slash; "": the body is here
-	UploadID string            `json:"u,omitempty"` // the multipart upload that made it
+	PiecePrefix string            `json:"d,omitempty"` // pieces' names begin with it and a slash; "": the body is here
+	UploadID    string            `json:"u,omitempty"` // the multipart upload that made it
 }
 
 // manifest is the body of an object's blob where its data is in pieces.
@@ -30,15 +30,15 @@
 
 // pieceRun is a row of pieces: all of Piece bytes but the last.
 type pieceRun struct {
-	Base  string `json:"b"`
-	Size  int64  `json:"s"`
+	Base      string `json:"b"`
+	Size      int64  `json:"s"`
 	PieceSize int64  `json:"p"`
 }
 
 const (
-	maxRecordBytes   = 8 << 10 // bytes of a record as JSON
+	maxRecordBytes       = 8 << 10 // bytes of a record as JSON
 	maxUserMetadataBytes = 2 << 10 // bytes of user metadata, as the specification has it
-	maxManifestBytes = 16 << 20
+	maxManifestBytes     = 16 << 20
 )
 
 func decodeRecord(text []byte) (*record, error) {
@@ -64,7 +64,9 @@
 func (r *record) modified() time.Time { return time.UnixMilli(r.ModifiedMS).UTC() }
 
 // formatISOTime is the form of times in the API's XML.
-func formatISOTime(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02T15:04:05.000Z") }
+func formatISOTime(ms int64) string {
+	return time.UnixMilli(ms).UTC().Format("2006-01-02T15:04:05.000Z")
+}
 
 func quoteETag(etag string) string { return `"` + etag + `"` }
 
@@ -248,9 +250,9 @@
 
 // conditions are a request's preconditions (RFC 9110 section 13).
 type conditions struct {
-	match, noneMatch           string
+	match, noneMatch                     string
 	modifiedSince, unmodifiedSince       time.Time
-	hasMatch, hasNoneMatch          bool
+	hasMatch, hasNoneMatch               bool
 	hasModifiedSince, hasUnmodifiedSince bool
 }
 
--- a/internal/front/s3/route.go
+++ b/internal/front/s3/route.go
@@ -4,8 +4,9 @@
 	"slices"
 )
 
-// subresources are the queries that name another thing than an object, a
-// bucket or an upload; those that are not served are refused by name.
+// subresources lists the query parameters that select a resource other than an
+// object, a bucket or an upload. Requests for them are answered with
+// NotImplemented.
 var subresources = []string{
 	"accelerate", "acl", "analytics", "attributes", "cors", "encryption", "intelligent-tiering", "inventory",
 	"legal-hold", "lifecycle", "logging", "metrics", "notification", "object-lock", "ownershipControls", "policy",
@@ -13,7 +14,7 @@
 	"session", "tagging", "torrent", "versioning", "versions", "versionId", "website", "metadataTable",
 }
 
-// route calls the handler of the request's method and resource.
+// route calls the handler for the method and resource of the request.
 func (x *exchange) route() error {
 	for _, p := range x.query {
 		if slices.Contains(subresources, p.Name) {
@@ -32,6 +33,7 @@
 	return x.routeObject()
 }
 
+// routeBucket calls the handler of a request for a bucket.
 func (x *exchange) routeBucket() error {
 	has := func(name string) bool { _, ok := x.query.Lookup(name); return ok }
 	switch x.conn.req.Method {
@@ -53,20 +55,22 @@
 		if has("delete") {
 			return x.deleteObjects()
 		}
-		return errNotImplemented // a form upload
+		return errNotImplemented // browser form uploads (POST Object) are not supported
 	}
 	return errMethodNotAllowed
 }
 
+// routeObject calls the handler of a request for an object or a multipart
+// upload.
 func (x *exchange) routeObject() error {
-	upload, isUpload := x.query.Lookup("uploadId")
-	_, start := x.query.Lookup("uploads")
+	uploadID, isUpload := x.query.Lookup("uploadId")
+	_, startsUpload := x.query.Lookup("uploads")
 	_, isPart := x.query.Lookup("partNumber")
 	switch x.conn.req.Method {
 	case "GET":
 		switch {
 		case isUpload:
-			return x.listParts(upload)
+			return x.listParts(uploadID)
 		case isPart:
 			return errNotImplemented
 		}
@@ -77,13 +81,13 @@
 		}
 		return x.getObject(true)
 	case "PUT":
-		_, copied := x.conn.req.Fields.Lookup("x-amz-copy-source")
+		_, isCopy := x.conn.req.Fields.Lookup("x-amz-copy-source")
 		switch {
 		case isUpload && copied:
 			return errNotImplemented
 		case isUpload:
-			return x.uploadPart(upload)
-		case copied:
+			return x.uploadPart(uploadID)
+		case isCopy:
 			return x.copyObject()
 		}
 		return x.putObject()
@@ -92,12 +96,12 @@
 		case start:
 			return x.createUpload()
 		case isUpload:
-			return x.completeUpload(upload)
+			return x.completeUpload(uploadID)
 		}
 		return errNotImplemented
 	case "DELETE":
 		if isUpload {
-			return x.abortUpload(upload)
+			return x.abortUpload(uploadID)
 		}
 		return x.deleteObject()
 	}
--- a/internal/front/s3/server.go
+++ b/internal/front/s3/server.go
@@ -24,45 +24,47 @@
 	"arrowwalk/internal/spool"
 )
 
-// Options of a Server. The caller keeps Host, Pool and Spool, and closes them
-// after Shutdown.
+// Options configures a Server. The caller owns Host, Pool and Spool, and
+// closes them after Shutdown.
 type Options struct {
 	Config  *config.Config
 	Host    *host.Host
 	Pool    *brick.Pool
 	Spool   *spool.Pool
-	Secrets map[string]string // access key to secret
+	Secrets map[string]string // secret keys by access key
 	Log     *slog.Logger
-	Now     func() time.Time // wall clock for signatures; nil: time.Now
-	// OnObservation is told what attempts showed of bricks, and Ended how tasks of
-	// collections ended; nil: nobody is.
+	Now     func() time.Time // wall clock for signatures; nil means time.Now
+	// OnObservation is called with what each attempt revealed about its brick, and
+	// OnTaskEnd with the result of each task of a bucket. Both may be nil.
 	OnObservation func(attempts.Observation)
 	OnTaskEnd     func(bucket string, plan, shard int, end host.TaskStatus)
-	// NotReadyReason says why nothing can be served, or ""; nil: it always can.
+	// NotReadyReason returns why no request can be served, or "" if requests can
+	// be served. If it is nil, requests are always served.
 	NotReadyReason func() string
-	// IgnoreSocketAge takes what is found after a stall for fresh; for proofs that must
-	// fail.
+	// IgnoreSocketAge treats bytes that are found after a stall as new. Only for
+	// proofs that must fail.
 	IgnoreSocketAge bool
-	// AcceptAnyBrick lets any brick answer for another; for proofs that must fail.
+	// AcceptAnyBrick accepts a response from a brick other than the one addressed.
+	// Only for proofs that must fail.
 	AcceptAnyBrick bool
 }
 
-// Server is the object API on one listener.
+// Server serves the object API on one listener.
 type Server struct {
-	opts      Options
-	cfg      *config.Config
-	log      *slog.Logger
-	listener       net.Listener
-	verifier *sigv4.Verifier
-	shards    *placement.Map
-	sizeEstimator    *sizing.Estimator
-	buckets  bucketCache
-	gc  *garbageCollector
-	headLimits   http1.Limits
-	requestSeq atomic.Uint64
-	sender   attempts.Sender
-	maxClientWait  time.Duration // that a client may wait
-	stats    counters
+	opts          Options
+	cfg           *config.Config
+	log           *slog.Logger
+	listener      net.Listener
+	verifier      *sigv4.Verifier
+	shards        *placement.Map
+	sizeEstimator *sizing.Estimator
+	buckets       bucketCache
+	gc            *garbageCollector
+	headLimits    http1.Limits
+	requestSeq    atomic.Uint64
+	sender        attempts.Sender
+	maxClientWait time.Duration // longest time that a client waits for a response
+	stats         counters
 
 	mu      sync.Mutex
 	conns   map[*conn]struct{}
@@ -71,21 +73,22 @@
 	quit    chan struct{}
 }
 
-// counters are what the front counts.
+// counters holds the statistics of a Server. It is safe for concurrent use.
 type counters struct {
 	requests, refusedConns, badRequests, clientsGone, truncatedResponses atomic.Uint64
-	responsesByClass                                       [6]atomic.Uint64 // by hundreds
-	openConns                                          atomic.Int64
+	responsesByClass                                                     [6]atomic.Uint64 // by the first digit of the status
+	openConns                                                            atomic.Int64
 }
 
-// Stats are counts since the start, and the connections open now.
+// Stats holds counts since the start of the server and the number of open
+// connections.
 type Stats struct {
 	Requests, RefusedConns, BadRequests, ClientsGone, TruncatedResponses uint64
 	ResponsesByClass                                                     [6]uint64
 	OpenConns                                                            int64
 }
 
-// Stats returns the counts so far.
+// Stats returns the current statistics. It is safe for concurrent use.
 func (s *Server) Stats() Stats {
 	c := &s.stats
 	out := Stats{Requests: c.requests.Load(), RefusedConns: c.refusedConns.Load(), BadRequests: c.badRequests.Load(),
@@ -96,24 +99,24 @@
 	return out
 }
 
-// Start serves ln until Shutdown.
-func Start(ln net.Listener, opt Options) (*Server, error) {
-	slots, err := opt.Config.Placement()
+// Start serves connections of listener until Shutdown, which closes it.
+func Start(listener net.Listener, opts Options) (*Server, error) {
+	shards, err := opts.Config.Placement()
 	if err != nil {
 		return nil, err
 	}
-	if opt.Log == nil {
-		opt.Log = slog.New(slog.DiscardHandler)
+	if opts.Log == nil {
+		opts.Log = slog.New(slog.DiscardHandler)
 	}
-	if opt.Now == nil {
-		opt.Now = time.Now
+	if opts.Now == nil {
+		opts.Now = time.Now
 	}
-	cfg := opt.Config
-	s := &Server{opts: opt, cfg: cfg, log: opt.Log, listener: ln, shards: slots, conns: map[*conn]struct{}{},
+	cfg := opts.Config
+	s := &Server{opts: opts, cfg: cfg, log: opts.Log, listener: listener, shards: shards, conns: map[*conn]struct{}{},
 		quit: make(chan struct{}), sizeEstimator: sizing.NewEstimator(64 << 10),
-		verifier: sigv4.NewVerifier(cfg.Region, config.MS(cfg.Timeouts.SkewMS), opt.Secrets),
-		headLimits:   http1.Limits{MaxLineBytes: min(16<<10, cfg.Bounds.HeaderBytes), MaxHeadBytes: cfg.Bounds.HeaderBytes, MaxFields: 200}}
-	s.sender = attempts.Sender{Pool: opt.Pool, Host: opt.Host, Config: cfg, Observe: opt.OnObservation, AcceptAnyBrick: opt.AcceptAnyBrick}
+		verifier:   sigv4.NewVerifier(cfg.Region, config.MS(cfg.Timeouts.SkewMS), opts.Secrets),
+		headLimits: http1.Limits{MaxLineBytes: min(16<<10, cfg.Bounds.HeaderBytes), MaxHeadBytes: cfg.Bounds.HeaderBytes, MaxFields: 200}}
+	s.sender = attempts.Sender{Pool: opts.Pool, Host: opts.Host, Config: cfg, Observe: opts.OnObservation, AcceptAnyBrick: opts.AcceptAnyBrick}
 	s.maxClientWait = s.sender.MaxTimeout()
 	s.buckets.init(cfg)
 	s.gc = startGarbageCollector(s)
@@ -126,8 +129,9 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Shutdown stops accepting, lets the requests that were taken get their
-// answers, and closes the connections; when ctx ends it cuts what is left.
+// Shutdown stops accepting connections, waits until the requests in progress
+// are answered, and closes the connections. When ctx ends, it closes the
+// remaining connections at once.
 func (s *Server) Shutdown(ctx context.Context) {
 	if s.closing.Swap(true) {
 		return
@@ -145,63 +149,67 @@
 	<-done
 }
 
-// waitForConns waits for the connections to end, and cuts them when ctx ends.
+// waitForConns waits until all connections have ended. When ctx ends, it
+// closes the remaining ones.
 func (s *Server) waitForConns(ctx context.Context) {
-	tick := time.NewTicker(5 * time.Millisecond)
-	defer tick.Stop()
+	ticker := time.NewTicker(5 * time.Millisecond)
+	defer ticker.Stop()
 	for s.stats.openConns.Load() > 0 {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 			s.forEachConn(func(c *conn) { c.interruptIdle() })
 		case <-ctx.Done():
 			s.forEachConn(func(c *conn) {
 				c.abandonTasks()
 				c.netConn.Close()
 			})
-			<-tick.C
+			<-ticker.C
 		}
 	}
 }
 
-func (s *Server) forEachConn(do func(*conn)) {
+// forEachConn calls visit for each open connection while it holds s.mu.
+func (s *Server) forEachConn(visit func(*conn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		do(c)
+		visit(c)
 	}
 }
 
+// acceptLoop accepts connections until the listener is closed.
 func (s *Server) acceptLoop() {
 	defer s.wg.Done()
 	for {
-		nc, err := s.listener.Accept()
+		netConn, err := s.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
 			s.log.Warn("accept failed", "error", err)
 			select {
-			case <-time.After(10 * time.Millisecond): // out of descriptors: let some close
+			case <-time.After(10 * time.Millisecond): // probably out of file descriptors; wait until some are closed
 			case <-s.quit:
 				return
 			}
 			continue
 		}
-		s.startConn(nc)
+		s.startConn(netConn)
 	}
 }
 
-// startConn serves a connection, or refuses it where there are too many.
-func (s *Server) startConn(nc net.Conn) {
+// startConn starts serving a connection, or answers 503 and closes it if the
+// server is closing or has reached its connection limit.
+func (s *Server) startConn(netConn net.Conn) {
 	if s.stats.openConns.Add(1) > int64(s.cfg.Bounds.Connections) || s.closing.Load() {
 		s.stats.openConns.Add(-1)
 		s.stats.refusedConns.Add(1)
-		nc.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
-		nc.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
-		nc.Close()
+		netConn.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
+		netConn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
+		netConn.Close()
 		return
 	}
-	c := &conn{server: s, netConn: nc, rawConn: sockstate.RawConn(nc)}
+	c := &conn{server: s, netConn: netConn, rawConn: sockstate.RawConn(netConn)}
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
@@ -209,55 +217,59 @@
 	go c.serve()
 }
 
-// clientCheckInterval is how often the server looks whether waiting clients have gone.
+// clientCheckInterval is the interval at which watchClients looks for
+// disconnected clients.
 const clientCheckInterval = 50 * time.Millisecond
 
-// watchClients looks whether the clients of waiting requests are still there: nobody
-// reads their connections meanwhile, so nobody else would see it.
+// watchClients detects clients that disconnect while their requests wait for
+// the host. Nothing reads these connections meanwhile, so the disconnect would
+// otherwise go unnoticed.
 func (s *Server) watchClients() {
 	defer s.wg.Done()
-	tick := time.NewTicker(clientCheckInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(clientCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-s.quit:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		var gone []*conn
+		var disconnected []*conn
 		s.forEachConn(func(c *conn) {
 			if c.needsClientCheck() && sockstate.AtEOF(c.rawConn) {
-				gone = append(gone, c)
+				disconnected = append(disconnected, c)
 			}
 		})
-		for _, c := range gone {
+		for _, c := range disconnected {
 			c.abandonTasks()
 		}
 	}
 }
 
-// conn is one client's connection.
+// conn is a client connection.
 type conn struct {
-	server    *Server
-	netConn   net.Conn
+	server   *Server
+	netConn  net.Conn
 	rawConn  syscall.RawConn
 	reader   *bufio.Reader // nil while idle
-	writeBuf  []byte
-	req  http1.Request
-	body http1.Body
-
-	socketEmptyAt time.Time // the connection's socket was seen empty, or nearly so
-
-	mu      sync.Mutex
-	idle    bool
-	clientGone    bool                     // the client has gone
-	otherTasks map[*host.Task]time.Time // tasks that wait for the host
-	firstTask   *host.Task               // the only one, in most requests
-	firstTaskSince   time.Time                // of first
+	writeBuf []byte
+	req      http1.Request
+	body     http1.Body
+
+	socketEmptyAt time.Time // when the socket was last seen empty, approximately
+
+	mu             sync.Mutex
+	idle           bool
+	clientGone     bool                     // the client has disconnected
+	otherTasks     map[*host.Task]time.Time // further waiting tasks and when they began to wait
+	firstTask      *host.Task               // first waiting task, for most requests the only one
+	firstTaskSince time.Time                // when firstTask began to wait
 }
 
+// readerPool holds the read buffers that idle connections release.
 var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 8<<10) }}
 
+// serve answers the requests of the connection until it ends.
 func (c *conn) serve() {
 	defer c.server.wg.Done()
 	defer func() {
@@ -272,7 +284,8 @@
 	}
 }
 
-// releaseBuffers gives the reader back while nothing is read.
+// releaseBuffers returns the reader to the pool and frees the other buffers of
+// an idle connection.
 func (c *conn) releaseBuffers() {
 	if c.reader != nil {
 		c.reader.Reset(nil)
@@ -283,7 +296,8 @@
 	c.req = http1.Request{}
 }
 
-// waitForRequest waits, without a buffer, for the first byte of a request.
+// waitForRequest waits for the first byte of a request. An idle connection
+// holds no buffers. It returns false if the connection is to be closed.
 func (c *conn) waitForRequest() bool {
 	if c.reader != nil && c.reader.Buffered() > 0 {
 		return !c.server.closing.Load()
@@ -313,11 +327,12 @@
 	return true
 }
 
-// bufferReleaseDelay is for how long a connection keeps its buffers between requests.
+// bufferReleaseDelay is how long an idle connection keeps its buffers after a
+// request.
 const bufferReleaseDelay = 100 * time.Millisecond
 
-// waitForByte waits for a byte to read. A connection that stays idle gives its
-// buffers back first.
+// waitForByte waits until a byte can be read. A connection that stays idle
+// releases its buffers after bufferReleaseDelay.
 func (c *conn) waitForByte() error {
 	if c.reader != nil {
 		c.mu.Lock()
@@ -340,15 +355,17 @@
 	return sockstate.WaitReadable(c.rawConn)
 }
 
-// stallTolerantReader reads a connection. Where its time is up and bytes are there all the
-// same, nobody looked in time: a host that stood still, or a busy one, does not
-// take that for the client's silence.
+// stallTolerantReader reads from a connection. If the read deadline passes
+// although bytes are available, the host was stalled or busy and did not read
+// in time; the reader then tries again instead of reporting a timeout of the
+// client.
 type stallTolerantReader struct{ conn *conn }
 
-// lateReadTimeout is for how long bytes that are there are waited for.
+// lateReadTimeout bounds the second read after a deadline that passed while
+// bytes were available.
 const lateReadTimeout = 50 * time.Millisecond
 
-// Read reads what has come.
+// Read implements io.Reader.
 func (p stallTolerantReader) Read(b []byte) (int, error) {
 	n, err := p.conn.netConn.Read(b)
 	if n > 0 || !isTimeout(err) || p.conn.rawConn == nil || p.conn.server.closing.Load() || !sockstate.Readable(p.conn.rawConn) {
@@ -358,7 +375,7 @@
 	return p.conn.netConn.Read(b)
 }
 
-// interruptIdle ends an idle connection's wait when the server closes.
+// interruptIdle ends the wait of an idle connection when the server closes.
 func (c *conn) interruptIdle() {
 	c.mu.Lock()
 	if c.idle {
@@ -372,7 +389,8 @@
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// addTask notes that a task waits for the host; false: the client has gone.
+// addTask registers a task that waits for the host. It returns false if the
+// client has disconnected.
 func (c *conn) addTask(t *host.Task) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -390,6 +408,7 @@
 	return true
 }
 
+// removeTask unregisters a task that no longer waits for the host.
 func (c *conn) removeTask(t *host.Task) {
 	c.mu.Lock()
 	if c.firstTask == t {
@@ -400,14 +419,15 @@
 	c.mu.Unlock()
 }
 
-// needsClientCheck tells whether a task has waited long enough for a look at the client.
+// needsClientCheck reports whether a task has waited long enough to check that
+// the client is still connected.
 func (c *conn) needsClientCheck() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.firstTask != nil && time.Since(c.firstTaskSince) > clientCheckInterval || len(c.otherTasks) > 0
 }
 
-// abandonTasks tells the host that the client has gone.
+// abandonTasks tells the host that the client has disconnected.
 func (c *conn) abandonTasks() {
 	c.mu.Lock()
 	c.clientGone = true
@@ -424,11 +444,12 @@
 	}
 }
 
-// serveRequest reads and answers one request; false: the connection ends.
+// serveRequest reads and answers one request. It returns false if the
+// connection is to be closed.
 func (c *conn) serveRequest() bool {
 	c.server.opts.Host.Heartbeat()
-	heads := http1.NewReader(c.reader, c.server.headLimits)
-	if err := heads.ReadRequest(&c.req); err != nil {
+	headReader := http1.NewReader(c.reader, c.server.headLimits)
+	if err := headReader.ReadRequest(&c.req); err != nil {
 		c.rejectHead(err)
 		return false
 	}
@@ -452,16 +473,17 @@
 }
 
 const (
-	// maxDrainBytes is how much of an unread body is read so that the connection
-	// can go on.
+	// maxDrainBytes is how much of an unread request body is discarded so that the
+	// connection can be reused.
 	maxDrainBytes = 256 << 10
-	// maxLingerBytes and lingerFor bound what is read of a client that still sends
-	// after its answer, so that closing does not reset the connection under it.
+	// maxLingerBytes and lingerTimeout bound a lingering close. A client that
+	// still sends after its response must be read from, because closing with
+	// unread data resets the connection and the client may lose the response.
 	maxLingerBytes = 64 << 20
 	lingerTimeout  = 2 * time.Second
 )
 
-// rejectHead answers what is no request, if there is anybody to answer.
+// rejectHead answers an invalid request head, unless the client sent nothing.
 func (c *conn) rejectHead(err error) {
 	status := http1.StatusOf(err)
 	if status == 0 {
@@ -481,8 +503,9 @@
 	c.lingeringClose()
 }
 
-// lingeringClose reads what the client still sends for a while, so that closing does
-// not reset the connection under the answer.
+// lingeringClose closes the write side and discards what the client still
+// sends, within bounds, so that closing does not reset the connection before
+// the client has read the response.
 func (c *conn) lingeringClose() {
 	if c.body.Done() && c.reader.Buffered() == 0 {
 		return
--- a/internal/front/s3/sigv4/sigv4.go
+++ b/internal/front/s3/sigv4/sigv4.go
@@ -27,7 +27,7 @@
 	EmptyPayloadHash = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
 
 	maxPresignExpiry = 7 * 24 * time.Hour
-	maxSignedHeaders     = 64 // names in SignedHeaders
+	maxSignedHeaders = 64 // names in SignedHeaders
 )
 
 // Error is a refusal, with the specification's code.
@@ -79,18 +79,18 @@
 	Signature   string // of the request: the seed of chunk signatures
 	Presigned   bool
 
-	signingKey   []byte
-	timestamp string
-	scope string
+	signingKey []byte
+	timestamp  string
+	scope      string
 }
 
 // Verifier knows the keys. It is safe for concurrent use.
 type Verifier struct {
-	region string
-	maxSkew   time.Duration
+	region  string
+	maxSkew time.Duration
 
-	mu      sync.RWMutex
-	secrets map[string]string
+	mu          sync.RWMutex
+	secrets     map[string]string
 	signingKeys map[string][]byte // signing keys, by access key and date
 }
 
@@ -345,7 +345,7 @@
 // ChunkSigner gives the signatures of a streamed body's chunks, each over the
 // one before.
 type ChunkSigner struct {
-	identity       *Identity
+	identity          *Identity
 	previousSignature string
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -55,29 +55,29 @@
 
 // Gateway is a running gateway.
 type Gateway struct {
-	opts     Options
-	Keys    []config.Key
-	host    *host.Host
-	front   *s3.Server
-	pool    *brick.Pool
-	spool   *spool.Pool
-	fileSource    *membership.FileSource
-	zkSource      *membership.ZKSource
-	tracker  *membership.Tracker
-	controller    *control.Controller
-	exports *volumeExports
-	orderLog    *orderlog.Log
-	controlServer     *control.Server
-	embeddedBricks  []*embeddedBrick
+	opts           Options
+	Keys           []config.Key
+	host           *host.Host
+	front          *s3.Server
+	pool           *brick.Pool
+	spool          *spool.Pool
+	fileSource     *membership.FileSource
+	zkSource       *membership.ZKSource
+	tracker        *membership.Tracker
+	controller     *control.Controller
+	exports        *volumeExports
+	orderLog       *orderlog.Log
+	controlServer  *control.Server
+	embeddedBricks []*embeddedBrick
 	selfDraining   sync.Map         // brick to whether it last said that it drains
-	failedBricks     map[string]error // embedded bricks that could not be started
+	failedBricks   map[string]error // embedded bricks that could not be started
 }
 
 // embeddedBrick is a brick in this process.
 type embeddedBrick struct {
-	name   string
-	server *brickd.Server
-	store    *store.Store
+	name        string
+	server      *brickd.Server
+	store       *store.Store
 	maintenance *maintenance.Runner
 }
 
--- a/internal/gateway/volumes.go
+++ b/internal/gateway/volumes.go
@@ -24,17 +24,17 @@
 // socket of its own. Which they are is kept in the data directory: a start
 // attaches them again, under an epoch over the last.
 type volumeExports struct {
-	store  *volume.Store
-	holder string
-	path   string
-	socketDir    string
-	ctx    context.Context
+	store     *volume.Store
+	holder    string
+	path      string
+	socketDir string
+	ctx       context.Context
 	cancel    context.CancelFunc
-	wg     sync.WaitGroup
+	wg        sync.WaitGroup
 
-	mu   sync.Mutex
+	mu       sync.Mutex
 	attached map[string]*exportedVolume
-	sockets map[string]string // volume to socket: what the file says
+	sockets  map[string]string // volume to socket: what the file says
 }
 
 type exportedVolume struct {
@@ -48,7 +48,9 @@
 
 func (g *Gateway) startExports() error {
 	store, err := volume.New(volume.Options{Config: g.opts.Config, Host: g.host, Pool: g.pool, Log: g.opts.Log, NoFence: g.opts.DisabledGuard == "fence", Seen: g.recordObservation,
-		Ended: func(name string, plan, shard int, end host.TaskStatus) { g.recordOutcome("volume/"+name, plan, shard, end) }})
+		Ended: func(name string, plan, shard int, end host.TaskStatus) {
+			g.recordOutcome("volume/"+name, plan, shard, end)
+		}})
 	if err != nil {
 		return err
 	}
