--- a/internal/front/s3/body.go
+++ b/internal/front/s3/body.go
@@ -24,13 +24,14 @@
 	"arrowwalk/internal/sockstate"
 )
 
-// crc64NVMETable is the polynomial of x-amz-checksum-crc64nvme, reflected.
+// Checksum tables. The polynomial of x-amz-checksum-crc64nvme is in reflected form.
 var (
 	crc64NVMETable = crc64.MakeTable(0x9a6c9329ac4bc9b5)
 	crc32cTable    = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// checksumAlgorithms are the algorithms of x-amz-checksum-NAME.
+// checksumAlgorithms maps the suffixes of the x-amz-checksum-* headers to
+// their hash functions.
 var checksumAlgorithms = map[string]func() hash.Hash{
 	"crc32":     func() hash.Hash { return crc32.NewIEEE() },
 	"crc32c":    func() hash.Hash { return crc32.New(crc32cTable) },
@@ -39,24 +40,27 @@
 	"sha256":    sha256.New,
 }
 
+// checksumPrefix begins the names of the checksum headers.
 const checksumPrefix = "x-amz-checksum-"
 
-// upload reads a request's body and checks all that the client said of it.
+// upload reads a request body and verifies the length, hashes and checksums
+// that the client declared.
 type upload struct {
 	exchange          *exchange
 	source            io.Reader
-	chunkReader       *awschunked.Reader // where the body is aws-chunked
-	declaredSize      int64              // as told; -1: not told
+	chunkReader       *awschunked.Reader // nil unless the body is aws-chunked
+	declaredSize      int64              // decoded length that the client declared; -1 if unknown
 	received          int64
 	md5               hash.Hash
-	payloadSHA256     hash.Hash            // where the payload's hash is signed
-	checksums         map[string]hash.Hash // by algorithm
-	declaredChecksums map[string]string    // checksums that the head told
-	trailerAlgorithm  string               // algorithm that the trailer is to tell
+	payloadSHA256     hash.Hash            // nil unless the hash of the payload is signed
+	checksums         map[string]hash.Hash // running hashes by algorithm
+	declaredChecksums map[string]string    // expected checksums in base64, by algorithm
+	trailerAlgorithm  string               // algorithm whose checksum follows in the trailer
 	wantMD5           []byte
 }
 
-// newUpload prepares to read the request's body.
+// newUpload prepares reading the request body. It returns an error response if
+// the headers that describe the body are invalid.
 func (x *exchange) newUpload() (*upload, error) {
 	req := &x.conn.req
 	u := &upload{exchange: x, source: clientBody{x}, declaredSize: -1, md5: md5.New(), declaredChecksums: map[string]string{}, checksums: map[string]hash.Hash{}}
@@ -79,19 +83,20 @@
 	return u, nil
 }
 
-// configurePayload follows x-amz-content-sha256.
+// configurePayload sets up decoding and hashing as x-amz-content-sha256
+// requires.
 func (u *upload) configurePayload() error {
 	x := u.exchange
 	var signer *sigv4.ChunkSigner
-	switch p := x.identity.PayloadHash; p {
+	switch payloadHash := x.identity.PayloadHash; payloadHash {
 	case sigv4.UnsignedPayload:
 		return nil
 	case awschunked.SignedPayload, awschunked.SignedPayloadTrailer:
 		signer = x.identity.NewChunkSigner()
 	case awschunked.UnsignedPayloadTrailer:
 	default:
-		if len(p) != 64 || strings.Trim(p, "0123456789abcdef") != "" {
-			if strings.HasPrefix(p, "STREAMING-") {
+		if len(payloadHash) != 64 || strings.Trim(payloadHash, "0123456789abcdef") != "" {
+			if strings.HasPrefix(payloadHash, "STREAMING-") {
 				return errNotImplemented
 			}
 			return newAPIError(400, "InvalidArgument", "x-amz-content-sha256 must be UNSIGNED-PAYLOAD, a STREAMING name or a SHA-256.")
@@ -100,21 +105,22 @@
 		return nil
 	}
 	length, ok := x.conn.req.Fields.Lookup("X-Amz-Decoded-Content-Length")
-	n, err := strconv.ParseInt(length, 10, 64)
-	if !ok || err != nil || n < 0 {
+	size, err := strconv.ParseInt(length, 10, 64)
+	if !ok || err != nil || size < 0 {
 		return newAPIError(411, "MissingContentLength", "You must provide x-amz-decoded-content-length with a streamed body.")
 	}
-	u.declaredSize = n
+	u.declaredSize = size
 	u.chunkReader = awschunked.NewReader(u.source, signer, x.identity.PayloadHash != awschunked.SignedPayload)
 	u.source = u.chunkReader
 	return nil
 }
 
-// parseChecksumFields reads what the head says of the body's checksums.
+// parseChecksumFields parses Content-MD5, the x-amz-checksum-* headers and
+// X-Amz-Trailer.
 func (u *upload) parseChecksumFields() error {
 	fields := u.exchange.conn.req.Fields
-	if text, ok := fields.Lookup("Content-MD5"); ok {
-		sum, err := base64.StdEncoding.DecodeString(text)
+	if value, ok := fields.Lookup("Content-MD5"); ok {
+		sum, err := base64.StdEncoding.DecodeString(value)
 		if err != nil || len(sum) != md5.Size {
 			return newAPIError(400, "InvalidDigest", "The Content-MD5 you specified is not valid.")
 		}
@@ -126,17 +132,17 @@
 		if !ok || algorithm == "algorithm" || algorithm == "type" || algorithm == "mode" {
 			continue
 		}
-		made := checksumAlgorithms[algorithm]
-		if made == nil {
+		newHash := checksumAlgorithms[algorithm]
+		if newHash == nil {
 			return newAPIError(400, "InvalidRequest", "Header %s: the algorithm is not supported.", name)
 		}
-		u.checksums[algorithm], u.declaredChecksums[algorithm] = made(), fields[i].Value
+		u.checksums[algorithm], u.declaredChecksums[algorithm] = newHash(), fields[i].Value
 		if sum, err := base64.StdEncoding.DecodeString(fields[i].Value); err != nil || len(sum) != u.checksums[algorithm].Size() {
 			return newAPIError(400, "InvalidRequest", "Value for %s header is invalid.", name)
 		}
 	}
-	if text := fields.Get("X-Amz-Trailer"); text != "" {
-		algorithm := strings.TrimPrefix(strings.ToLower(strings.TrimSpace(text)), checksumPrefix)
+	if value := fields.Get("X-Amz-Trailer"); value != "" {
+		algorithm := strings.TrimPrefix(strings.ToLower(strings.TrimSpace(value)), checksumPrefix)
 		if checksumAlgorithms[algorithm] == nil || u.chunkReader == nil {
 			return newAPIError(400, "InvalidRequest", "The value specified in the x-amz-trailer header is not supported.")
 		}
@@ -145,54 +151,60 @@
 	return nil
 }
 
-// clientBody reads the connection's body with a bound on each wait.
+// clientBody reads the body of the request from the connection and bounds the
+// wait of each read.
 type clientBody struct{ exchange *exchange }
 
-// maxBufferedInFlight is how much of a body can lie in sockets' buffers: a client has not
-// sent its last byte while more than that is still to be read.
+// maxBufferedInFlight is how much of a body the socket buffers can hold, in
+// bytes. While more than that is unread, the client has not sent its last
+// byte.
 const maxBufferedInFlight = 16 << 20
 
-// bufferTransitTime is how long bytes may be on their way from a client's own buffers,
-// once there is room for them, and for how long a body may go unread before
-// they count.
+// bufferTransitTime is how long bytes may take to arrive from the client's
+// send buffer once the receive buffer has space. Pauses in reading that are
+// shorter do not count.
 const bufferTransitTime = 50 * time.Millisecond
 
-// recordReadPause notes for how long the body was not read: a client may have sent
-// all of it into buffers meanwhile, and an empty socket tells nothing then.
+// recordReadPause notes that the body was not read since t. After a long pause
+// the client may have sent the whole body into socket buffers, so an empty
+// socket no longer shows that it is still sending.
 func (x *exchange) recordReadPause(t time.Time) {
 	x.restMayBeBuffered = x.restMayBeBuffered || time.Since(t) > bufferTransitTime
 }
 
+// Read implements io.Reader. It also moves the start of the client's wait
+// forward while the client is still sending.
 func (b clientBody) Read(p []byte) (int, error) {
 	x := b.exchange
 	if err := x.sendContinue(); err != nil {
 		return 0, err
 	}
-	if x.conn.body.Done() { // an empty socket tells nothing of a client that has sent all
+	if x.conn.body.Done() { // the client has sent everything, so an empty socket means nothing
 		return x.conn.body.Read(p)
 	}
-	began := time.Now()
-	left := x.conn.body.Remaining()
-	empty := x.conn.reader.Buffered() == 0 && x.conn.rawConn != nil && !sockstate.Readable(x.conn.rawConn)
-	if left > maxBufferedInFlight || (left < 0 || empty) && !x.restMayBeBuffered {
-		x.waitStart = began // the client is still sending: its wait has not begun
+	startedAt := time.Now()
+	remaining := x.conn.body.Remaining()
+	socketEmpty := x.conn.reader.Buffered() == 0 && x.conn.rawConn != nil && !sockstate.Readable(x.conn.rawConn)
+	if remaining > maxBufferedInFlight || (remaining < 0 || socketEmpty) && !x.restMayBeBuffered {
+		x.waitStart = startedAt // the client is still sending, so its wait has not begun
 	}
-	x.conn.netConn.SetReadDeadline(began.Add(config.MS(x.server.cfg.Timeouts.BodyStallMS)))
+	x.conn.netConn.SetReadDeadline(startedAt.Add(config.MS(x.server.cfg.Timeouts.BodyStallMS)))
 	n, err := x.conn.body.Read(p)
-	waited := time.Since(began)
-	if from, ok := x.arrivalAfterStall(n, waited); ok { // the host stood still meanwhile
-		if from.After(x.waitStart) {
-			x.waitStart = from
+	waited := time.Since(startedAt)
+	if arrival, ok := x.arrivalAfterStall(n, waited); ok { // the host was stalled during the read
+		if arrival.After(x.waitStart) {
+			x.waitStart = arrival
 		}
-	} else if empty && x.restMayBeBuffered && waited > bufferTransitTime {
-		x.waitStart = began
+	} else if socketEmpty && x.restMayBeBuffered && waited > bufferTransitTime {
+		x.waitStart = startedAt
 	}
-	x.countBodyBytes(int64(n), began)
+	x.countBodyBytes(int64(n), startedAt)
 	return n, err
 }
 
-// countBodyBytes counts what was read of a body. More than can lie in buffers has
-// countBodyBytes since the mark: the client was still sending then.
+// countBodyBytes counts bytes read from the body. If more than
+// maxBufferedInFlight bytes arrived since markedAt, the client was still
+// sending at that time, so its wait began no earlier.
 func (x *exchange) countBodyBytes(n int64, now time.Time) {
 	if x.markedAt.IsZero() {
 		x.markedAt = now
@@ -206,7 +218,8 @@
 	x.markedAt, x.bytesSinceMark = now, 0
 }
 
-// Read reads and sums the body.
+// Read implements io.Reader. It updates the hashes and enforces the maximum
+// object size.
 func (u *upload) Read(p []byte) (int, error) {
 	n, err := u.source.Read(p)
 	u.received += int64(n)
@@ -230,14 +243,14 @@
 	return n, err
 }
 
-// verify checks the whole body against all that was told of it. It must have
-// been read to its end.
+// verify checks the body against everything that the client declared. The body
+// must have been read to its end.
 func (u *upload) verify() error {
 	if u.declaredSize >= 0 && u.received != u.declaredSize {
 		return errIncompleteBody
 	}
 	if u.chunkReader != nil && !u.exchange.conn.body.Drain(4096) {
-		return newAPIError(400, "InvalidRequest", "There are bytes after the last chunk.")
+		return newAPIError(400, "InvalidRequest", "The body continues after the last chunk.")
 	}
 	if u.payloadSHA256 != nil && !equalConstantTime(hex.EncodeToString(u.payloadSHA256.Sum(nil)), u.exchange.identity.PayloadHash) {
 		return newAPIError(400, "XAmzContentSHA256Mismatch", "The provided 'x-amz-content-sha256' header does not match what was computed.")
@@ -256,15 +269,18 @@
 	return nil
 }
 
+// equalConstantTime compares strings in constant time.
 func equalConstantTime(a, b string) bool {
 	return subtle.ConstantTimeCompare([]byte(a), []byte(b)) == 1
 }
 
+// checksum returns the computed checksum of an algorithm in base64.
 func (u *upload) checksum(algorithm string) string {
 	return base64.StdEncoding.EncodeToString(u.checksums[algorithm].Sum(nil))
 }
 
-// verifiedChecksums returns the checksums that the client gave, all of them right.
+// verifiedChecksums returns the checksums that the client declared, by
+// algorithm. They are valid after verify.
 func (u *upload) verifiedChecksums() map[string]string {
 	if len(u.checksums) == 0 {
 		return nil
@@ -276,32 +292,33 @@
 	return out
 }
 
+// etag returns the entity tag of the body without quotes.
 func (u *upload) etag() string { return hex.EncodeToString(u.md5.Sum(nil)) }
 
-// readSmallBody reads a whole body of at most most bytes, for requests whose body
-// is XML, and checks it.
-func (x *exchange) readSmallBody(most int64) ([]byte, error) {
+// readSmallBody reads and verifies a body of at most maxBytes bytes, for
+// requests with an XML body.
+func (x *exchange) readSmallBody(maxBytes int64) ([]byte, error) {
 	u, err := x.newUpload()
 	if err != nil {
 		return nil, err
 	}
-	if u.declaredSize > most {
+	if u.declaredSize > maxBytes {
 		x.closeConn = true
 		return nil, newAPIError(400, "MaxMessageLengthExceeded", "Your request was too big.")
 	}
-	text, err := io.ReadAll(io.LimitReader(u, most+1))
+	body, err := io.ReadAll(io.LimitReader(u, maxBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if int64(len(text)) > most {
+	if int64(len(body)) > maxBytes {
 		x.closeConn = true
 		return nil, newAPIError(400, "MaxMessageLengthExceeded", "Your request was too big.")
 	}
-	return text, u.verify()
+	return body, u.verify()
 }
 
-// checkEmptyBody makes sure that a request without a body of its own has none that is
-// wrong; what was signed of it is still checked.
+// checkEmptyBody returns an error if the request has no body but signed the
+// hash of a non-empty one.
 func (x *exchange) checkEmptyBody() error {
 	if x.conn.body.Done() && x.identity.PayloadHash != sigv4.UnsignedPayload && len(x.identity.PayloadHash) == 64 && x.identity.PayloadHash != sigv4.EmptyPayloadHash {
 		return newAPIError(400, "XAmzContentSHA256Mismatch", "The provided 'x-amz-content-sha256' header does not match what was computed.")
@@ -309,14 +326,15 @@
 	return nil
 }
 
-// newUniqueID returns a name that nobody else will give, in the order of time.
+// newUniqueID returns a unique name that sorts by creation time.
 func newUniqueID() string {
 	var b [10]byte
 	rand.Read(b[:])
 	return strconv.FormatInt(1<<52+time.Now().UnixMicro(), 16) + hex.EncodeToString(b[:])
 }
 
-// sumsOf is for answers to writes.
+// responseFields returns the ETag and checksum headers of the response to a
+// write.
 func (u *upload) responseFields() http1.Fields {
 	return append(http1.Fields{{Name: "ETag", Value: quoteETag(u.etag())}}, checksumFields(u.verifiedChecksums())...)
 }
--- a/internal/front/s3/get.go
+++ b/internal/front/s3/get.go
@@ -17,44 +17,45 @@
 )
 
 const (
-	maxBufferedBody = 64 << 10  // bodies up to this are read whole before the answer begins
-	copyBufferSize  = 128 << 10 // of a body on its way through
+	maxBufferedBody = 64 << 10  // bodies up to this size are read completely before the response starts
+	copyBufferSize  = 128 << 10 // for streaming larger bodies
 )
 
+// copyBufferPool holds buffers for response bodies.
 var copyBufferPool = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// objectRead is a GET or HEAD of an object.
+// objectRead serves a GET or HEAD of an object.
 type objectRead struct {
 	exchange   *exchange
 	headOnly   bool
-	rangeField string // the Range field; "": the whole object
+	rangeField string // Range header; "" means the whole object
 	conditions conditions
 
 	record       *record
-	refusal      error  // what the answer's head settled
-	bufferedBody []byte // a small body, read whole
+	refusal      error  // error response that the brick's response head led to
+	bufferedBody []byte // complete small body
 	pooledBuf    *[copyBufferSize]byte
-	spooled      *spool.Buffer // what the client did not take in time
-	manifest     *manifest     // the object is in pieces
+	spooled      *spool.Buffer // rest of the body that the client did not accept in time
+	manifest     *manifest     // not nil if the object is stored in pieces
 	status       int
 	span         byteRange
 }
 
 // getObject serves GET and HEAD of an object.
-func (x *exchange) getObject(head bool) error {
+func (x *exchange) getObject(headOnly bool) error {
 	if err := x.checkEmptyBody(); err != nil {
 		return err
 	}
-	g := &objectRead{exchange: x, headOnly: head, conditions: parseConditions(x.conn.req.Fields, "")}
-	if !head {
+	g := &objectRead{exchange: x, headOnly: headOnly, conditions: parseConditions(x.conn.req.Fields, "")}
+	if !headOnly {
 		g.rangeField = x.conn.req.Fields.Get("Range")
 	}
 	if ifRange, ok := x.conn.req.Fields.Lookup("If-Range"); ok && g.rangeField != "" {
-		same, err := x.ifRangeMatches(ifRange)
+		matches, err := x.ifRangeMatches(ifRange)
 		if err != nil {
 			return err
 		}
-		if !same {
+		if !matches {
 			g.rangeField = ""
 		}
 	}
@@ -62,36 +63,39 @@
 	return g.run()
 }
 
-// ifRangeMatches tells whether an If-Range field names the object as it is.
+// ifRangeMatches reports whether the value of an If-Range header, a date or an
+// entity tag, matches the current object.
 func (x *exchange) ifRangeMatches(ifRange string) (bool, error) {
-	rec, err := x.readRecord(x.bucket, x.key)
+	record, err := x.readRecord(x.bucket, x.key)
 	if err != nil {
 		return false, err
 	}
 	if t, ok := parseDate(http1.Fields{{Name: "If-Range", Value: ifRange}}, "If-Range"); ok {
-		return t.Equal(rec.modified().Truncate(0)) || rec.modified().Unix() == t.Unix(), nil
+		return t.Equal(record.modified().Truncate(0)) || record.modified().Unix() == t.Unix(), nil
 	}
-	return ifRange == quoteETag(rec.ETag), nil
+	return ifRange == quoteETag(record.ETag), nil
 }
 
-// readRecord reads an object's record.
+// readRecord reads the record of an object. It returns errNoSuchKey or
+// errNoSuchBucket if there is none.
 func (x *exchange) readRecord(bucket, key string) (*record, error) {
 	name := placement.Object(bucket, key)
-	ans, _, ok, err := x.readBlob(brick.SpaceObjects, name, x.shardOf(name), false)
+	response, _, ok, err := x.readBlob(brick.SpaceObjects, name, x.shardOf(name), false)
 	if err != nil {
 		return nil, err
 	}
 	if !ok {
 		return nil, x.notFoundError(bucket)
 	}
-	rec, err := decodeRecord(ans.Meta)
+	record, err := decodeRecord(response.Meta)
 	if err != nil {
 		return nil, fmt.Errorf("object %q: %w", name, err)
 	}
-	return rec, nil
+	return record, nil
 }
 
-// notFoundError names what is not there: the key or its bucket.
+// notFoundError returns errNoSuchBucket if the bucket does not exist, and
+// otherwise errNoSuchKey.
 func (x *exchange) notFoundError(bucket string) error {
 	if ok, err := x.bucketExists(bucket); err != nil {
 		return err
@@ -101,7 +105,7 @@
 	return errNoSuchKey
 }
 
-// release gives back what the reading holds.
+// release frees the buffers of the read.
 func (g *objectRead) release() {
 	if g.spooled != nil {
 		g.spooled.Release()
@@ -112,22 +116,22 @@
 	}
 }
 
-// run reads the object's home and answers out of it, or out of the pieces
-// that it names.
+// run reads the blob at the object's shard and responds with its body, or with
+// the pieces that its manifest lists.
 func (g *objectRead) run() error {
 	x := g.exchange
 	name := placement.Object(x.bucket, x.key)
-	j := x.newReadCall(brick.SpaceObjects, name, x.shardOf(name), g.expectedBytes())
-	j.Request.Range = g.rangeField
+	call := x.newReadCall(brick.SpaceObjects, name, x.shardOf(name), g.expectedBytes())
+	call.Request.Range = g.rangeField
 	if _, ok, _ := parseRange(g.rangeField, 1<<62); !ok && g.rangeField != "" {
-		j.Request.Range = "" // passed over
+		call.Request.Range = "" // ignored, as RFC 9110 requires
 		g.rangeField = ""
 	}
-	j.HandleResponse = g.handleResponse
+	call.HandleResponse = g.handleResponse
 	if g.headOnly {
-		j.Request.Method = "HEAD"
+		call.Request.Method = "HEAD"
 	}
-	if err := x.runCall(j); err != nil {
+	if err := x.runCall(call); err != nil {
 		return err
 	}
 	if g.refusal != nil {
@@ -151,24 +155,25 @@
 	return x.writeBuffers(net.Buffers{x.conn.writeBuf, g.bufferedBody})
 }
 
-// expectedBytes returns how many bytes the read should move.
+// expectedBytes returns an estimate of the bytes that the read will transfer,
+// for its cost in units.
 func (g *objectRead) expectedBytes() int64 {
-	most := g.exchange.server.cfg.PieceBytes
+	maxBytes := g.exchange.server.cfg.PieceBytes
 	if g.headOnly {
 		return 0
 	}
-	guess := g.exchange.server.sizeEstimator.Estimate(uint64(g.exchange.volume.ID), most)
-	if s, ok, err := parseRange(g.rangeField, 1<<62); ok && err == nil && s.length < 1<<60 {
-		return min(s.length, most)
+	estimate := g.exchange.server.sizeEstimator.Estimate(uint64(g.exchange.volume.ID), maxBytes)
+	if requested, ok, err := parseRange(g.rangeField, 1<<62); ok && err == nil && requested.length < 1<<60 {
+		return min(requested.length, maxBytes)
 	}
-	return guess
+	return estimate
 }
 
-// handleResponse looks at the home's answer: it settles the status and reads or passes
-// on the body.
-func (g *objectRead) handleResponse(j *attempts.Call, ans *brick.Response) error {
+// handleResponse processes the response of the object's brick: it determines
+// the status and the byte range, and buffers or streams the body.
+func (g *objectRead) handleResponse(call *attempts.Call, response *brick.Response) error {
 	g.refusal, g.manifest, g.bufferedBody = nil, nil, nil
-	switch ans.Status {
+	switch response.Status {
 	case 404:
 		g.refusal = errNoSuchKey
 	case 200, 206, 416:
@@ -176,71 +181,74 @@
 		g.refusal = errInternal
 	}
 	if g.refusal != nil {
-		g.discard(ans)
+		g.discard(response)
 		return nil
 	}
-	rec, err := decodeRecord(ans.Meta)
+	record, err := decodeRecord(response.Meta)
 	if err != nil {
 		return &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonBadAnswer, Err: err}
 	}
-	g.record = rec
-	g.status, g.span = 200, byteRange{0, rec.Size}
+	g.record = record
+	g.status, g.span = 200, byteRange{0, record.Size}
 	if g.rangeField != "" {
-		s, ok, err := parseRange(g.rangeField, rec.Size)
+		requested, ok, err := parseRange(g.rangeField, record.Size)
 		if err != nil {
 			g.refusal = err
 		} else if ok {
-			g.status, g.span = 206, s
+			g.status, g.span = 206, requested
 		}
 	}
-	if err := g.conditions.check(rec); err != nil {
+	if err := g.conditions.check(record); err != nil {
 		g.refusal = err
 	}
 	if g.refusal != nil || g.headOnly {
-		g.discard(ans)
+		g.discard(response)
 		return nil
 	}
-	if ans.Whole {
-		return g.readManifest(ans)
+	if response.Whole {
+		return g.readManifest(response)
 	}
-	if ans.Length != g.span.length || ans.Status != g.status || ans.Status == 206 && ans.RangeStart != g.span.from {
-		return &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonBadAnswer, Err: errors.New("the answer is not the range that was asked for")}
+	if response.Length != g.span.length || response.Status != g.status || response.Status == 206 && response.RangeStart != g.span.from {
+		return &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonBadAnswer, Err: errors.New("response does not match the requested range")}
 	}
-	if ans.Length <= maxBufferedBody {
-		return g.bufferBody(ans)
+	if response.Length <= maxBufferedBody {
+		return g.bufferBody(response)
 	}
-	return g.streamBody(j, ans, ans.Length)
+	return g.streamBody(call, response, response.Length)
 }
 
-// discard gives up an answer's body: a short one is read, for a long one the
-// connection goes.
-func (g *objectRead) discard(ans *brick.Response) {
-	ans.Release(g.exchange.server.opts.Pool, ans.Body.Drain(maxBufferedBody))
+// discard drops the body of a response. A short body is read so that the
+// connection can be reused; otherwise the connection is closed.
+func (g *objectRead) discard(response *brick.Response) {
+	response.Release(g.exchange.server.opts.Pool, response.Body.Drain(maxBufferedBody))
 }
 
-func (g *objectRead) bufferBody(ans *brick.Response) error {
+// bufferBody reads a small body into a pooled buffer.
+func (g *objectRead) bufferBody(response *brick.Response) error {
 	if g.pooledBuf == nil {
 		g.pooledBuf = copyBufferPool.Get().(*[copyBufferSize]byte)
 	}
 	var err error
-	g.bufferedBody, err = ans.ReadAll(g.exchange.server.opts.Pool, g.pooledBuf[:0], maxBufferedBody)
+	g.bufferedBody, err = response.ReadAll(g.exchange.server.opts.Pool, g.pooledBuf[:0], maxBufferedBody)
 	return err
 }
 
-func (g *objectRead) readManifest(ans *brick.Response) error {
-	text, err := ans.ReadAll(g.exchange.server.opts.Pool, nil, maxManifestBytes)
+// readManifest reads and validates the manifest of an object that is stored in
+// pieces.
+func (g *objectRead) readManifest(response *brick.Response) error {
+	text, err := response.ReadAll(g.exchange.server.opts.Pool, nil, maxManifestBytes)
 	if err != nil {
 		return err
 	}
 	m := &manifest{}
 	if err := json.Unmarshal(text, m); err != nil || !m.isValid(g.record.Size) {
-		return &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonBadAnswer, Err: fmt.Errorf("manifest: bad, %v", err)}
+		return &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonBadAnswer, Err: fmt.Errorf("invalid manifest: %v", err)}
 	}
 	g.manifest = m
 	return nil
 }
 
-// buildHead builds the head of the answer.
+// buildHead builds the response head.
 func (g *objectRead) buildHead() {
 	x := g.exchange
 	fields := g.record.responseFields(g.status == 200 && x.wantsChecksums())
@@ -248,7 +256,7 @@
 		fields = append(fields, http1.Field{Name: "Content-Range",
 			Value: fmt.Sprintf("bytes %d-%d/%d", g.span.from, g.span.from+g.span.length-1, g.record.Size)})
 	}
-	for _, p := range x.query { // what a signed request may set of the answer
+	for _, p := range x.query { // response headers that a request may override
 		if name := responseOverrides[p.Name]; name != "" {
 			fields = setField(fields, name, p.Value)
 		}
@@ -256,16 +264,21 @@
 	x.buildHead(g.status, fields, g.span.length)
 }
 
+// wantsChecksums reports whether the client asked for checksum headers.
 func (x *exchange) wantsChecksums() bool {
 	return x.conn.req.Fields.Get("X-Amz-Checksum-Mode") == "ENABLED"
 }
 
+// responseOverrides maps query parameters to the response headers that they
+// override.
 var responseOverrides = map[string]string{
 	"response-content-type": "Content-Type", "response-content-language": "content-language",
 	"response-expires": "expires", "response-cache-control": "cache-control",
 	"response-content-disposition": "content-disposition", "response-content-encoding": "content-encoding",
 }
 
+// setField replaces the value of a field, or appends the field if it is
+// absent.
 func setField(fields http1.Fields, name, value string) http1.Fields {
 	for i := range fields {
 		if fields[i].Name == name {
@@ -276,29 +289,31 @@
 	return append(fields, http1.Field{Name: name, Value: value})
 }
 
+// respondHead writes a response without a body.
 func (x *exchange) respondHead(g *objectRead) error {
 	g.buildHead()
 	return x.flush()
 }
 
-// streamBody sends length bytes of a brick's answer on to the client as they come.
-// A client that takes none for a while does not hold the brick: the rest is
-// kept, and sent after the attempt is over.
-func (g *objectRead) streamBody(j *attempts.Call, ans *brick.Response, length int64) error {
+// streamBody forwards length bytes of a brick's response to the client as they
+// arrive. If the client accepts no data for partialWriteTimeout, the rest is
+// spooled, so that a slow client does not occupy the brick, and is sent after
+// the attempt has ended.
+func (g *objectRead) streamBody(call *attempts.Call, response *brick.Response, length int64) error {
 	x, pool := g.exchange, g.exchange.server.opts.Pool
 	buf := copyBufferPool.Get().(*[copyBufferSize]byte)
 	defer copyBufferPool.Put(buf)
-	for left := length; left > 0; {
-		n, err := ans.ReadBlock(pool, buf[:min(left, copyBufferSize)])
+	for remaining := length; remaining > 0; {
+		n, err := response.ReadBlock(pool, buf[:min(remaining, copyBufferSize)])
 		if n == 0 && err != nil {
 			if errors.Is(err, io.EOF) {
 				err = &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonShort, Err: io.ErrUnexpectedEOF}
 			}
 			return err
 		}
-		left -= int64(n)
-		if !j.ResponseBegun {
-			j.BeginStream()
+		remaining -= int64(n)
+		if !call.ResponseBegun {
+			call.BeginStream()
 			if !x.responseStarted {
 				g.buildHead()
 				if err := x.write(x.conn.writeBuf); err != nil {
@@ -306,17 +321,17 @@
 				}
 			}
 		}
-		ans.BeginStream(pool)
-		took, err := x.writePartial(buf[:n])
+		response.BeginStream(pool)
+		written, err := x.writePartial(buf[:n])
 		if err != nil {
 			return errClientWrite
 		}
-		if took < n {
-			kept, err := g.spoolRemainder(ans, buf[took:n], left)
-			if kept || err != nil {
+		if written < n {
+			spooled, err := g.spoolRemainder(response, buf[written:n], remaining)
+			if spooled || err != nil {
 				return err
 			}
-			if err := x.write(buf[took:n]); err != nil {
+			if err := x.write(buf[written:n]); err != nil {
 				return errClientWrite
 			}
 		}
@@ -324,40 +339,44 @@
 	return nil
 }
 
-// spoolRemainder reads the rest of an answer into a buffer; false: there is no room.
-func (g *objectRead) spoolRemainder(ans *brick.Response, begun []byte, left int64) (bool, error) {
-	b := g.exchange.server.opts.Spool.NewBuffer()
-	if u := g.exchange.server.opts.Spool.Usage(); u.Memory+left+int64(len(begun)) > g.exchange.server.cfg.Bounds.MemoryBytes {
+// spoolRemainder reads the rest of a response into a spool buffer; unsent are
+// bytes that were read already. It returns false if the memory limit leaves no
+// space.
+func (g *objectRead) spoolRemainder(response *brick.Response, unsent []byte, remaining int64) (bool, error) {
+	buffer := g.exchange.server.opts.Spool.NewBuffer()
+	if u := g.exchange.server.opts.Spool.Usage(); u.Memory+remaining+int64(len(unsent)) > g.exchange.server.cfg.Bounds.MemoryBytes {
 		return false, nil
 	}
-	if _, err := b.Write(begun); err != nil {
-		b.Release()
+	if _, err := buffer.Write(unsent); err != nil {
+		buffer.Release()
 		return false, nil
 	}
-	n, err := b.Fill(responseReader{ans, g.exchange.server.opts.Pool}, left)
-	if err == nil && n < left {
+	n, err := buffer.Fill(responseReader{response, g.exchange.server.opts.Pool}, remaining)
+	if err == nil && n < remaining {
 		err = &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonShort, Err: io.ErrUnexpectedEOF}
 	}
 	if err != nil {
-		b.Release()
+		buffer.Release()
 		return true, err
 	}
-	g.spooled = b
+	g.spooled = buffer
 	return true, nil
 }
 
+// responseReader adapts a brick response to io.Reader.
 type responseReader struct {
 	response *brick.Response
 	pool     *brick.Pool
 }
 
+// Read implements io.Reader.
 func (r responseReader) Read(p []byte) (int, error) { return r.response.Read(r.pool, p) }
 
-// writeSpooled sends what was kept.
-func (x *exchange) writeSpooled(b *spool.Buffer) error {
-	parts, r := b.Parts()
+// writeSpooled sends the spooled rest of a response.
+func (x *exchange) writeSpooled(spooled *spool.Buffer) error {
+	parts, r := spooled.Parts()
 	if r == nil {
-		for _, p := range parts { // each has its own time to be taken
+		for _, p := range parts { // the write timeout applies to each slice
 			if err := x.write(p); err != nil {
 				return err
 			}
@@ -382,18 +401,18 @@
 	}
 }
 
-// streamPieces answers with the pieces that the range covers, one after the
-// other. The answer begins with the first piece's first bytes, so that until
-// then it can be refused.
+// streamPieces sends the pieces that the byte range covers, one after the
+// other. The response starts with the first bytes of the first piece, so until
+// then an error response is still possible.
 func (g *objectRead) streamPieces() error {
 	x := g.exchange
-	list := g.manifest.pieces(g.span)
-	if len(list) == 0 { // an empty object
+	pieces := g.manifest.pieces(g.span)
+	if len(pieces) == 0 { // empty object
 		g.buildHead()
 		return x.flush()
 	}
-	for _, p := range list {
-		if x.responseStarted { // the client has taken what came before
+	for _, p := range pieces {
+		if x.responseStarted { // the client has received the previous pieces
 			x.restartWait()
 		}
 		if err := g.streamPiece(p); err != nil {
@@ -406,36 +425,37 @@
 	return nil
 }
 
+// streamPiece sends the wanted part of one piece.
 func (g *objectRead) streamPiece(p piece) error {
 	x := g.exchange
-	j := x.newReadCall(brick.SpacePieces, p.name, x.shardOf(p.name), p.length)
+	call := x.newReadCall(brick.SpacePieces, p.name, x.shardOf(p.name), p.length)
 	if p.length < p.size {
-		j.Request.Range = fmt.Sprintf("bytes=%d-%d", p.from, p.from+p.length-1)
+		call.Request.Range = fmt.Sprintf("bytes=%d-%d", p.from, p.from+p.length-1)
 	}
-	lost := false
-	j.HandleResponse = func(j *attempts.Call, ans *brick.Response) error {
-		lost = ans.Status != 200 && ans.Status != 206
-		if lost {
-			g.discard(ans)
+	missing := false
+	call.HandleResponse = func(call *attempts.Call, response *brick.Response) error {
+		missing = response.Status != 200 && response.Status != 206
+		if missing {
+			g.discard(response)
 			return nil
 		}
-		if ans.Length != p.length {
-			return &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonBadAnswer, Err: errors.New("the piece is not of its size")}
+		if response.Length != p.length {
+			return &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonBadAnswer, Err: errors.New("piece has an unexpected size")}
 		}
-		return g.streamBody(j, ans, p.length)
+		return g.streamBody(call, response, p.length)
 	}
-	if err := x.runCall(j); err != nil {
+	if err := x.runCall(call); err != nil {
 		return err
 	}
-	if lost {
-		x.server.log.Error("piece missing", "request", x.requestID, "brick", string(j.Node.ID), "status", j.Response.Status)
+	if missing {
+		x.server.log.Error("piece missing", "request", x.requestID, "brick", string(call.Node.ID), "status", call.Response.Status)
 		return errInternal
 	}
 	if g.spooled != nil {
-		rest := g.spooled
+		spooled := g.spooled
 		g.spooled = nil
-		defer rest.Release()
-		return x.writeSpooled(rest)
+		defer spooled.Release()
+		return x.writeSpooled(spooled)
 	}
 	return nil
 }
--- a/internal/front/s3/list.go
+++ b/internal/front/s3/list.go
@@ -11,44 +11,50 @@
 	"arrowwalk/internal/front/s3/sigv4"
 )
 
+// sortedKeys returns the keys of m in order.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// listParams is what the two versions of ListObjects, and ListMultipartUploads,
-// ask for.
+// listParams holds the parameters that ListObjects, ListObjectsV2, ListParts
+// and ListMultipartUploads share.
 type listParams struct {
 	prefix, delimiter string
 	maxItems          int
-	urlEncode         bool // names are to be percent-encoded
+	urlEncode         bool // percent-encode names in the result
 }
 
-const maxListItems = 1000 // in a page, as the specification has it
+// maxListItems is the page size limit of the S3 specification.
+const maxListItems = 1000
 
-func (x *exchange) parseListParams(most string) (listParams, error) {
-	l := listParams{prefix: x.query.Get("prefix"), delimiter: x.query.Get("delimiter"), maxItems: maxListItems}
-	if text, ok := x.query.Lookup(most); ok {
-		n, err := strconv.Atoi(text)
+// parseListParams parses the shared parameters; maxParam is the name of the
+// one that limits the page size.
+func (x *exchange) parseListParams(maxParam string) (listParams, error) {
+	params := listParams{prefix: x.query.Get("prefix"), delimiter: x.query.Get("delimiter"), maxItems: maxListItems}
+	if value, ok := x.query.Lookup(maxParam); ok {
+		n, err := strconv.Atoi(value)
 		if err != nil || n < 0 {
-			return l, newAPIError(400, "InvalidArgument", "Argument %s must be an integer between 0 and 2147483647.", most)
+			return params, newAPIError(400, "InvalidArgument", "Argument %s must be an integer between 0 and 2147483647.", maxParam)
 		}
-		l.maxItems = min(n, maxListItems)
+		params.maxItems = min(n, maxListItems)
 	}
 	switch encoding := x.query.Get("encoding-type"); encoding {
 	case "":
 	case "url":
-		l.urlEncode = true
+		params.urlEncode = true
 	default:
-		return l, newAPIError(400, "InvalidArgument", "Invalid Encoding Method specified in Request.")
+		return params, newAPIError(400, "InvalidArgument", "Invalid Encoding Method specified in Request.")
 	}
-	return l, nil
+	return params, nil
 }
 
-func (l *listParams) encodeName(s string) string {
+// encodeName returns a name as it appears in the result.
+func (l *listParams) encodeName(name string) string {
 	if l.urlEncode {
-		return string(sigv4.AppendPercentEncoded(nil, s, true))
+		return string(sigv4.AppendPercentEncoded(nil, name, true))
 	}
-	return s
+	return name
 }
 
+// encodingType returns the value of the EncodingType element.
 func (l *listParams) encodingType() string {
 	if l.urlEncode {
 		return "url"
@@ -56,6 +62,7 @@
 	return ""
 }
 
+// listObjectsResult is the XML body of ListObjects and ListObjectsV2.
 type listObjectsResult struct {
 	XMLName               xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ ListBucketResult"`
 	Name                  string
@@ -74,6 +81,7 @@
 	CommonPrefixes        []commonPrefix
 }
 
+// listedObject is the XML element of one object.
 type listedObject struct {
 	Key          string
 	LastModified string
@@ -83,59 +91,61 @@
 	Owner        *owner `xml:",omitempty"`
 }
 
+// commonPrefix is the XML element of a group of keys up to a delimiter.
 type commonPrefix struct{ Prefix string }
 
-// listObjects serves ListObjects in both its versions.
+// listObjects serves ListObjects and ListObjectsV2.
 func (x *exchange) listObjects() error {
 	if err := x.checkEmptyBody(); err != nil {
 		return err
 	}
-	l, err := x.parseListParams("max-keys")
+	params, err := x.parseListParams("max-keys")
 	if err != nil {
 		return err
 	}
 	if err := x.requireBucket(); err != nil {
 		return err
 	}
-	second := false
+	isV2 := false
 	switch x.query.Get("list-type") {
 	case "":
 	case "2":
-		second = true
+		isV2 = true
 	default:
 		return newAPIError(400, "InvalidArgument", "Invalid list-type.")
 	}
-	out := &listObjectsResult{Name: x.bucket, Prefix: l.encodeName(l.prefix), MaxKeys: l.maxItems, Delimiter: l.encodeName(l.delimiter), EncodingType: l.encodingType()}
-	after, err := x.pageStart(out, &l, second)
+	result := &listObjectsResult{Name: x.bucket, Prefix: params.encodeName(params.prefix), MaxKeys: params.maxItems, Delimiter: params.encodeName(params.delimiter), EncodingType: params.encodingType()}
+	after, err := x.pageStart(result, &params, isV2)
 	if err != nil {
 		return err
 	}
-	last, err := x.fillPage(out, &l, after, second && x.query.Get("fetch-owner") != "true")
+	last, err := x.fillPage(result, &params, after, isV2 && x.query.Get("fetch-owner") != "true")
 	if err != nil {
 		return err
 	}
-	if second {
-		count := len(out.Contents) + len(out.CommonPrefixes)
-		out.KeyCount = &count
-		if out.IsTruncated {
-			out.NextContinuationToken = base64.URLEncoding.EncodeToString([]byte(last))
+	if isV2 {
+		count := len(result.Contents) + len(result.CommonPrefixes)
+		result.KeyCount = &count
+		if result.IsTruncated {
+			result.NextContinuationToken = base64.URLEncoding.EncodeToString([]byte(last))
 		}
-	} else if out.IsTruncated && l.delimiter != "" {
-		out.NextMarker = l.encodeName(last)
+	} else if result.IsTruncated && params.delimiter != "" {
+		result.NextMarker = params.encodeName(last)
 	}
-	return x.respondXML(200, out)
+	return x.respondXML(200, result)
 }
 
-// pageStart returns the key after which the page begins.
-func (x *exchange) pageStart(out *listObjectsResult, l *listParams, second bool) (string, error) {
-	if !second {
+// pageStart returns the key after which the page begins, and echoes the
+// parameters in the result.
+func (x *exchange) pageStart(result *listObjectsResult, params *listParams, isV2 bool) (string, error) {
+	if !isV2 {
 		marker := x.query.Get("marker")
-		text := l.encodeName(marker)
-		out.Marker = &text
+		encoded := params.encodeName(marker)
+		result.Marker = &encoded
 		return marker, nil
 	}
 	after := x.query.Get("start-after")
-	out.StartAfter = l.encodeName(after)
+	result.StartAfter = params.encodeName(after)
 	token, ok := x.query.Lookup("continuation-token")
 	if !ok {
 		return after, nil
@@ -144,41 +154,41 @@
 	if err != nil {
 		return "", newAPIError(400, "InvalidArgument", "The continuation token provided is incorrect.")
 	}
-	out.ContinuationToken = token
+	result.ContinuationToken = token
 	return string(key), nil
 }
 
-// fillPage reads a page of keys and returns the last of them.
-func (x *exchange) fillPage(out *listObjectsResult, l *listParams, after string, anonymous bool) (string, error) {
-	if l.maxItems == 0 {
+// fillPage adds a page of keys to the result and returns the last one.
+func (x *exchange) fillPage(result *listObjectsResult, params *listParams, after string, omitOwner bool) (string, error) {
+	if params.maxItems == 0 {
 		return "", nil
 	}
-	lead := x.bucket + "/"
-	list := brick.ListQuery{Prefix: lead + l.prefix, Delimiter: l.delimiter, MaxItems: l.maxItems}
+	bucketPrefix := x.bucket + "/"
+	list := brick.ListQuery{Prefix: bucketPrefix + params.prefix, Delimiter: params.delimiter, MaxItems: params.maxItems}
 	if after != "" {
-		list.After = lead + after
+		list.After = bucketPrefix + after
 	}
 	items, more, err := x.listAllShards(brick.SpaceObjects, list)
 	if err != nil {
 		return "", err
 	}
-	out.IsTruncated = more
+	result.IsTruncated = more
 	last := ""
-	for _, it := range items {
-		last = string(it.Name[len(lead):])
-		if it.IsPrefix {
-			out.CommonPrefixes = append(out.CommonPrefixes, commonPrefix{l.encodeName(last)})
+	for _, item := range items {
+		last = string(item.Name[len(bucketPrefix):])
+		if item.IsPrefix {
+			result.CommonPrefixes = append(result.CommonPrefixes, commonPrefix{params.encodeName(last)})
 			continue
 		}
-		rec, err := decodeRecord(it.Meta)
+		record, err := decodeRecord(item.Meta)
 		if err != nil {
 			return "", err
 		}
-		o := listedObject{Key: l.encodeName(last), LastModified: formatISOTime(rec.ModifiedMS), ETag: quoteETag(rec.ETag), Size: rec.Size, StorageClass: "STANDARD"}
-		if !anonymous {
-			o.Owner = &defaultOwner
+		object := listedObject{Key: params.encodeName(last), LastModified: formatISOTime(record.ModifiedMS), ETag: quoteETag(record.ETag), Size: record.Size, StorageClass: "STANDARD"}
+		if !omitOwner {
+			object.Owner = &defaultOwner
 		}
-		out.Contents = append(out.Contents, o)
+		result.Contents = append(result.Contents, object)
 	}
 	return last, nil
 }
--- a/internal/front/s3/route.go
+++ b/internal/front/s3/route.go
@@ -83,7 +83,7 @@
 	case "PUT":
 		_, isCopy := x.conn.req.Fields.Lookup("x-amz-copy-source")
 		switch {
-		case isUpload && copied:
+		case isUpload && isCopy:
 			return errNotImplemented
 		case isUpload:
 			return x.uploadPart(uploadID)
@@ -93,7 +93,7 @@
 		return x.putObject()
 	case "POST":
 		switch {
-		case start:
+		case startsUpload:
 			return x.createUpload()
 		case isUpload:
 			return x.completeUpload(uploadID)
