--- a/internal/front/s3/calls.go
+++ b/internal/front/s3/calls.go
@@ -15,7 +15,8 @@
 	"arrowwalk/internal/placement"
 )
 
-// scheduledCall is one request of the module for an exchange.
+// scheduledCall is a request to a brick together with what the host needs to
+// schedule it.
 type scheduledCall struct {
 	attempts.Call
 	class int
@@ -23,49 +24,52 @@
 	units float64
 }
 
-// errClientWrite ends an attempt whose answer had begun to go to the client.
+// errClientWrite ends an attempt whose response could not be forwarded to the
+// client.
 var errClientWrite = errors.New("the answer could not be passed on")
 
-// runCall runs j on the host. nil means that a brick answered; its status may still
-// be a refusal of what was asked, as 404. Else it is the error to answer with.
-func (x *exchange) runCall(j *scheduledCall) error {
-	j.ID = x.requestID
-	j.Task = host.Task{Class: j.class, Volume: x.volume, Units: j.units, Shard: j.shard, Deadline: x.deadline(j.class), IsRetry: x.isRetry, ReportsResponse: x.hasClient}
-	if j.class == config.ClassWrite && j.Request.Space == brick.SpaceObjects && x.server.cfg.Classes.Write.Ordered {
-		j.Task.HasKey, j.Task.Key = true, placement.Hash(j.Request.Name)
+// runCall runs a call on the host. It returns nil if a brick responded; the
+// status may still be an error such as 404. Otherwise it returns the error to
+// respond with.
+func (x *exchange) runCall(call *scheduledCall) error {
+	call.ID = x.requestID
+	call.Task = host.Task{Class: call.class, Volume: x.volume, Units: call.units, Shard: call.shard, Deadline: x.deadline(call.class), IsRetry: x.isRetry, ReportsResponse: x.hasClient}
+	if call.class == config.ClassWrite && call.Request.Space == brick.SpaceObjects && x.server.cfg.Classes.Write.Ordered {
+		call.Task.HasKey, call.Task.Key = true, placement.Hash(call.Request.Name)
 	}
-	j.Prepare(&x.server.sender)
-	if !x.conn.addTask(&j.Task) {
+	call.Prepare(&x.server.sender)
+	if !x.conn.addTask(&call.Task) {
 		return errClientGone
 	}
-	v := j.Do()
-	x.conn.removeTask(&j.Task)
+	outcome := call.Do()
+	x.conn.removeTask(&call.Task)
 	if x.hasClient {
-		x.trackLateTask(&j.Task)
+		x.trackLateTask(&call.Task)
 	}
-	if ended := x.server.opts.OnTaskEnd; ended != nil {
-		ended(x.bucket, x.volume.Plan, j.shard, v.Status)
+	if onTaskEnd := x.server.opts.OnTaskEnd; onTaskEnd != nil {
+		onTaskEnd(x.bucket, x.volume.Plan, call.shard, outcome.Status)
 	}
-	switch v.Status {
+	switch outcome.Status {
 	case host.Served:
-		if j.Response.Status == 507 {
+		if call.Response.Status == 507 {
 			return errInsufficientStorage
 		}
-		if j.ResponseBegun && j.Reason != "" {
+		if call.ResponseBegun && call.Reason != "" {
 			return errTruncated
 		}
 		return nil
 	case host.Refused:
-		return slowDown(v.RetryAfter)
+		return slowDown(outcome.RetryAfter)
 	case host.ClientGone:
 		return errClientGone
 	}
-	x.server.log.Warn("request failed", "request", x.requestID, "task", j.Task.ID(), "tries", v.Attempts, "last", string(j.Reason))
+	x.server.log.Warn("request failed", "request", x.requestID, "task", call.Task.ID(), "tries", outcome.Attempts, "last", string(call.Reason))
 	return errInternal
 }
 
-// trackLateTask keeps a task until the client's answer is written, for a host that lets
-// answers go first after a stall. Several may end at once.
+// trackLateTask keeps a late task until the response to the client is written,
+// for a host that lets responses go first after a stall. It is safe for
+// concurrent use, because several tasks may end at once.
 func (x *exchange) trackLateTask(t *host.Task) {
 	if !t.EndedAfterStall() {
 		return
@@ -78,115 +82,120 @@
 // shardOf returns the shard of a name.
 func (x *exchange) shardOf(name string) int { return x.server.shards.Shard(name) }
 
-// newReadCall returns a job that reads a blob.
+// newReadCall returns a call that reads a blob of the given size.
 func (x *exchange) newReadCall(space, name string, shard int, size int64) *scheduledCall {
 	return &scheduledCall{class: config.ClassRead, shard: shard, units: x.server.cfg.UnitsFor(size),
 		Call: attempts.Call{Request: brick.Request{Method: "GET", Space: space, Name: name}}}
 }
 
-// readBlob reads a small blob whole. ok is false where there is none.
-func (x *exchange) readBlob(space, name string, shard int, body bool) (ans brick.Response, text []byte, ok bool, err error) {
-	j := x.newReadCall(space, name, shard, 0)
-	if !body {
-		j.Request.Method = "HEAD"
+// readBlob reads the metadata of a blob and, if withBody is set, the body,
+// which must be small. ok is false if the blob does not exist.
+func (x *exchange) readBlob(space, name string, shard int, withBody bool) (response brick.Response, body []byte, ok bool, err error) {
+	call := x.newReadCall(space, name, shard, 0)
+	if !withBody {
+		call.Request.Method = "HEAD"
 	} else {
-		j.HandleResponse = func(_ *attempts.Call, ans *brick.Response) error {
+		call.HandleResponse = func(_ *attempts.Call, response *brick.Response) error {
 			var err error
-			text, err = ans.ReadAll(x.server.opts.Pool, nil, maxManifestBytes)
+			body, err = response.ReadAll(x.server.opts.Pool, nil, maxManifestBytes)
 			return err
 		}
 	}
-	if err := x.runCall(j); err != nil {
-		return ans, nil, false, err
+	if err := x.runCall(call); err != nil {
+		return response, nil, false, err
 	}
-	switch j.Response.Status {
+	switch call.Response.Status {
 	case 200:
-		return j.Response, text, true, nil
+		return call.Response, body, true, nil
 	case 404:
-		return j.Response, nil, false, nil
+		return call.Response, nil, false, nil
 	}
-	return ans, nil, false, x.unexpectedStatus(j)
+	return response, nil, false, x.unexpectedStatus(call)
 }
 
-func (x *exchange) unexpectedStatus(j *scheduledCall) error {
-	x.server.log.Error("unexpected answer from a brick", "request", x.requestID, "brick", string(j.Node.ID),
-		"method", j.Request.Method, "space", j.Request.Space, "status", j.Response.Status)
+// unexpectedStatus logs a response with an unexpected status and returns
+// errInternal.
+func (x *exchange) unexpectedStatus(call *scheduledCall) error {
+	x.server.log.Error("unexpected answer from a brick", "request", x.requestID, "brick", string(call.Node.ID),
+		"method", call.Request.Method, "space", call.Request.Space, "status", call.Response.Status)
 	return errInternal
 }
 
-// writeBlob writes a blob. A 412 comes back as errPrecondition.
-func (x *exchange) writeBlob(call brick.Request, shard int) (brick.Response, error) {
-	call.Method = "PUT"
+// writeBlob writes a blob. It returns errPrecondition if a condition of the
+// write did not hold.
+func (x *exchange) writeBlob(request brick.Request, shard int) (brick.Response, error) {
+	request.Method = "PUT"
 	var size int64
-	if call.Body != nil {
-		size = call.Body.Len()
+	if request.Body != nil {
+		size = request.Body.Len()
 	}
-	j := &scheduledCall{class: config.ClassWrite, shard: shard, units: x.server.cfg.UnitsFor(size), Call: attempts.Call{Request: call}}
-	if err := x.runCall(j); err != nil {
+	call := &scheduledCall{class: config.ClassWrite, shard: shard, units: x.server.cfg.UnitsFor(size), Call: attempts.Call{Request: request}}
+	if err := x.runCall(call); err != nil {
 		return brick.Response{}, err
 	}
-	switch j.Response.Status {
+	switch call.Response.Status {
 	case 200:
-		return j.Response, nil
+		return call.Response, nil
 	case 412:
-		return j.Response, errPrecondition
+		return call.Response, errPrecondition
 	}
-	return j.Response, x.unexpectedStatus(j)
+	return call.Response, x.unexpectedStatus(call)
 }
 
-// deleteBlob deletes a blob; ok is false where there was none.
-func (x *exchange) deleteBlob(space, name string, shard int, version uint64) (ans brick.Response, ok bool, err error) {
-	j := &scheduledCall{class: config.ClassWrite, shard: shard, units: x.server.cfg.UnitsFor(0),
+// deleteBlob deletes a blob. ok is false if it did not exist.
+func (x *exchange) deleteBlob(space, name string, shard int, version uint64) (response brick.Response, ok bool, err error) {
+	call := &scheduledCall{class: config.ClassWrite, shard: shard, units: x.server.cfg.UnitsFor(0),
 		Call: attempts.Call{Request: brick.Request{Method: "DELETE", Space: space, Name: name, IfVersion: version}}}
-	if err := x.runCall(j); err != nil {
-		return ans, false, err
+	if err := x.runCall(call); err != nil {
+		return response, false, err
 	}
-	switch j.Response.Status {
+	switch call.Response.Status {
 	case 204, 404:
-		return j.Response, j.Response.Status == 204, nil
+		return call.Response, call.Response.Status == 204, nil
 	case 412:
-		return j.Response, false, errPrecondition
+		return call.Response, false, errPrecondition
 	}
-	return ans, false, x.unexpectedStatus(j)
+	return response, false, x.unexpectedStatus(call)
 }
 
-// maxListResponseBytes bounds the text of a page of a brick's list.
+// maxListResponseBytes bounds the size of a page of a listing.
 const maxListResponseBytes = 64 << 20
 
-// listPage reads one listPage of a space at one shard.
+// listPage reads one page of the names of a space at one shard.
 func (x *exchange) listPage(space string, shard int, list brick.ListQuery) (*brick.ListResponse, error) {
-	answer := &brick.ListResponse{}
-	j := x.newReadCall(space, "", shard, int64(list.MaxItems)*100)
-	j.units = min(j.units, x.server.cfg.MostUnits())
-	j.Request.List = &list
-	j.HandleResponse = func(_ *attempts.Call, ans *brick.Response) error {
-		text, err := ans.ReadAll(x.server.opts.Pool, nil, maxListResponseBytes)
+	page := &brick.ListResponse{}
+	call := x.newReadCall(space, "", shard, int64(list.MaxItems)*100)
+	call.units = min(call.units, x.server.cfg.MostUnits())
+	call.Request.List = &list
+	call.HandleResponse = func(_ *attempts.Call, response *brick.Response) error {
+		body, err := response.ReadAll(x.server.opts.Pool, nil, maxListResponseBytes)
 		if err != nil {
 			return err
 		}
-		if ans.Status != 200 {
+		if response.Status != 200 {
 			return nil
 		}
-		*answer = brick.ListResponse{}
-		if err := json.Unmarshal(text, answer); err != nil {
+		*page = brick.ListResponse{}
+		if err := json.Unmarshal(body, page); err != nil {
 			return &brick.Failure{Status: arrowwalk.Failed, Reason: brick.ReasonBadAnswer, Err: err}
 		}
 		return nil
 	}
-	if err := x.runCall(j); err != nil {
+	if err := x.runCall(call); err != nil {
 		return nil, err
 	}
-	if j.Response.Status != 200 {
-		return nil, x.unexpectedStatus(j)
+	if call.Response.Status != 200 {
+		return nil, x.unexpectedStatus(call)
 	}
-	return answer, nil
+	return page, nil
 }
 
-// maxParallelCalls is how many shards are asked at once.
+// maxParallelCalls is how many calls runParallel runs at once.
 const maxParallelCalls = 8
 
-// runParallel runs do for 0 to n-1, several at a time.
-func (x *exchange) runParallel(n int, do func(i int)) {
+// runParallel calls fn for 0 to n-1, up to maxParallelCalls at a time, and
+// waits until all have returned.
+func (x *exchange) runParallel(n int, fn func(i int)) {
 	var next atomic.Int64
 	var wg sync.WaitGroup
 	for range min(maxParallelCalls, n) {
@@ -194,17 +203,18 @@
 		go func() {
 			defer wg.Done()
 			for i := next.Add(1) - 1; i < int64(n); i = next.Add(1) - 1 {
-				do(int(i))
+				fn(int(i))
 			}
 		}()
 	}
 	wg.Wait()
 }
 
-// forEachShard runs do for each shard and returns the first shard's error.
-func (x *exchange) forEachShard(do func(shard int) error) error {
+// forEachShard calls fn for each shard and returns the error of the lowest
+// shard that failed.
+func (x *exchange) forEachShard(fn func(shard int) error) error {
 	errs := make([]error, x.server.shards.Shards())
-	x.runParallel(len(errs), func(i int) { errs[i] = do(i) })
+	x.runParallel(len(errs), func(i int) { errs[i] = fn(i) })
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -213,8 +223,9 @@
 	return nil
 }
 
-// listAllShards reads a page at each shard and returns all items in order
-// of their names, rolled ones once, and whether there are more.
+// listAllShards reads a page from each shard. It returns the merged items in
+// order of their names, with duplicate common prefixes removed, and whether
+// there are more.
 func (x *exchange) listAllShards(space string, list brick.ListQuery) ([]brick.ListItem, bool, error) {
 	pages := make([]*brick.ListResponse, x.server.shards.Shards())
 	err := x.forEachShard(func(shard int) error {
@@ -228,36 +239,37 @@
 	return mergePages(pages, list.MaxItems)
 }
 
-// mergePages merges sorted pages. Each page holds its shard's first most
-// items, so the first most of all are among them.
-func mergePages(pages []*brick.ListResponse, most int) ([]brick.ListItem, bool, error) {
-	at := make([]int, len(pages))
-	var out []brick.ListItem
+// mergePages merges sorted pages into the first maxItems items. Each page
+// holds the first maxItems items of its shard, so the first of all shards are
+// among them.
+func mergePages(pages []*brick.ListResponse, maxItems int) ([]brick.ListItem, bool, error) {
+	next := make([]int, len(pages))
+	var merged []brick.ListItem
 	for {
-		best := -1
+		first := -1
 		for i, p := range pages {
-			if at[i] < len(p.Items) && (best < 0 ||
-				strings.Compare(string(p.Items[at[i]].Name), string(pages[best].Items[at[best]].Name)) < 0) {
-				best = i
+			if next[i] < len(p.Items) && (first < 0 ||
+				strings.Compare(string(p.Items[next[i]].Name), string(pages[first].Items[next[first]].Name)) < 0) {
+				first = i
 			}
 		}
-		if best < 0 {
+		if first < 0 {
 			break
 		}
-		it := pages[best].Items[at[best]]
-		at[best]++
-		if n := len(out); n > 0 && it.IsPrefix && out[n-1].IsPrefix && string(out[n-1].Name) == string(it.Name) {
+		item := pages[first].Items[next[first]]
+		next[first]++
+		if n := len(merged); n > 0 && item.IsPrefix && merged[n-1].IsPrefix && string(merged[n-1].Name) == string(item.Name) {
 			continue
 		}
-		if len(out) == most {
-			return out, true, nil
+		if len(merged) == maxItems {
+			return merged, true, nil
 		}
-		out = append(out, it)
+		merged = append(merged, item)
 	}
 	for _, p := range pages {
 		if p.More {
-			return out, true, nil
+			return merged, true, nil
 		}
 	}
-	return out, false, nil
+	return merged, false, nil
 }
--- a/internal/front/s3/gc.go
+++ b/internal/front/s3/gc.go
@@ -12,98 +12,104 @@
 	"arrowwalk/internal/placement"
 )
 
-// garbageCollector drops, behind the answers, the data that no record names any more.
-// Its deletes are requests of the module like any other, on the volume whose
-// data they drop. What it has not dropped when the host stops is left over;
-// it is never read and costs only room.
+// garbageCollector deletes data that no record refers to any more, in the
+// background. Its deletes are scheduled like client requests, on the volume of
+// the data. Data that is not deleted when the host stops remains; it is never
+// read and only occupies space.
 type garbageCollector struct {
 	server       *Server
 	queue        chan deletion
-	abandoned    atomic.Uint64 // chores given up
-	deletedBlobs atomic.Uint64 // blobs dropped
+	abandoned    atomic.Uint64 // deletions given up
+	deletedBlobs atomic.Uint64 // blobs deleted
 	quit         chan struct{}
 	quitOnce     sync.Once
 	stopped      chan struct{}
 }
 
-// deletion is something to drop.
+// deletion describes data to delete.
 type deletion struct {
 	volume      arrowwalk.Volume
-	piecePrefix string          // drop all pieces whose names begin with it and a slash,
-	keepBases   map[string]bool // but those with one of these bases
-	runs        []pieceRun      // or the pieces of these
-	uploadID    string          // and the part records of this upload
-	partName    string          // or one part record
-	shard       int             // where the part records are
+	piecePrefix string          // pieces whose names begin with it and a slash,
+	keepBases   map[string]bool // except those with one of these bases
+	runs        []pieceRun      // pieces of these runs
+	uploadID    string          // all part records of this upload
+	partName    string          // one part record
+	shard       int             // shard of the part records
 }
 
+// maxQueuedDeletions bounds the queue; further deletions are abandoned.
 const maxQueuedDeletions = 4096
 
+// startGarbageCollector starts the collector of s.
 func startGarbageCollector(s *Server) *garbageCollector {
-	j := &garbageCollector{server: s, queue: make(chan deletion, maxQueuedDeletions), quit: make(chan struct{}), stopped: make(chan struct{})}
-	go j.run()
-	return j
+	gc := &garbageCollector{server: s, queue: make(chan deletion, maxQueuedDeletions), quit: make(chan struct{}), stopped: make(chan struct{})}
+	go gc.run()
+	return gc
 }
 
-// stop lets the janitor do what is queued until ctx ends.
-func (j *garbageCollector) stop(ctx context.Context) {
-	j.quitOnce.Do(func() { close(j.quit) })
+// stop waits until the queued deletions are done or ctx ends.
+func (gc *garbageCollector) stop(ctx context.Context) {
+	gc.quitOnce.Do(func() { close(gc.quit) })
 	select {
-	case <-j.stopped:
+	case <-gc.stopped:
 	case <-ctx.Done():
 	}
 }
 
-func (j *garbageCollector) enqueue(c deletion) {
+// enqueue queues a deletion, or counts it as abandoned if the queue is full.
+func (gc *garbageCollector) enqueue(d deletion) {
 	select {
-	case j.queue <- c:
+	case gc.queue <- d:
 	default:
-		j.abandoned.Add(1)
+		gc.abandoned.Add(1)
 	}
 }
 
-// deletePieces drops all pieces of an object's data.
-func (j *garbageCollector) deletePieces(x *exchange, data string) {
-	j.enqueue(deletion{volume: x.volume, piecePrefix: data})
+// deletePieces deletes all pieces whose names begin with piecePrefix and a
+// slash.
+func (gc *garbageCollector) deletePieces(x *exchange, piecePrefix string) {
+	gc.enqueue(deletion{volume: x.volume, piecePrefix: piecePrefix})
 }
 
-// deleteRuns drops pieces that were stored for a record that was not written.
-func (j *garbageCollector) deleteRuns(x *exchange, runs []pieceRun) {
+// deleteRuns deletes the pieces of a record that was not written.
+func (gc *garbageCollector) deleteRuns(x *exchange, runs []pieceRun) {
 	if len(runs) > 0 {
-		j.enqueue(deletion{volume: x.volume, runs: runs})
+		gc.enqueue(deletion{volume: x.volume, runs: runs})
 	}
 }
 
-// deletePart drops a part whose upload has ended.
-func (j *garbageCollector) deletePart(x *exchange, upload string, p partRecord) {
-	c := deletion{volume: x.volume, partName: partName(upload, &p), shard: x.objectShard()}
-	if p.Size > 0 {
-		c.runs = []pieceRun{{p.Base, p.Size, x.server.cfg.PieceBytes}}
+// deletePart deletes a part whose upload no longer exists.
+func (gc *garbageCollector) deletePart(x *exchange, uploadID string, part partRecord) {
+	d := deletion{volume: x.volume, partName: partName(uploadID, &part), shard: x.objectShard()}
+	if part.Size > 0 {
+		d.runs = []pieceRun{{part.Base, part.Size, x.server.cfg.PieceBytes}}
 	}
-	j.enqueue(c)
+	gc.enqueue(d)
 }
 
-// deleteUnusedParts drops the records of an upload that has ended, and the pieces
-// that the object does not use.
-func (j *garbageCollector) deleteUnusedParts(x *exchange, upload string, used []partRecord) {
-	c := deletion{volume: x.volume, piecePrefix: upload, uploadID: upload, shard: x.objectShard(), keepBases: map[string]bool{}}
+// deleteUnusedParts deletes the part records of an upload that has ended, and
+// the pieces that the object does not use.
+func (gc *garbageCollector) deleteUnusedParts(x *exchange, uploadID string, used []partRecord) {
+	d := deletion{volume: x.volume, piecePrefix: uploadID, uploadID: uploadID, shard: x.objectShard(), keepBases: map[string]bool{}}
 	for _, p := range used {
-		c.keepBases[p.Base] = true
+		d.keepBases[p.Base] = true
 	}
-	j.enqueue(c)
+	gc.enqueue(d)
 }
 
-func (j *garbageCollector) run() {
-	defer close(j.stopped)
+// run processes the queue. After quit is closed, it processes what is queued
+// and returns.
+func (gc *garbageCollector) run() {
+	defer close(gc.stopped)
 	for {
 		select {
-		case c := <-j.queue:
-			j.deleteWithRetries(c)
-		case <-j.quit:
+		case d := <-gc.queue:
+			gc.deleteWithRetries(d)
+		case <-gc.quit:
 			for {
 				select {
-				case c := <-j.queue:
-					j.deleteWithRetries(c)
+				case d := <-gc.queue:
+					gc.deleteWithRetries(d)
 				default:
 					return
 				}
@@ -112,70 +118,73 @@
 	}
 }
 
-// deletionRetryDelay is how long a chore that was refused rests before its next try.
+// A deletion that fails is retried after deletionRetryDelay, up to
+// maxDeletionTries times in total.
 const (
 	deletionRetryDelay = 200 * time.Millisecond
 	maxDeletionTries   = 5
 )
 
-func (j *garbageCollector) deleteWithRetries(c deletion) {
-	x := &exchange{server: j.server, conn: &conn{server: j.server}, requestID: j.server.opts.Host.RunID() + "-janitor", volume: c.volume, startedAt: time.Now(), waitStart: time.Now()}
+// deleteWithRetries runs a deletion up to maxDeletionTries times.
+func (gc *garbageCollector) deleteWithRetries(d deletion) {
+	x := &exchange{server: gc.server, conn: &conn{server: gc.server}, requestID: gc.server.opts.Host.RunID() + "-janitor", volume: d.volume, startedAt: time.Now(), waitStart: time.Now()}
 	for range maxDeletionTries {
-		if j.runDeletion(x, &c) == nil {
+		if gc.runDeletion(x, &d) == nil {
 			return
 		}
 		select {
 		case <-time.After(deletionRetryDelay):
-		case <-j.quit:
+		case <-gc.quit:
 		}
 	}
-	j.abandoned.Add(1)
-	j.server.log.Warn("unused data left behind", "data", c.piecePrefix, "upload", c.uploadID, "runs", len(c.runs))
+	gc.abandoned.Add(1)
+	gc.server.log.Warn("unused data not deleted", "data", d.piecePrefix, "upload", d.uploadID, "runs", len(d.runs))
 }
 
-// runDeletion does a chore; it may have been done in part before.
-func (j *garbageCollector) runDeletion(x *exchange, c *deletion) error {
-	for _, r := range c.runs {
+// runDeletion runs a deletion. An earlier try may have done a part of it.
+func (gc *garbageCollector) runDeletion(x *exchange, d *deletion) error {
+	for _, r := range d.runs {
 		for i := range int((r.Size + r.PieceSize - 1) / r.PieceSize) {
 			name := placement.Piece(r.Base, i)
-			if err := j.deleteBlob(x, brick.SpacePieces, name, x.shardOf(name)); err != nil {
+			if err := gc.deleteBlob(x, brick.SpacePieces, name, x.shardOf(name)); err != nil {
 				return err
 			}
 		}
 	}
-	if c.partName != "" {
-		if err := j.deleteBlob(x, brick.SpaceParts, c.partName, c.shard); err != nil {
+	if d.partName != "" {
+		if err := gc.deleteBlob(x, brick.SpaceParts, d.partName, d.shard); err != nil {
 			return err
 		}
 	}
-	if c.uploadID != "" {
-		if err := j.deletePrefix(x, brick.SpaceParts, c.shard, c.uploadID+"/", nil); err != nil {
+	if d.uploadID != "" {
+		if err := gc.deletePrefix(x, brick.SpaceParts, d.shard, d.uploadID+"/", nil); err != nil {
 			return err
 		}
 	}
-	if c.piecePrefix == "" {
+	if d.piecePrefix == "" {
 		return nil
 	}
-	for shard := range j.server.shards.Shards() {
-		if err := j.deletePrefix(x, brick.SpacePieces, shard, c.piecePrefix+"/", c.keepBases); err != nil {
+	for shard := range gc.server.shards.Shards() {
+		if err := gc.deletePrefix(x, brick.SpacePieces, shard, d.piecePrefix+"/", d.keepBases); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (j *garbageCollector) deleteBlob(x *exchange, space, name string, shard int) error {
+// deleteBlob deletes one blob. A blob that does not exist is no error.
+func (gc *garbageCollector) deleteBlob(x *exchange, space, name string, shard int) error {
 	x.restartWait()
 	_, ok, err := x.deleteBlob(space, name, shard, 0)
 	if ok {
-		j.deletedBlobs.Add(1)
+		gc.deletedBlobs.Add(1)
 	}
 	return err
 }
 
-// deletePrefix deletes what one shard has with a prefix, but those pieces whose
-// base is excepted.
-func (j *garbageCollector) deletePrefix(x *exchange, space string, shard int, prefix string, except map[string]bool) error {
+// deletePrefix deletes the blobs of one shard whose names begin with prefix,
+// except for pieces with a base in keepBases.
+func (gc *garbageCollector) deletePrefix(x *exchange, space string, shard int, prefix string, keepBases map[string]bool) error {
 	list := brick.ListQuery{Prefix: prefix, MaxItems: maxListItems}
 	for {
 		x.restartWait()
@@ -183,13 +192,13 @@
 		if err != nil {
 			return err
 		}
-		for _, it := range page.Items {
-			name := string(it.Name)
+		for _, item := range page.Items {
+			name := string(item.Name)
 			list.After = name
-			if dot := strings.LastIndexByte(name, '.'); dot >= 0 && except[name[:dot]] {
+			if dot := strings.LastIndexByte(name, '.'); dot >= 0 && keepBases[name[:dot]] {
 				continue
 			}
-			if err := j.deleteBlob(x, space, name, shard); err != nil {
+			if err := gc.deleteBlob(x, space, name, shard); err != nil {
 				return err
 			}
 		}
--- a/internal/front/s3/multipart.go
+++ b/internal/front/s3/multipart.go
@@ -21,41 +21,47 @@
 
 const (
 	maxParts     = 10_000
-	minPartBytes = 5 << 20 // bytes of a part that is not the last
+	minPartBytes = 5 << 20 // minimum size of all parts but the last
 )
 
-// uploadRecord is kept of a multipart upload, at the object's home. Every
-// change of it is conditional on its version: complete and abort cannot both
-// win.
+// uploadRecord is the stored state of a multipart upload, at the shard of the
+// object. Every change is conditional on the record's version, so complete and
+// abort cannot both succeed.
 type uploadRecord struct {
-	Object    record `json:"o"` // what the object will be told to be
+	Object    record `json:"o"` // metadata of the future object
 	CreatedMS int64  `json:"t"`
-	// Completing is a digest of the part list that a complete has claimed the
-	// upload for; the same list may be claimed again, after a crash or a
-	// repeat, any other may not, and abort may not.
+	// Completing is the digest of the part list that a complete has claimed the
+	// upload for. The same list may be claimed again after a crash or a retry.
+	// Other lists and aborts are rejected.
 	Completing string `json:"c,omitempty"`
 }
 
-// partRecord is kept of each part that was uploaded, at the object's home. A
-// part that is sent again gets a record of its own; the latest counts.
+// partRecord describes an uploaded part. It is stored at the shard of the
+// object. Uploading a part again adds a new record; the latest one counts.
 type partRecord struct {
 	Number     int               `json:"n"`
 	ETag       string            `json:"e"`
 	Size       int64             `json:"s"`
 	UploadedMS int64             `json:"t"`
-	Base       string            `json:"b"` // of its pieces
+	Base       string            `json:"b"` // base name of the pieces
 	Checksums  map[string]string `json:"k,omitempty"`
 }
 
-func uploadName(bucket, key, id string) string { return placement.Object(bucket, key) + "\x00" + id }
+// uploadName returns the name under which the record of an upload is stored.
+func uploadName(bucket, key, uploadID string) string {
+	return placement.Object(bucket, key) + "\x00" + uploadID
+}
 
-func isValidUploadID(id string) bool {
-	return len(id) == 34 && strings.Trim(id, "0123456789abcdef") == ""
+// isValidUploadID reports whether id has the form that newUniqueID produces.
+func isValidUploadID(uploadID string) bool {
+	return len(uploadID) == 34 && strings.Trim(uploadID, "0123456789abcdef") == ""
 }
 
-// objectShard returns the shard where all records of the object's uploads are.
+// objectShard returns the shard of the object, which also stores the records
+// of its uploads and their parts.
 func (x *exchange) objectShard() int { return x.shardOf(placement.Object(x.bucket, x.key)) }
 
+// createUploadResult is the XML body of the response to CreateMultipartUpload.
 type createUploadResult struct {
 	XMLName  xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ InitiateMultipartUploadResult"`
 	Bucket   string
@@ -63,6 +69,7 @@
 	UploadID string `xml:"UploadId"`
 }
 
+// createUpload serves CreateMultipartUpload.
 func (x *exchange) createUpload() error {
 	if err := x.checkEmptyBody(); err != nil {
 		return err
@@ -73,14 +80,14 @@
 	if err := rejectUnsupportedFields(x.conn.req.Fields); err != nil {
 		return err
 	}
-	up := uploadRecord{CreatedMS: time.Now().UnixMilli()}
-	if err := x.readMetadata(&up.Object); err != nil {
+	record := uploadRecord{CreatedMS: time.Now().UnixMilli()}
+	if err := x.readMetadata(&record.Object); err != nil {
 		return err
 	}
-	if _, err := up.Object.encode(); err != nil {
+	if _, err := record.Object.encode(); err != nil {
 		return err
 	}
-	meta, err := json.Marshal(up)
+	meta, err := json.Marshal(record)
 	if err != nil {
 		return err
 	}
@@ -90,35 +97,37 @@
 		return err
 	}
 	var fields http1.Fields
-	if a := x.conn.req.Fields.Get("x-amz-checksum-algorithm"); a != "" {
-		fields = http1.Fields{{Name: "x-amz-checksum-algorithm", Value: a}}
+	if algorithm := x.conn.req.Fields.Get("x-amz-checksum-algorithm"); algorithm != "" {
+		fields = http1.Fields{{Name: "x-amz-checksum-algorithm", Value: algorithm}}
 	}
 	fields = append(fields, http1.Field{Name: "Content-Type", Value: "application/xml"})
 	return x.respond(200, fields, append([]byte(xml.Header), marshalXML(createUploadResult{Bucket: x.bucket, Key: x.key, UploadID: id})...))
 }
 
-// readUpload reads an upload's record, or refuses.
+// readUpload returns the record of an upload and its version, or
+// errNoSuchUpload.
 func (x *exchange) readUpload(id string) (*uploadRecord, uint64, error) {
 	if !isValidUploadID(id) {
 		return nil, 0, errNoSuchUpload
 	}
-	ans, _, ok, err := x.readBlob(brick.SpaceUploads, uploadName(x.bucket, x.key, id), x.objectShard(), false)
+	response, _, ok, err := x.readBlob(brick.SpaceUploads, uploadName(x.bucket, x.key, id), x.objectShard(), false)
 	if err != nil {
 		return nil, 0, err
 	}
 	if !ok {
 		return nil, 0, errNoSuchUpload
 	}
-	up := &uploadRecord{}
-	if err := json.Unmarshal(ans.Meta, up); err != nil {
+	record := &uploadRecord{}
+	if err := json.Unmarshal(response.Meta, record); err != nil {
 		return nil, 0, fmt.Errorf("upload record: %w", err)
 	}
-	return up, ans.Version, nil
+	return record, response.Version, nil
 }
 
-// uploadPart stores a part's pieces, then its record, and then looks whether
-// the upload is still there: a complete or abort that deleted it before the
-// record was written has not seen the part, and nobody else will drop it.
+// uploadPart serves UploadPart. It stores the pieces, then the record of the
+// part, and then checks that the upload still exists: a complete or abort that
+// deleted the upload before the record was written did not see the part, so
+// this request must delete it.
 func (x *exchange) uploadPart(id string) error {
 	number, err := strconv.Atoi(x.query.Get("partNumber"))
 	if err != nil || number < 1 || number > maxParts {
@@ -127,17 +136,17 @@
 	if _, _, err := x.readUpload(id); err != nil {
 		return err
 	}
-	u, err := x.newUpload()
+	body, err := x.newUpload()
 	if err != nil {
 		return err
 	}
 	part := partRecord{Number: number, Base: id + "/" + newUniqueID()}
-	runs, err := x.storePartBody(u, part.Base)
+	runs, err := x.storePartBody(body, part.Base)
 	if err == nil {
-		err = u.verify()
+		err = body.verify()
 	}
 	if err == nil {
-		part.ETag, part.Size, part.Checksums, part.UploadedMS = u.etag(), u.received, u.verifiedChecksums(), time.Now().UnixMilli()
+		part.ETag, part.Size, part.Checksums, part.UploadedMS = body.etag(), body.received, body.verifiedChecksums(), time.Now().UnixMilli()
 		err = x.storePartRecord(id, &part)
 	}
 	if err != nil {
@@ -150,79 +159,83 @@
 		}
 		return err
 	}
-	return x.respond(200, u.responseFields(), nil)
+	return x.respond(200, body.responseFields(), nil)
 }
 
-// storePartBody stores a part's body as pieces, however small it is.
-func (x *exchange) storePartBody(u *upload, base string) ([]pieceRun, error) {
-	body := x.server.opts.Spool.NewBuffer()
-	defer body.Release()
-	runs, err := x.storeBody(u, base, body)
-	if err != nil || runs != nil || body.Len() == 0 {
+// storePartBody stores the body of a part as pieces, even if it fits into one.
+func (x *exchange) storePartBody(upload *upload, base string) ([]pieceRun, error) {
+	buffer := x.server.opts.Spool.NewBuffer()
+	defer buffer.Release()
+	runs, err := x.storeBody(upload, base, buffer)
+	if err != nil || runs != nil || buffer.Len() == 0 {
 		return runs, err
 	}
 	name := placement.Piece(base, 0)
-	if _, err := x.writeBlob(brick.Request{Space: brick.SpacePieces, Name: name, Body: body}, x.shardOf(name)); err != nil {
-		return []pieceRun{{base, body.Len(), x.server.cfg.PieceBytes}}, err
+	if _, err := x.writeBlob(brick.Request{Space: brick.SpacePieces, Name: name, Body: buffer}, x.shardOf(name)); err != nil {
+		return []pieceRun{{base, buffer.Len(), x.server.cfg.PieceBytes}}, err
 	}
-	return []pieceRun{{base, body.Len(), x.server.cfg.PieceBytes}}, nil
+	return []pieceRun{{base, buffer.Len(), x.server.cfg.PieceBytes}}, nil
 }
 
-func partName(upload string, p *partRecord) string {
-	return fmt.Sprintf("%s/%05d/%s", upload, p.Number, p.Base[len(upload)+1:])
+// partName returns the name under which the record of a part is stored.
+func partName(uploadID string, part *partRecord) string {
+	return fmt.Sprintf("%s/%05d/%s", uploadID, part.Number, part.Base[len(uploadID)+1:])
 }
 
-func (x *exchange) storePartRecord(upload string, p *partRecord) error {
-	meta, err := json.Marshal(p)
+// storePartRecord writes the record of a part.
+func (x *exchange) storePartRecord(uploadID string, part *partRecord) error {
+	meta, err := json.Marshal(part)
 	if err != nil {
 		return err
 	}
-	_, err = x.writeBlob(brick.Request{Space: brick.SpaceParts, Name: partName(upload, p), Meta: meta}, x.objectShard())
+	_, err = x.writeBlob(brick.Request{Space: brick.SpaceParts, Name: partName(uploadID, part), Meta: meta}, x.objectShard())
 	return err
 }
 
-// listPartRecords reads the records of an upload's listPartRecords, in the order of their numbers
-// and then of their times.
-func (x *exchange) listPartRecords(upload string, shard int) ([]partRecord, error) {
-	var out []partRecord
-	list := brick.ListQuery{Prefix: upload + "/", MaxItems: maxListItems}
+// listPartRecords returns the records of all parts of an upload, ordered by
+// part number and then by upload time.
+func (x *exchange) listPartRecords(uploadID string, shard int) ([]partRecord, error) {
+	var parts []partRecord
+	list := brick.ListQuery{Prefix: uploadID + "/", MaxItems: maxListItems}
 	for {
 		page, err := x.listPage(brick.SpaceParts, shard, list)
 		if err != nil {
 			return nil, err
 		}
-		for _, it := range page.Items {
-			var p partRecord
-			if err := json.Unmarshal(it.Meta, &p); err != nil {
+		for _, item := range page.Items {
+			var part partRecord
+			if err := json.Unmarshal(item.Meta, &part); err != nil {
 				return nil, fmt.Errorf("part record: %w", err)
 			}
-			out = append(out, p)
-			list.After = string(it.Name)
+			parts = append(parts, part)
+			list.After = string(item.Name)
 		}
 		if !page.More {
-			return out, nil
+			return parts, nil
 		}
 	}
 }
 
-// latestParts keeps the last record of each part number.
+// latestParts returns the last record of each part number.
 func latestParts(parts []partRecord) []partRecord {
-	var out []partRecord
+	var latest []partRecord
 	for _, p := range parts {
-		if n := len(out); n > 0 && out[n-1].Number == p.Number {
-			out[n-1] = p
+		if n := len(latest); n > 0 && latest[n-1].Number == p.Number {
+			latest[n-1] = p
 		} else {
-			out = append(out, p)
+			latest = append(latest, p)
 		}
 	}
-	return out
+	return latest
 }
 
+// completeUploadBody is the XML body of CompleteMultipartUpload.
 type completeUploadBody struct {
 	XMLName xml.Name `xml:"CompleteMultipartUpload"`
 	Part    []completePart
 }
 
+// completePart is the XML element of one part to complete.
 type completePart struct {
 	PartNumber        int
 	ETag              string
@@ -233,11 +246,15 @@
 	ChecksumSHA256    string
 }
 
+// checksums returns the checksums that the client gave for the part, by
+// algorithm.
 func (p *completePart) checksums() map[string]string {
 	return map[string]string{"crc32": p.ChecksumCRC32, "crc32c": p.ChecksumCRC32C, "crc64nvme": p.ChecksumCRC64NVME,
 		"sha1": p.ChecksumSHA1, "sha256": p.ChecksumSHA256}
 }
 
+// completeUploadResult is the XML body of the response to
+// CompleteMultipartUpload.
 type completeUploadResult struct {
 	XMLName  xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ CompleteMultipartUploadResult"`
 	Location string
@@ -246,92 +263,97 @@
 	ETag     string
 }
 
+// completeUpload serves CompleteMultipartUpload.
 func (x *exchange) completeUpload(id string) error {
-	text, err := x.readSmallBody(4 << 20)
+	body, err := x.readSmallBody(4 << 20)
 	if err != nil {
 		return err
 	}
-	var in completeUploadBody
-	if err := xml.Unmarshal(text, &in); err != nil || len(in.Part) == 0 || len(in.Part) > maxParts {
+	var request completeUploadBody
+	if err := xml.Unmarshal(body, &request); err != nil || len(request.Part) == 0 || len(request.Part) > maxParts {
 		return errMalformedXML
 	}
-	for i := 1; i < len(in.Part); i++ {
-		if in.Part[i].PartNumber <= in.Part[i-1].PartNumber {
+	for i := 1; i < len(request.Part); i++ {
+		if request.Part[i].PartNumber <= request.Part[i-1].PartNumber {
 			return newAPIError(400, "InvalidPartOrder", "The list of parts was not in ascending order. Parts must be ordered by part number.")
 		}
 	}
-	up, version, err := x.readUpload(id)
+	upload, version, err := x.readUpload(id)
 	if errors.Is(err, errNoSuchUpload) {
 		return x.respondAlreadyCompleted(id)
 	}
 	if err != nil {
 		return err
 	}
-	all, err := x.listPartRecords(id, x.objectShard())
+	records, err := x.listPartRecords(id, x.objectShard())
 	if err != nil {
 		return err
 	}
-	chosen, err := selectParts(in.Part, latestParts(all))
+	selected, err := selectParts(request.Part, latestParts(records))
 	if err != nil {
 		return err
 	}
-	if err := x.claimCompletion(id, up, version, partListDigest(chosen)); err != nil {
+	if err := x.claimCompletion(id, upload, version, partListDigest(selected)); err != nil {
 		return err
 	}
-	rec, err := x.writeCompletedObject(id, up, chosen)
+	record, err := x.writeCompletedObject(id, upload, selected)
 	if err != nil {
 		return err
 	}
 	if _, _, err := x.deleteBlob(brick.SpaceUploads, uploadName(x.bucket, x.key, id), x.objectShard(), 0); err != nil {
-		x.server.log.Warn("completed upload left behind", "request", x.requestID, "error", err) // the object is whole all the same
+		x.server.log.Warn("failed to delete completed upload", "request", x.requestID, "error", err) // the object is complete nevertheless
 	} else {
-		x.server.gc.deleteUnusedParts(x, id, chosen)
+		x.server.gc.deleteUnusedParts(x, id, selected)
 	}
-	return x.respondCompleted(rec)
+	return x.respondCompleted(record)
 }
 
-// selectParts picks the parts that the client names out of those there are.
-func selectParts(wanted []completePart, have []partRecord) ([]partRecord, error) {
-	chosen := make([]partRecord, 0, len(wanted))
-	for i, w := range wanted {
-		at, ok := slices.BinarySearchFunc(have, w.PartNumber, func(p partRecord, n int) int { return cmp.Compare(p.Number, n) })
-		if !ok || have[at].ETag != strings.Trim(w.ETag, `"`) {
+// selectParts returns the stored parts that the client listed, or an error
+// response if one is missing, differs or is too small.
+func selectParts(requested []completePart, stored []partRecord) ([]partRecord, error) {
+	selected := make([]partRecord, 0, len(requested))
+	for i, w := range requested {
+		index, ok := slices.BinarySearchFunc(stored, w.PartNumber, func(p partRecord, n int) int { return cmp.Compare(p.Number, n) })
+		if !ok || stored[index].ETag != strings.Trim(w.ETag, `"`) {
 			return nil, newAPIError(400, "InvalidPart", "Part %d could not be found, or its entity tag is not that of the last upload of it.", w.PartNumber)
 		}
 		for algorithm, sum := range w.checksums() {
-			if kept := have[at].Checksums[algorithm]; sum != "" && kept != "" && sum != kept {
-				return nil, newAPIError(400, "InvalidPart", "Part %d: its %s is another.", w.PartNumber, algorithm)
+			if storedSum := stored[index].Checksums[algorithm]; sum != "" && storedSum != "" && sum != storedSum {
+				return nil, newAPIError(400, "InvalidPart", "Part %d: the %s checksum does not match that of the uploaded part.", w.PartNumber, algorithm)
 			}
 		}
-		if i < len(wanted)-1 && have[at].Size < minPartBytes {
+		if i < len(requested)-1 && stored[index].Size < minPartBytes {
 			return nil, newAPIError(400, "EntityTooSmall", "Your proposed upload is smaller than the minimum allowed size: part %d.", w.PartNumber)
 		}
-		chosen = append(chosen, have[at])
+		selected = append(selected, stored[index])
 	}
-	return chosen, nil
+	return selected, nil
 }
 
-func partListDigest(chosen []partRecord) string {
+// partListDigest returns a digest that identifies a list of parts.
+func partListDigest(parts []partRecord) string {
 	h := sha256.New()
-	for _, p := range chosen {
+	for _, p := range parts {
 		fmt.Fprintf(h, "%s\n", p.Base)
 	}
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
+// errConflict is the response to a complete or abort that lost against a
+// concurrent one.
 var errConflict = newAPIError(409, "OperationAborted", "A conflicting conditional operation is currently in progress against this resource. Try again.")
 
-// claimCompletion marks the upload as being completed with this list of parts, unless
-// another list, or an abort, was quicker.
-func (x *exchange) claimCompletion(id string, up *uploadRecord, version uint64, list string) error {
-	if up.Completing == list {
+// claimCompletion marks the upload as being completed with the given part
+// list. It returns errConflict if a different list or an abort was faster.
+func (x *exchange) claimCompletion(id string, upload *uploadRecord, version uint64, listDigest string) error {
+	if upload.Completing == listDigest {
 		return nil
 	}
-	if up.Completing != "" {
+	if upload.Completing != "" {
 		return errConflict
 	}
-	up.Completing = list
-	meta, err := json.Marshal(up)
+	upload.Completing = listDigest
+	meta, err := json.Marshal(upload)
 	if err != nil {
 		return err
 	}
@@ -339,47 +361,49 @@
 	if !errors.Is(err, errPrecondition) {
 		return err
 	}
-	now, _, err := x.readUpload(id)
+	current, _, err := x.readUpload(id)
 	if err != nil {
 		return err
 	}
-	if now.Completing != list {
+	if current.Completing != listDigest {
 		return errConflict
 	}
 	return nil
 }
 
-// writeCompletedObject writes the object out of its parts, in one step.
-func (x *exchange) writeCompletedObject(id string, up *uploadRecord, chosen []partRecord) (*record, error) {
-	rec := up.Object
-	rec.UploadID, rec.ModifiedMS = id, time.Now().UnixMilli()
-	sum := md5.New()
-	runs := make([]pieceRun, 0, len(chosen))
-	for _, p := range chosen {
-		raw, err := hex.DecodeString(p.ETag)
+// writeCompletedObject writes the object that consists of the given parts. The
+// write is atomic.
+func (x *exchange) writeCompletedObject(id string, upload *uploadRecord, parts []partRecord) (*record, error) {
+	record := upload.Object
+	record.UploadID, record.ModifiedMS = id, time.Now().UnixMilli()
+	etagHash := md5.New()
+	runs := make([]pieceRun, 0, len(parts))
+	for _, p := range parts {
+		partMD5, err := hex.DecodeString(p.ETag)
 		if err != nil {
 			return nil, fmt.Errorf("part record: %w", err)
 		}
-		sum.Write(raw)
-		rec.Size += p.Size
+		etagHash.Write(partMD5)
+		record.Size += p.Size
 		if p.Size > 0 {
 			runs = append(runs, pieceRun{p.Base, p.Size, x.server.cfg.PieceBytes})
 		}
 	}
-	rec.ETag = hex.EncodeToString(sum.Sum(nil)) + "-" + strconv.Itoa(len(chosen))
+	record.ETag = hex.EncodeToString(etagHash.Sum(nil)) + "-" + strconv.Itoa(len(parts))
 	call, err := x.parseWriteConditions()
 	if err != nil {
 		return nil, err
 	}
-	return &rec, x.storeRecord(call, &rec, id, runs, nil)
+	return &record, x.storeRecord(call, &record, id, runs, nil)
 }
 
-// respondAlreadyCompleted answers a complete of an upload that is gone: with the same
-// answer where the object is that upload's.
+// respondAlreadyCompleted responds to a complete of an upload that no longer
+// exists. If the object was created by this upload, the response is the same
+// as that of the first complete.
 func (x *exchange) respondAlreadyCompleted(id string) error {
-	rec, err := x.readRecord(x.bucket, x.key)
-	if err == nil && rec.UploadID == id {
-		return x.respondCompleted(rec)
+	record, err := x.readRecord(x.bucket, x.key)
+	if err == nil && record.UploadID == id {
+		return x.respondCompleted(record)
 	}
 	if err != nil && !errors.Is(err, errNoSuchKey) {
 		return err
@@ -387,19 +411,21 @@
 	return errNoSuchUpload
 }
 
+// respondCompleted writes the response to a successful complete.
 func (x *exchange) respondCompleted(rec *record) error {
 	return x.respondXML(200, completeUploadResult{Location: "/" + x.bucket + "/" + x.key, Bucket: x.bucket, Key: x.key, ETag: quoteETag(rec.ETag)})
 }
 
+// abortUpload serves AbortMultipartUpload.
 func (x *exchange) abortUpload(id string) error {
 	if err := x.checkEmptyBody(); err != nil {
 		return err
 	}
-	up, version, err := x.readUpload(id)
+	upload, version, err := x.readUpload(id)
 	if err != nil {
 		return err
 	}
-	if up.Completing != "" {
+	if upload.Completing != "" {
 		return errConflict
 	}
 	_, ok, err := x.deleteBlob(brick.SpaceUploads, uploadName(x.bucket, x.key, id), x.objectShard(), version)
@@ -416,6 +442,7 @@
 	return x.flush()
 }
 
+// listPartsResult is the XML body of ListParts.
 type listPartsResult struct {
 	XMLName              xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ ListPartsResult"`
 	Bucket               string
@@ -431,6 +458,7 @@
 	Part                 []listedPart
 }
 
+// listedPart is the XML element of one part.
 type listedPart struct {
 	PartNumber   int
 	LastModified string
@@ -438,43 +466,45 @@
 	Size         int64
 }
 
+// listParts serves ListParts.
 func (x *exchange) listParts(id string) error {
 	if err := x.checkEmptyBody(); err != nil {
 		return err
 	}
-	l, err := x.parseListParams("max-parts")
+	params, err := x.parseListParams("max-parts")
 	if err != nil {
 		return err
 	}
 	marker := 0
-	if text, ok := x.query.Lookup("part-number-marker"); ok {
-		if marker, err = strconv.Atoi(text); err != nil || marker < 0 {
+	if value, ok := x.query.Lookup("part-number-marker"); ok {
+		if marker, err = strconv.Atoi(value); err != nil || marker < 0 {
 			return newAPIError(400, "InvalidArgument", "Argument part-number-marker must be an integer.")
 		}
 	}
 	if _, _, err := x.readUpload(id); err != nil {
 		return err
 	}
-	all, err := x.listPartRecords(id, x.objectShard())
+	records, err := x.listPartRecords(id, x.objectShard())
 	if err != nil {
 		return err
 	}
-	out := listPartsResult{Bucket: x.bucket, Key: l.encodeName(x.key), UploadID: id, Initiator: defaultOwner, Owner: defaultOwner,
-		StorageClass: "STANDARD", PartNumberMarker: marker, MaxParts: l.maxItems}
-	for _, p := range latestParts(all) {
+	result := listPartsResult{Bucket: x.bucket, Key: params.encodeName(x.key), UploadID: id, Initiator: defaultOwner, Owner: defaultOwner,
+		StorageClass: "STANDARD", PartNumberMarker: marker, MaxParts: params.maxItems}
+	for _, p := range latestParts(records) {
 		if p.Number <= marker {
 			continue
 		}
-		if len(out.Part) == l.maxItems {
-			out.IsTruncated = true
+		if len(result.Part) == params.maxItems {
+			result.IsTruncated = true
 			break
 		}
-		out.Part = append(out.Part, listedPart{p.Number, formatISOTime(p.UploadedMS), quoteETag(p.ETag), p.Size})
-		out.NextPartNumberMarker = p.Number
+		result.Part = append(result.Part, listedPart{p.Number, formatISOTime(p.UploadedMS), quoteETag(p.ETag), p.Size})
+		result.NextPartNumberMarker = p.Number
 	}
-	return x.respondXML(200, out)
+	return x.respondXML(200, result)
 }
 
+// listUploadsResult is the XML body of ListMultipartUploads.
 type listUploadsResult struct {
 	XMLName            xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ ListMultipartUploadsResult"`
 	Bucket             string
@@ -491,6 +521,7 @@
 	CommonPrefixes     []commonPrefix
 }
 
+// listedUpload is the XML element of one upload.
 type listedUpload struct {
 	Key          string
 	UploadID     string `xml:"UploadId"`
@@ -500,46 +531,47 @@
 	Initiated    string
 }
 
+// listUploads serves ListMultipartUploads.
 func (x *exchange) listUploads() error {
 	if err := x.checkEmptyBody(); err != nil {
 		return err
 	}
-	l, err := x.parseListParams("max-uploads")
+	params, err := x.parseListParams("max-uploads")
 	if err != nil {
 		return err
 	}
 	if err := x.requireBucket(); err != nil {
 		return err
 	}
-	out := listUploadsResult{Bucket: x.bucket, KeyMarker: l.encodeName(x.query.Get("key-marker")), UploadIDMarker: x.query.Get("upload-id-marker"),
-		Prefix: l.encodeName(l.prefix), Delimiter: l.encodeName(l.delimiter), EncodingType: l.encodingType(), MaxUploads: l.maxItems}
-	lead := x.bucket + "/"
-	list := brick.ListQuery{Prefix: lead + l.prefix, Delimiter: l.delimiter, MaxItems: max(1, l.maxItems)}
+	result := listUploadsResult{Bucket: x.bucket, KeyMarker: params.encodeName(x.query.Get("key-marker")), UploadIDMarker: x.query.Get("upload-id-marker"),
+		Prefix: params.encodeName(params.prefix), Delimiter: params.encodeName(params.delimiter), EncodingType: params.encodingType(), MaxUploads: params.maxItems}
+	bucketPrefix := x.bucket + "/"
+	list := brick.ListQuery{Prefix: bucketPrefix + params.prefix, Delimiter: params.delimiter, MaxItems: max(1, params.maxItems)}
 	if marker := x.query.Get("key-marker"); marker != "" {
-		list.After = lead + marker + "\x00" + cmp.Or(out.UploadIDMarker, "~") // an id is before "~"
-		if l.delimiter != "" && strings.HasSuffix(marker, l.delimiter) {
-			list.After = lead + marker
+		list.After = bucketPrefix + marker + "\x00" + cmp.Or(result.UploadIDMarker, "~") // upload IDs sort before "~"
+		if params.delimiter != "" && strings.HasSuffix(marker, params.delimiter) {
+			list.After = bucketPrefix + marker
 		}
 	}
 	items, more, err := x.listAllShards(brick.SpaceUploads, list)
 	if err != nil {
 		return err
 	}
-	for _, it := range items {
-		key, id, _ := strings.Cut(string(it.Name[len(lead):]), "\x00")
-		out.NextKeyMarker, out.NextUploadIDMarker = l.encodeName(key), id
-		if it.IsPrefix {
-			out.CommonPrefixes = append(out.CommonPrefixes, commonPrefix{l.encodeName(key)})
+	for _, item := range items {
+		key, id, _ := strings.Cut(string(item.Name[len(bucketPrefix):]), "\x00")
+		result.NextKeyMarker, result.NextUploadIDMarker = params.encodeName(key), id
+		if item.IsPrefix {
+			result.CommonPrefixes = append(result.CommonPrefixes, commonPrefix{params.encodeName(key)})
 			continue
 		}
-		var up uploadRecord
-		if err := json.Unmarshal(it.Meta, &up); err != nil {
+		var upload uploadRecord
+		if err := json.Unmarshal(item.Meta, &upload); err != nil {
 			return fmt.Errorf("upload record: %w", err)
 		}
-		out.Upload = append(out.Upload, listedUpload{l.encodeName(key), id, defaultOwner, defaultOwner, "STANDARD", formatISOTime(up.CreatedMS)})
+		result.Upload = append(result.Upload, listedUpload{params.encodeName(key), id, defaultOwner, defaultOwner, "STANDARD", formatISOTime(upload.CreatedMS)})
 	}
-	if out.IsTruncated = more; !more {
-		out.NextKeyMarker, out.NextUploadIDMarker = "", ""
+	if result.IsTruncated = more; !more {
+		result.NextKeyMarker, result.NextUploadIDMarker = "", ""
 	}
-	return x.respondXML(200, out)
+	return x.respondXML(200, result)
 }
--- a/internal/front/s3/put.go
+++ b/internal/front/s3/put.go
@@ -16,7 +16,7 @@
 	"arrowwalk/internal/spool"
 )
 
-// putObject serves PUT of an object.
+// putObject serves PutObject.
 func (x *exchange) putObject() error {
 	if err := x.requireBucket(); err != nil {
 		return err
@@ -37,16 +37,16 @@
 		return err
 	}
 	id := newUniqueID()
-	body := x.server.opts.Spool.NewBuffer()
-	defer body.Release()
-	runs, err := x.storeBody(u, id+"/o", body)
+	buffer := x.server.opts.Spool.NewBuffer()
+	defer buffer.Release()
+	runs, err := x.storeBody(u, id+"/o", buffer)
 	if err == nil {
 		err = u.verify()
 	}
 	if err == nil {
 		rec.ETag, rec.Size, rec.Checksums = u.etag(), u.received, u.verifiedChecksums()
 		rec.ModifiedMS = time.Now().UnixMilli()
-		err = x.storeRecord(call, rec, id, runs, body)
+		err = x.storeRecord(call, rec, id, runs, buffer)
 	}
 	if err != nil {
 		if len(runs) > 0 {
@@ -57,8 +57,8 @@
 	return x.respond(200, u.responseFields(), nil)
 }
 
-// rejectUnsupportedFields refuses fields that ask for what is not there, where passing
-// them over would break a promise to the client.
+// rejectUnsupportedFields rejects headers that request an unsupported feature
+// and that cannot be ignored without breaking a guarantee to the client.
 func rejectUnsupportedFields(fields http1.Fields) error {
 	for i := range fields {
 		name := strings.ToLower(fields[i].Name)
@@ -73,12 +73,13 @@
 	return nil
 }
 
-// parseWriteConditions reads If-Match and If-None-Match of a write.
+// parseWriteConditions translates If-Match and If-None-Match into the
+// conditions of a brick write.
 func (x *exchange) parseWriteConditions() (brick.Request, error) {
 	var call brick.Request
 	fields := x.conn.req.Fields
-	if v, ok := fields.Lookup("If-None-Match"); ok {
-		if v != "*" {
+	if value, ok := fields.Lookup("If-None-Match"); ok {
+		if value != "*" {
 			return call, errNotImplemented
 		}
 		call.IfAbsent = true
@@ -88,72 +89,73 @@
 		return call, nil
 	}
 	name := placement.Object(x.bucket, x.key)
-	ans, _, there, err := x.readBlob(brick.SpaceObjects, name, x.shardOf(name), false)
+	response, _, found, err := x.readBlob(brick.SpaceObjects, name, x.shardOf(name), false)
 	if err != nil {
 		return call, err
 	}
-	if !there {
+	if !found {
 		return call, errNoSuchKey
 	}
-	rec, err := decodeRecord(ans.Meta)
+	rec, err := decodeRecord(response.Meta)
 	if err != nil {
 		return call, err
 	}
 	if !matchesETag(match, rec.ETag) {
 		return call, errPrecondition
 	}
-	call.IfVersion = ans.Version
+	call.IfVersion = response.Version
 	return call, nil
 }
 
-// storeBody reads an upload. What fits into one piece is left in body; else
-// the pieces are stored as they come, and their run is returned, also with an
-// error, so that they can be dropped.
-func (x *exchange) storeBody(u *upload, base string, body *spool.Buffer) ([]pieceRun, error) {
-	most := x.server.cfg.PieceBytes
+// storeBody reads an upload. A body that fits into one piece is left in
+// buffer. A larger body is stored in pieces as it arrives, and the run of
+// pieces is returned, also together with an error, so that the caller can
+// delete them.
+func (x *exchange) storeBody(u *upload, base string, buffer *spool.Buffer) ([]pieceRun, error) {
+	pieceSize := x.server.cfg.PieceBytes
 	var runs []pieceRun
 	for index := 0; ; index++ {
-		got, err := body.Fill(u, most)
+		size, err := buffer.Fill(u, pieceSize)
 		if err != nil {
 			return runs, err
 		}
-		last := got < most || u.received == u.declaredSize
-		if last && got == most {
+		isLast := size < pieceSize || u.received == u.declaredSize
+		if isLast && size == pieceSize {
 			if err := readBodyEnd(u); err != nil {
 				return runs, err
 			}
 		}
-		if index == 0 && last {
+		if index == 0 && isLast {
 			return nil, nil
 		}
-		if got > 0 {
+		if size > 0 {
 			if runs == nil {
-				runs = []pieceRun{{Base: base, PieceSize: most}}
+				runs = []pieceRun{{Base: base, PieceSize: pieceSize}}
 			}
-			runs[0].Size += got
+			runs[0].Size += size
 			name := placement.Piece(base, index)
-			call := brick.Request{Space: brick.SpacePieces, Name: name, Body: body}
-			began := time.Now()
+			call := brick.Request{Space: brick.SpacePieces, Name: name, Body: buffer}
+			writeStart := time.Now()
 			if _, err := x.writeBlob(call, x.shardOf(name)); err != nil {
 				return runs, err
 			}
-			x.recordReadPause(began)
-			body.Release()
+			x.recordReadPause(writeStart)
+			buffer.Release()
 		}
-		if last {
+		if isLast {
 			return runs, nil
 		}
 	}
 }
 
-// readBodyEnd reads the end of a body whose bytes have all come: the last chunk's
-// signature and the trailer.
+// readBodyEnd reads the end of a body whose data is complete: the signature of
+// the last chunk and the trailer.
 func readBodyEnd(u *upload) error {
-	var one [1]byte
+	var buf [1]byte
 	for range 3 {
-		n, err := u.Read(one[:])
+		n, err := u.Read(buf[:])
 		if n > 0 {
-			return newAPIError(400, "InvalidRequest", "The body is longer than it said.")
+			return newAPIError(400, "InvalidRequest", "The body is longer than its declared length.")
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) {
@@ -165,17 +167,18 @@
 	return nil
 }
 
-// storeRecord writes an object's one record: with its body, or with the list
-// of its pieces. The pieces of the object that it replaces are dropped.
+// storeRecord writes the blob of an object: its record with the body, or with
+// the manifest of its pieces. The pieces of the object that it replaces are
+// deleted in the background.
 func (x *exchange) storeRecord(call brick.Request, rec *record, id string, runs []pieceRun, body *spool.Buffer) error {
 	call.Space, call.Name = brick.SpaceObjects, placement.Object(x.bucket, x.key)
 	if runs != nil {
 		rec.PiecePrefix = id
-		text, err := json.Marshal(manifest{runs})
+		manifestJSON, err := json.Marshal(manifest{runs})
 		if err != nil {
 			return err
 		}
-		call.Body, call.Whole = brick.Bytes(text), true
+		call.Body, call.Whole = brick.Bytes(manifestJSON), true
 	} else if body != nil {
 		call.Body = body
 	}
@@ -183,26 +186,28 @@
 	if call.Meta, err = rec.encode(); err != nil {
 		return err
 	}
-	ans, err := x.writeBlob(call, x.shardOf(call.Name))
+	response, err := x.writeBlob(call, x.shardOf(call.Name))
 	if err != nil {
 		return err
 	}
-	x.deleteReplacedPieces(ans.Replaced, rec.PiecePrefix)
+	x.deleteReplacedPieces(response.Replaced, rec.PiecePrefix)
 	return nil
 }
 
-// deleteReplacedPieces drops the pieces of an object that is no more.
-func (x *exchange) deleteReplacedPieces(meta []byte, by string) {
+// deleteReplacedPieces deletes the pieces of a replaced or deleted object in
+// the background. meta is its record and newPrefix the piece prefix of the new
+// object, if any.
+func (x *exchange) deleteReplacedPieces(meta []byte, newPrefix string) {
 	if len(meta) == 0 {
 		return
 	}
-	if old, err := decodeRecord(meta); err == nil && old.PiecePrefix != "" && old.PiecePrefix != by {
+	if old, err := decodeRecord(meta); err == nil && old.PiecePrefix != "" && old.PiecePrefix != newPrefix {
 		x.server.gc.deletePieces(x, old.PiecePrefix)
 	}
 }
 
-// deleteObject serves DELETE of an object; one that is not there is deleted
-// already.
+// deleteObject serves DeleteObject. Deleting an object that does not exist
+// succeeds.
 func (x *exchange) deleteObject() error {
 	if err := x.checkEmptyBody(); err != nil {
 		return err
@@ -217,18 +222,20 @@
 	return x.flush()
 }
 
+// deleteKey deletes one object of the bucket.
 func (x *exchange) deleteKey(key string) error {
 	name := placement.Object(x.bucket, key)
-	ans, ok, err := x.deleteBlob(brick.SpaceObjects, name, x.shardOf(name), 0)
+	response, ok, err := x.deleteBlob(brick.SpaceObjects, name, x.shardOf(name), 0)
 	if err != nil {
 		return err
 	}
 	if ok {
-		x.deleteReplacedPieces(ans.Replaced, "")
+		x.deleteReplacedPieces(response.Replaced, "")
 	}
 	return nil
 }
 
+// deleteObjectsBody is the XML body of DeleteObjects.
 type deleteObjectsBody struct {
 	XMLName xml.Name `xml:"Delete"`
 	Quiet   bool
@@ -238,65 +245,70 @@
 	}
 }
 
+// deleteObjectsResult is the XML body of the response to DeleteObjects.
 type deleteObjectsResult struct {
 	XMLName xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ DeleteResult"`
 	Deleted []deletedKey
 	Error   []deleteError
 }
 
+// deletedKey is the XML element of a deleted key.
 type deletedKey struct{ Key string }
 
+// deleteError is the XML element of a key that could not be deleted.
 type deleteError struct{ Key, Code, Message string }
 
-// deleteObjects serves POST ?delete: up to 1000 keys, each with its own answer.
+// deleteObjects serves DeleteObjects: up to 1000 keys, each with its own
+// result.
 func (x *exchange) deleteObjects() error {
 	if err := x.requireBucket(); err != nil {
 		return err
 	}
-	text, err := x.readSmallBody(2 << 20)
+	body, err := x.readSmallBody(2 << 20)
 	if err != nil {
 		return err
 	}
-	var in deleteObjectsBody
-	if err := xml.Unmarshal(text, &in); err != nil || len(in.Object) == 0 || len(in.Object) > 1000 {
+	var request deleteObjectsBody
+	if err := xml.Unmarshal(body, &request); err != nil || len(request.Object) == 0 || len(request.Object) > 1000 {
 		return errMalformedXML
 	}
-	errs := make([]error, len(in.Object))
-	x.runParallel(len(in.Object), func(i int) {
-		switch o := in.Object[i]; {
-		case o.VersionID != "" && o.VersionID != "null":
+	errs := make([]error, len(request.Object))
+	x.runParallel(len(request.Object), func(i int) {
+		switch object := request.Object[i]; {
+		case object.VersionID != "" && object.VersionID != "null":
 			errs[i] = errNotImplemented
-		case o.Key == "" || len(o.Key) > maxKeyBytes:
+		case object.Key == "" || len(object.Key) > maxKeyBytes:
 			errs[i] = newAPIError(400, "KeyTooLongError", "Your key is too long or empty.")
 		default:
-			errs[i] = x.deleteKey(o.Key)
+			errs[i] = x.deleteKey(object.Key)
 		}
 	})
-	out := deleteObjectsResult{}
-	for i, o := range in.Object {
+	result := deleteObjectsResult{}
+	for i, object := range request.Object {
 		if errors.Is(errs[i], errClientGone) {
 			return errClientGone
 		}
 		if errs[i] != nil {
-			api := toAPIError(errs[i])
-			if api == nil {
-				api = toAPIError(errInternal)
+			apiErr := toAPIError(errs[i])
+			if apiErr == nil {
+				apiErr = toAPIError(errInternal)
 			}
-			out.Error = append(out.Error, deleteError{o.Key, api.code, api.message})
-		} else if !in.Quiet {
-			out.Deleted = append(out.Deleted, deletedKey{o.Key})
+			result.Error = append(result.Error, deleteError{object.Key, apiErr.code, apiErr.message})
+		} else if !request.Quiet {
+			result.Deleted = append(result.Deleted, deletedKey{object.Key})
 		}
 	}
-	return x.respondXML(200, out)
+	return x.respondXML(200, result)
 }
 
+// copyObjectResult is the XML body of the response to CopyObject.
 type copyObjectResult struct {
 	XMLName      xml.Name `xml:"CopyObjectResult"`
 	ETag         string
 	LastModified string
 }
 
-// copyObject serves PUT with x-amz-copy-source.
+// copyObject serves CopyObject.
 func (x *exchange) copyObject() error {
 	fields := x.conn.req.Fields
 	if err := rejectUnsupportedFields(fields); err != nil {
@@ -330,61 +342,64 @@
 	return x.copyFrom(bucket, key, directive == "REPLACE", call)
 }
 
+// copyFrom copies the object bucket/key to the object of the request. With
+// replace, the metadata comes from the request instead of the source.
 func (x *exchange) copyFrom(bucket, key string, replace bool, call brick.Request) error {
 	from := placement.Object(bucket, key)
-	ans, text, ok, err := x.readBlob(brick.SpaceObjects, from, x.shardOf(from), true)
+	response, body, ok, err := x.readBlob(brick.SpaceObjects, from, x.shardOf(from), true)
 	if err != nil {
 		return err
 	}
 	if !ok {
 		return x.notFoundError(bucket)
 	}
-	rec, err := decodeRecord(ans.Meta)
+	rec, err := decodeRecord(response.Meta)
 	if err != nil {
 		return err
 	}
-	cond := parseConditions(x.conn.req.Fields, "x-amz-copy-source-")
-	if err := cond.check(rec); err != nil {
+	conditions := parseConditions(x.conn.req.Fields, "x-amz-copy-source-")
+	if err := conditions.check(rec); err != nil {
 		return errPrecondition
 	}
-	to := &record{ETag: rec.ETag, Size: rec.Size, Checksums: rec.Checksums, ContentType: rec.ContentType, Fields: rec.Fields}
+	newRecord := &record{ETag: rec.ETag, Size: rec.Size, Checksums: rec.Checksums, ContentType: rec.ContentType, Fields: rec.Fields}
 	if replace {
-		to.ContentType, to.Fields = "", nil
-		if err := x.readMetadata(to); err != nil {
+		newRecord.ContentType, newRecord.Fields = "", nil
+		if err := x.readMetadata(newRecord); err != nil {
 			return err
 		}
 	}
-	to.ModifiedMS = time.Now().UnixMilli()
+	newRecord.ModifiedMS = time.Now().UnixMilli()
 	id := newUniqueID()
 	var runs []pieceRun
-	if ans.Whole {
-		if runs, err = x.copyPieces(text, id, rec.Size); err != nil {
+	if response.Whole {
+		if runs, err = x.copyPieces(body, id, rec.Size); err != nil {
 			x.server.gc.deletePieces(x, id)
 			return err
 		}
 	} else {
-		call.Body = brick.Bytes(text)
+		call.Body = brick.Bytes(body)
 	}
-	if err := x.storeRecord(call, to, id, runs, nil); err != nil {
+	if err := x.storeRecord(call, newRecord, id, runs, nil); err != nil {
 		if runs != nil {
 			x.server.gc.deletePieces(x, id)
 		}
 		return err
 	}
-	return x.respondXML(200, copyObjectResult{ETag: quoteETag(to.ETag), LastModified: formatISOTime(to.ModifiedMS)})
+	return x.respondXML(200, copyObjectResult{ETag: quoteETag(newRecord.ETag), LastModified: formatISOTime(newRecord.ModifiedMS)})
 }
 
-// copyPieces copies an object's pieces under another name.
-func (x *exchange) copyPieces(text []byte, id string, size int64) ([]pieceRun, error) {
+// copyPieces copies the pieces of a manifest to new names that begin with id,
+// and returns the new runs.
+func (x *exchange) copyPieces(manifestJSON []byte, id string, size int64) ([]pieceRun, error) {
 	var m manifest
-	if err := json.Unmarshal(text, &m); err != nil || !m.isValid(size) {
-		return nil, fmt.Errorf("manifest of the copy's source: %v", err)
+	if err := json.Unmarshal(manifestJSON, &m); err != nil || !m.isValid(size) {
+		return nil, fmt.Errorf("invalid manifest of the copy source: %v", err)
 	}
 	runs := make([]pieceRun, len(m.Runs))
 	for i, r := range m.Runs {
 		runs[i] = pieceRun{Base: id + "/" + strconv.Itoa(i), Size: r.Size, PieceSize: r.PieceSize}
 		for index := range int((r.Size + r.PieceSize - 1) / r.PieceSize) {
-			if x.clientTimeout == 0 { // a copy takes as long as it is large
+			if x.clientTimeout == 0 { // the time limit applies to each piece, because copying takes time in proportion to the size
 				x.restartWait()
 			}
 			from, to := placement.Piece(r.Base, index), placement.Piece(runs[i].Base, index)
--- a/internal/front/s3/record.go
+++ b/internal/front/s3/record.go
@@ -11,24 +11,25 @@
 	"arrowwalk/internal/placement"
 )
 
-// record is what is kept of an object beside its bytes.
+// record is the stored metadata of an object.
 type record struct {
 	ETag        string            `json:"e"`           // without quotes
 	Size        int64             `json:"s"`           // bytes
-	ModifiedMS  int64             `json:"t"`           // of the last change, milliseconds since 1970
+	ModifiedMS  int64             `json:"t"`           // last change, Unix time in milliseconds
 	ContentType string            `json:"c,omitempty"` // Content-Type
-	Fields      map[string]string `json:"h,omitempty"` // other fields to give back, by lower-case name
-	Checksums   map[string]string `json:"k,omitempty"` // checksums in base64, by algorithm
-	PiecePrefix string            `json:"d,omitempty"` // pieces' names begin with it and a slash; "": the body is here
-	UploadID    string            `json:"u,omitempty"` // the multipart upload that made it
+	Fields      map[string]string `json:"h,omitempty"` // stored headers and user metadata, by lower-case name
+	Checksums   map[string]string `json:"k,omitempty"` // base64, by algorithm
+	PiecePrefix string            `json:"d,omitempty"` // names of the pieces begin with it and a slash; "" if the body is stored with the record
+	UploadID    string            `json:"u,omitempty"` // multipart upload that created the object
 }
 
-// manifest is the body of an object's blob where its data is in pieces.
+// manifest is the body of the blob of an object that is stored in pieces.
 type manifest struct {
 	Runs []pieceRun `json:"runs"`
 }
 
-// pieceRun is a row of pieces: all of Piece bytes but the last.
+// pieceRun is a sequence of pieces that have PieceSize bytes each, except for
+// the last.
 type pieceRun struct {
 	Base      string `json:"b"`
 	Size      int64  `json:"s"`
@@ -36,11 +37,12 @@
 }
 
 const (
-	maxRecordBytes       = 8 << 10 // bytes of a record as JSON
-	maxUserMetadataBytes = 2 << 10 // bytes of user metadata, as the specification has it
+	maxRecordBytes       = 8 << 10 // size of a record as JSON
+	maxUserMetadataBytes = 2 << 10 // limit of the S3 specification for user metadata
 	maxManifestBytes     = 16 << 20
 )
 
+// decodeRecord decodes a stored record.
 func decodeRecord(text []byte) (*record, error) {
 	r := &record{}
 	if err := json.Unmarshal(text, r); err != nil {
@@ -49,7 +51,8 @@
 	return r, nil
 }
 
-// encode returns the record as it is kept.
+// encode returns the stored form of the record, or an error response if it is
+// too large.
 func (r *record) encode() ([]byte, error) {
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -61,19 +64,23 @@
 	return text, nil
 }
 
+// modified returns the time of the last change.
 func (r *record) modified() time.Time { return time.UnixMilli(r.ModifiedMS).UTC() }
 
-// formatISOTime is the form of times in the API's XML.
+// formatISOTime formats Unix milliseconds as the API's XML requires.
 func formatISOTime(ms int64) string {
 	return time.UnixMilli(ms).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
+// quoteETag returns an entity tag in quotes.
 func quoteETag(etag string) string { return `"` + etag + `"` }
 
-// storedFields are the request's fields that come back with the object.
+// storedFields lists the request headers that are stored and returned with the
+// object.
 var storedFields = []string{"cache-control", "content-disposition", "content-encoding", "content-language", "expires"}
 
-// readMetadata fills a record with what the request says of the object.
+// readMetadata sets the content type and the stored headers of a record from
+// the request.
 func (x *exchange) readMetadata(r *record) error {
 	fields := x.conn.req.Fields
 	r.ContentType = fields.Get("Content-Type")
@@ -109,6 +116,8 @@
 	return nil
 }
 
+// isStoredField reports whether a header, in lower case, is one of
+// storedFields.
 func isStoredField(name string) bool {
 	for _, k := range storedFields {
 		if k == name {
@@ -118,19 +127,19 @@
 	return false
 }
 
-// stripAWSChunked takes aws-chunked off a list of content codings: it is of the
-// request, not of the object.
+// stripAWSChunked removes aws-chunked from a list of content codings, because
+// it applies to the request and not to the object.
 func stripAWSChunked(value string) string {
-	var kept []string
-	for _, one := range strings.Split(value, ",") {
-		if one = strings.TrimSpace(one); one != "" && !strings.EqualFold(one, "aws-chunked") {
-			kept = append(kept, one)
+	var codings []string
+	for _, coding := range strings.Split(value, ",") {
+		if coding = strings.TrimSpace(coding); coding != "" && !strings.EqualFold(coding, "aws-chunked") {
+			codings = append(codings, coding)
 		}
 	}
-	return strings.Join(kept, ",")
+	return strings.Join(codings, ",")
 }
 
-// responseFields returns the answer's responseFields for an object.
+// responseFields returns the response headers of an object.
 func (r *record) responseFields(checksums bool) http1.Fields {
 	f := make(http1.Fields, 0, 6+len(r.Fields))
 	f = append(f,
@@ -147,6 +156,7 @@
 	return f
 }
 
+// checksumFields returns the response headers of checksums.
 func checksumFields(sums map[string]string) http1.Fields {
 	var f http1.Fields
 	for algorithm, sum := range sums {
@@ -158,21 +168,22 @@
 	return f
 }
 
-// byteRange is a part of an object's bytes.
+// byteRange is a contiguous range of bytes of an object.
 type byteRange struct{ from, length int64 }
 
-// parseRange reads a Range field for an object of size bytes. ok is false for
-// what is to be passed over: several ranges, other units, or nonsense
-// (RFC 9110 section 14.2). An error is the lawful refusal.
-func parseRange(text string, size int64) (s byteRange, ok bool, err error) {
-	spec, found := strings.CutPrefix(text, "bytes=")
-	first, last, dash := strings.Cut(strings.TrimSpace(spec), "-")
-	if !found || !dash || strings.Contains(spec, ",") {
+// parseRange parses a Range header for an object of size bytes. It returns
+// false for a value that must be ignored: several ranges, other units or a
+// syntax error (RFC 9110 section 14.2). The error is the response to a range
+// that cannot be satisfied.
+func parseRange(header string, size int64) (s byteRange, ok bool, err error) {
+	rangeSpec, found := strings.CutPrefix(header, "bytes=")
+	first, last, dash := strings.Cut(strings.TrimSpace(rangeSpec), "-")
+	if !found || !dash || strings.Contains(rangeSpec, ",") {
 		return byteRange{}, false, nil
 	}
 	if first == "" {
-		n, good := parseDigits(last)
-		if !good {
+		n, firstOK := parseDigits(last)
+		if !firstOK {
 			return byteRange{}, false, nil
 		}
 		if n == 0 || size == 0 {
@@ -181,12 +192,12 @@
 		n = min(n, size)
 		return byteRange{size - n, n}, true, nil
 	}
-	from, good := parseDigits(first)
-	to, good2 := size-1, true
+	from, firstOK := parseDigits(first)
+	to, lastOK := size-1, true
 	if last != "" {
-		to, good2 = parseDigits(last)
+		to, lastOK = parseDigits(last)
 	}
-	if !good || !good2 || last != "" && to < from {
+	if !firstOK || !lastOK || last != "" && to < from {
 		return byteRange{}, false, nil
 	}
 	if from >= size {
@@ -197,7 +208,8 @@
 
 var errInvalidRange = newAPIError(416, "InvalidRange", "The requested range is not satisfiable")
 
-// parseDigits reads a number that may be larger than any object.
+// parseDigits parses a decimal number. A number that overflows is returned as
+// the largest int64, which exceeds the size of any object.
 func parseDigits(s string) (int64, bool) {
 	if s == "" || strings.Trim(s, "0123456789") != "" {
 		return 0, false
@@ -209,34 +221,36 @@
 	return n, true
 }
 
-// piece is a part of an object that one brick holds.
+// piece is the wanted part of a piece, which is stored on one brick.
 type piece struct {
 	name   string
-	from   int64 // first byte wanted
-	length int64 // bytes wanted
-	size   int64 // of the whole piece
+	from   int64 // offset of the first wanted byte
+	length int64 // number of wanted bytes
+	size   int64 // size of the whole piece
 }
 
-// pieces lists the parts of the pieces that a span of the object covers.
-func (m *manifest) pieces(want byteRange) []piece {
-	var out []piece
-	at := int64(0) // where the run begins in the object
+// pieces returns the parts of the pieces that a byte range of the object
+// covers.
+func (m *manifest) pieces(wanted byteRange) []piece {
+	var pieces []piece
+	runStart := int64(0) // offset of the run in the object
 	for _, r := range m.Runs {
-		end := at + r.Size
-		for from := max(at, want.from); from < min(end, want.from+want.length); {
-			index := (from - at) / r.PieceSize
-			begin := at + index*r.PieceSize
-			size := min(r.PieceSize, end-begin)
-			to := min(begin+size, want.from+want.length)
-			out = append(out, piece{placement.Piece(r.Base, int(index)), from - begin, to - from, size})
+		runEnd := runStart + r.Size
+		for from := max(runStart, wanted.from); from < min(runEnd, wanted.from+wanted.length); {
+			index := (from - runStart) / r.PieceSize
+			pieceStart := runStart + index*r.PieceSize
+			size := min(r.PieceSize, runEnd-pieceStart)
+			to := min(pieceStart+size, wanted.from+wanted.length)
+			pieces = append(pieces, piece{placement.Piece(r.Base, int(index)), from - pieceStart, to - from, size})
 			from = to
 		}
-		at = end
+		runStart = runEnd
 	}
-	return out
+	return pieces
 }
 
-// isValid tells whether a manifest that was read can be one for size bytes.
+// isValid reports whether the manifest is consistent with an object of size
+// bytes.
 func (m *manifest) isValid(size int64) bool {
 	total := int64(0)
 	for _, r := range m.Runs {
@@ -248,7 +262,7 @@
 	return total == size
 }
 
-// conditions are a request's preconditions (RFC 9110 section 13).
+// conditions holds the preconditions of a request (RFC 9110 section 13).
 type conditions struct {
 	match, noneMatch                     string
 	modifiedSince, unmodifiedSince       time.Time
@@ -256,8 +270,9 @@
 	hasModifiedSince, hasUnmodifiedSince bool
 }
 
-// parseConditions reads the preconditions; prefix is that of the copy source's.
-// Dates that make no sense are passed over, as the RFC says.
+// parseConditions parses the preconditions. The headers' names begin with
+// prefix, which is not empty for the source of a copy. Invalid dates are
+// ignored, as the RFC requires.
 func parseConditions(fields http1.Fields, prefix string) conditions {
 	var c conditions
 	c.match, c.hasMatch = fields.Lookup(prefix + "If-Match")
@@ -267,6 +282,7 @@
 	return c
 }
 
+// parseDate returns the date in a header, if there is a valid one.
 func parseDate(fields http1.Fields, name string) (time.Time, bool) {
 	text, ok := fields.Lookup(name)
 	if !ok {
@@ -280,20 +296,21 @@
 	return time.Time{}, false
 }
 
-// isEmpty tells whether there are no preconditions.
+// isEmpty reports whether there are no preconditions.
 func (c *conditions) isEmpty() bool {
 	return !c.hasMatch && !c.hasNoneMatch && !c.hasModifiedSince && !c.hasUnmodifiedSince
 }
 
 // check evaluates the preconditions in the order of RFC 9110 section 13.2.2.
+// It returns errPrecondition or errNotModified if one fails.
 func (c *conditions) check(r *record) error {
-	when := r.modified().Truncate(time.Second)
+	modified := r.modified().Truncate(time.Second)
 	switch {
 	case c.hasMatch:
 		if !matchesETag(c.match, r.ETag) {
 			return errPrecondition
 		}
-	case c.hasUnmodifiedSince && when.After(c.unmodifiedSince):
+	case c.hasUnmodifiedSince && modified.After(c.unmodifiedSince):
 		return errPrecondition
 	}
 	switch {
@@ -301,17 +318,17 @@
 		if matchesETag(c.noneMatch, r.ETag) {
 			return errNotModified
 		}
-	case c.hasModifiedSince && !when.After(c.modifiedSince):
+	case c.hasModifiedSince && !modified.After(c.modifiedSince):
 		return errNotModified
 	}
 	return nil
 }
 
-// matchesETag tells whether a list of entity tags holds one, or is "*".
+// matchesETag reports whether a list of entity tags contains etag or "*".
 func matchesETag(list, etag string) bool {
-	for _, one := range strings.Split(list, ",") {
-		one = strings.TrimPrefix(strings.TrimSpace(one), "W/")
-		if one == "*" || strings.Trim(one, `"`) == etag {
+	for _, tag := range strings.Split(list, ",") {
+		tag = strings.TrimPrefix(strings.TrimSpace(tag), "W/")
+		if tag == "*" || strings.Trim(tag, `"`) == etag {
 			return true
 		}
 	}
