--- a/internal/front/s3/awschunked/awschunked.go
+++ b/internal/front/s3/awschunked/awschunked.go
@@ -1,6 +1,7 @@
-// Package chunked decodes the aws-chunked content coding of the object API:
-// chunks that carry signatures (STREAMING-AWS4-HMAC-SHA256-PAYLOAD), and an
-// unsigned stream with a trailing checksum (STREAMING-UNSIGNED-PAYLOAD-TRAILER).
+// Package awschunked implements the aws-chunked content coding of the S3 API:
+// streams with signed chunks (STREAMING-AWS4-HMAC-SHA256-PAYLOAD), and
+// unsigned streams with a trailing checksum
+// (STREAMING-UNSIGNED-PAYLOAD-TRAILER).
 package awschunked
 
 import (
@@ -17,7 +18,7 @@
 	"arrowwalk/internal/http1"
 )
 
-// The payload names of x-amz-content-sha256 that mean a streamed body.
+// Values of x-amz-content-sha256 that announce an aws-chunked body.
 const (
 	SignedPayload          = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD"
 	SignedPayloadTrailer   = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD-TRAILER"
@@ -25,48 +26,50 @@
 )
 
 const (
-	maxLineBytes    = 512      // bytes of a chunk's size line or a trailer's line
-	maxChunkBytes   = 64 << 20 // bytes of a chunk
-	maxTrailerLines = 16       // lines
+	maxLineBytes    = 512      // size line or trailer line
+	maxChunkBytes   = 64 << 20 // data of a chunk
+	maxTrailerLines = 16
 )
 
-// Errors of a body, beside those of the reader below it.
+// Errors of an invalid body. Errors of the source are returned as they are.
 var (
-	ErrSignatureMismatch = errors.New("a chunk's signature does not match")
-	ErrFormat            = errors.New("bad aws-chunked body")
+	ErrSignatureMismatch = errors.New("chunk signature does not match")
+	ErrFormat            = errors.New("invalid aws-chunked body")
 )
 
+// formatError returns an error that wraps ErrFormat.
 func formatError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrFormat, fmt.Sprintf(format, args...))
 }
 
-// Reader decodes a body. Bytes come out before their chunk's signature is
-// checked: they count only once Read has returned io.EOF.
+// Reader decodes a body. It returns the bytes of a chunk before it has
+// verified the signature of the chunk, so the data must not be used before
+// Read has returned io.EOF. It is not safe for concurrent use.
 type Reader struct {
 	source         *bufio.Reader
-	signer         *sigv4.ChunkSigner // nil: not signed
+	signer         *sigv4.ChunkSigner // nil for an unsigned stream
 	allowTrailer   bool
 	chunkRemaining int64
 	inChunk        bool
-	chunkSignature string // signature of the current chunk
+	chunkSignature string // expected signature of the current chunk
 	chunkHash      hash.Hash
 	err            error
 
-	Trailer http1.Fields // after io.EOF
+	Trailer http1.Fields // valid after Read has returned io.EOF
 }
 
-// NewReader decodes in. signer is nil for an unsigned stream; trailer tells
-// whether one may follow the last chunk.
-func NewReader(in io.Reader, signer *sigv4.ChunkSigner, trailer bool) *Reader {
-	r := &Reader{source: bufio.NewReaderSize(in, 4096), signer: signer, allowTrailer: trailer}
+// NewReader returns a Reader that decodes source. signer is nil for an
+// unsigned stream; allowTrailer permits a trailer after the last chunk.
+func NewReader(source io.Reader, signer *sigv4.ChunkSigner, allowTrailer bool) *Reader {
+	r := &Reader{source: bufio.NewReaderSize(source, 4096), signer: signer, allowTrailer: allowTrailer}
 	if signer != nil {
 		r.chunkHash = sha256.New()
 	}
 	return r
 }
 
-// Read returns decoded bytes; io.EOF means that all of the body was there and,
-// where it is signed, that every chunk was.
+// Read returns decoded bytes. io.EOF means that the body was complete and, for
+// a signed stream, that all signatures were valid.
 func (r *Reader) Read(p []byte) (int, error) {
 	if r.err != nil {
 		return 0, r.err
@@ -87,6 +90,8 @@
 	return n, r.err
 }
 
+// toUnexpectedEOF converts io.EOF to io.ErrUnexpectedEOF and returns other
+// errors unchanged.
 func toUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -94,8 +99,8 @@
 	return err
 }
 
-// startNextChunk ends the chunk before and reads the startNextChunk one's line; io.EOF after the
-// last.
+// startNextChunk finishes the current chunk and reads the size line of the
+// next. It returns io.EOF after the last chunk.
 func (r *Reader) startNextChunk() error {
 	if r.inChunk {
 		if err := r.endChunk(); err != nil {
@@ -114,7 +119,7 @@
 	if r.signer != nil {
 		var ok bool
 		if r.chunkSignature, ok = strings.CutPrefix(extension, "chunk-signature="); !ok {
-			return formatError("a chunk has no signature")
+			return formatError("chunk has no signature")
 		}
 	}
 	if r.chunkRemaining > 0 {
@@ -123,17 +128,19 @@
 	return r.readTrailer()
 }
 
+// endChunk reads the line break after a chunk's data and verifies the chunk.
 func (r *Reader) endChunk() error {
 	line, err := r.readLine()
 	if err != nil {
 		return err
 	}
 	if line != "" {
-		return formatError("a chunk does not end in CRLF")
+		return formatError("chunk does not end in CRLF")
 	}
 	return r.verifyChunkSignature()
 }
 
+// verifyChunkSignature verifies the signature of the current chunk.
 func (r *Reader) verifyChunkSignature() error {
 	if r.signer == nil {
 		return nil
@@ -146,7 +153,8 @@
 	return nil
 }
 
-// readTrailer checks the last, empty chunk and reads the trailer.
+// readTrailer verifies the last, empty chunk and reads the trailer. It returns
+// io.EOF if both are valid.
 func (r *Reader) readTrailer() error {
 	if err := r.verifyChunkSignature(); err != nil {
 		return err
@@ -155,7 +163,7 @@
 	for lines := 0; ; lines++ {
 		line, err := r.readLine()
 		if errors.Is(err, io.ErrUnexpectedEOF) && line == "" && lines > 0 {
-			break // some clients leave out the last empty line after a trailer
+			break // some clients omit the empty line after a trailer
 		}
 		if err != nil {
 			return err
@@ -184,27 +192,29 @@
 	return io.EOF
 }
 
+// readLine reads a line and returns it without its CRLF.
 func (r *Reader) readLine() (string, error) {
-	part, err := r.source.ReadSlice('\n')
+	line, err := r.source.ReadSlice('\n')
 	if err != nil {
 		if errors.Is(err, bufio.ErrBufferFull) {
-			return "", formatError("a line over %d bytes", maxLineBytes)
+			return "", formatError("line exceeds %d bytes", maxLineBytes)
 		}
-		return string(part), toUnexpectedEOF(err)
+		return string(line), toUnexpectedEOF(err)
 	}
-	if len(part) > maxLineBytes {
-		return "", formatError("a line over %d bytes", maxLineBytes)
+	if len(line) > maxLineBytes {
+		return "", formatError("line exceeds %d bytes", maxLineBytes)
 	}
-	if len(part) < 2 || part[len(part)-2] != '\r' {
-		return "", formatError("a line ends in a bare LF")
+	if len(line) < 2 || line[len(line)-2] != '\r' {
+		return "", formatError("line ends in a bare LF")
 	}
-	return string(part[:len(part)-2]), nil
+	return string(line[:len(line)-2]), nil
 }
 
+// parseChunkSize parses the hexadecimal size of a chunk.
 func parseChunkSize(s string) (int64, error) {
 	var size int64
 	if s == "" || len(s) > 8 {
-		return 0, formatError("chunk size %q", s)
+		return 0, formatError("invalid chunk size %q", s)
 	}
 	for i := 0; i < len(s); i++ {
 		c := s[i] | 0x20
@@ -214,17 +224,18 @@
 		case c >= 'a' && c <= 'f':
 			size = size<<4 | int64(c-'a'+10)
 		default:
-			return 0, formatError("chunk size %q", s)
+			return 0, formatError("invalid chunk size %q", s)
 		}
 	}
 	if size > maxChunkBytes {
-		return 0, formatError("a chunk over %d bytes", maxChunkBytes)
+		return 0, formatError("chunk exceeds %d bytes", maxChunkBytes)
 	}
 	return size, nil
 }
 
-// AppendChunk encodes p as one chunk, for clients; an empty p is the last. The
-// signer is nil for an unsigned stream. After the last, the trailer follows.
+// AppendChunk appends p encoded as one chunk, for use by clients. An empty p
+// is the last chunk and is followed by the trailer. signer is nil for an
+// unsigned stream.
 func AppendChunk(b, p []byte, signer *sigv4.ChunkSigner, trailer http1.Fields) []byte {
 	b = fmt.Appendf(b, "%x", len(p))
 	if signer != nil {
--- a/internal/front/s3/awschunked/awschunked_test.go
+++ b/internal/front/s3/awschunked/awschunked_test.go
@@ -14,27 +14,27 @@
 
 var signer = sigv4.Signer{AccessKey: "AKID", SecretKey: "secret", Region: "us-east-1"}
 
-func identity() *sigv4.Identity {
+func signedIdentity() *sigv4.Identity {
 	r := &sigv4.Request{Method: "PUT", Path: "/b/k", Fields: http1.Fields{{Name: "Host", Value: "h"}}}
 	_, id := signer.Sign(r, SignedPayload, time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC))
 	return id
 }
 
-func encode(s *sigv4.ChunkSigner, trailer http1.Fields, chunks ...string) []byte {
+func encodeChunks(signer *sigv4.ChunkSigner, trailer http1.Fields, chunks ...string) []byte {
 	var b []byte
 	for _, c := range chunks {
-		b = AppendChunk(b, []byte(c), s, nil)
+		b = AppendChunk(b, []byte(c), signer, nil)
 	}
-	return AppendChunk(b, nil, s, trailer)
+	return AppendChunk(b, nil, signer, trailer)
 }
 
 func TestDecode(t *testing.T) {
 	sums := http1.Fields{{Name: "x-amz-checksum-crc32", Value: "AAAAAA=="}}
 	long := strings.Repeat("0123456789", 10_000)
-	plain := func(chunks ...string) []byte { return encode(identity().NewChunkSigner(), nil, chunks...) }
-	chain := identity().NewChunkSigner()
+	plain := func(chunks ...string) []byte { return encodeChunks(signedIdentity().NewChunkSigner(), nil, chunks...) }
+	chain := signedIdentity().NewChunkSigner()
 	AppendChunk(nil, []byte("first"), chain, nil)
-	without := encode(chain, nil, "second")
+	chunkMissing := encodeChunks(chain, nil, "second")
 	flip := func(b []byte, at int) []byte { b[at] ^= 1; return b }
 	for _, c := range []struct {
 		name    string
@@ -46,24 +46,24 @@
 	}{
 		{"signed", plain("hello", " world", long), true, false, "hello world" + long, nil},
 		{"signed, empty", plain(), true, false, "", nil},
-		{"signed, trailer", encode(identity().NewChunkSigner(), sums, "abc"), true, true, "abc", nil},
-		{"unsigned, trailer", encode(nil, sums, "abc", "def"), false, true, "abcdef", nil},
-		{"a byte of the data", flip(plain("hello"), 85), true, false, "", ErrSignatureMismatch},
-		{"a chunk left out", without, true, false, "", ErrSignatureMismatch},
-		{"trailer changed", bytes.Replace(encode(identity().NewChunkSigner(), sums, "abc"), []byte("AAAAAA"), []byte("BAAAAA"), 1), true, true, "", ErrSignatureMismatch},
-		{"no signature", encode(nil, nil, "abc"), true, false, "", ErrFormat},
-		{"trailer not announced", encode(nil, sums, "abc"), false, false, "", ErrFormat},
+		{"signed, trailer", encodeChunks(signedIdentity().NewChunkSigner(), sums, "abc"), true, true, "abc", nil},
+		{"unsigned, trailer", encodeChunks(nil, sums, "abc", "def"), false, true, "abcdef", nil},
+		{"data changed", flip(plain("hello"), 85), true, false, "", ErrSignatureMismatch},
+		{"chunk missing", chunkMissing, true, false, "", ErrSignatureMismatch},
+		{"trailer changed", bytes.Replace(encodeChunks(signedIdentity().NewChunkSigner(), sums, "abc"), []byte("AAAAAA"), []byte("BAAAAA"), 1), true, true, "", ErrSignatureMismatch},
+		{"no signature", encodeChunks(nil, nil, "abc"), true, false, "", ErrFormat},
+		{"trailer not announced", encodeChunks(nil, sums, "abc"), false, false, "", ErrFormat},
 		{"cut", plain("hello")[:60], true, false, "", io.ErrUnexpectedEOF},
 		{"no last chunk", []byte("3\r\nabc\r\n"), false, true, "", io.ErrUnexpectedEOF},
 		{"bare LF", []byte("3\nabc\r\n0\r\n\r\n"), false, true, "", ErrFormat},
 		{"negative", []byte("-3\r\nabc\r\n0\r\n\r\n"), false, true, "", ErrFormat},
 		{"huge", []byte("FFFFFFFFFF\r\n"), false, true, "", ErrFormat},
 		{"long line", []byte("3;" + strings.Repeat("x", 9000) + "\r\n"), false, true, "", ErrFormat},
-		{"chunk longer than told", []byte("3\r\nabcd\r\n0\r\n\r\n"), false, true, "", ErrFormat},
+		{"chunk longer than its size", []byte("3\r\nabcd\r\n0\r\n\r\n"), false, true, "", ErrFormat},
 	} {
 		var s *sigv4.ChunkSigner
 		if c.signed {
-			s = identity().NewChunkSigner()
+			s = signedIdentity().NewChunkSigner()
 		}
 		r := NewReader(bytes.NewReader(c.in), s, c.trailer)
 		got, err := io.ReadAll(r)
@@ -76,15 +76,16 @@
 	}
 }
 
-// What decodes without a signature decodes to the same again after encoding.
+// An unsigned body that decodes must decode to the same bytes after it is
+// encoded again.
 func FuzzReader(f *testing.F) {
-	f.Add(encode(nil, http1.Fields{{Name: "a", Value: "b"}}, "abc"), false)
-	f.Add(encode(identity().NewChunkSigner(), nil, "abc"), true)
+	f.Add(encodeChunks(nil, http1.Fields{{Name: "a", Value: "b"}}, "abc"), false)
+	f.Add(encodeChunks(signedIdentity().NewChunkSigner(), nil, "abc"), true)
 	f.Add([]byte("0\r\n\r\n"), false)
 	f.Fuzz(func(t *testing.T, in []byte, signed bool) {
 		var s *sigv4.ChunkSigner
 		if signed {
-			s = identity().NewChunkSigner()
+			s = signedIdentity().NewChunkSigner()
 		}
 		body, err := io.ReadAll(NewReader(bytes.NewReader(in), s, true))
 		if err != nil || signed {
--- a/internal/front/s3/server.go
+++ b/internal/front/s3/server.go
@@ -366,13 +366,13 @@
 const lateReadTimeout = 50 * time.Millisecond
 
 // Read implements io.Reader.
-func (p stallTolerantReader) Read(b []byte) (int, error) {
-	n, err := p.conn.netConn.Read(b)
-	if n > 0 || !isTimeout(err) || p.conn.rawConn == nil || p.conn.server.closing.Load() || !sockstate.Readable(p.conn.rawConn) {
+func (r stallTolerantReader) Read(b []byte) (int, error) {
+	n, err := r.conn.netConn.Read(b)
+	if n > 0 || !isTimeout(err) || r.conn.rawConn == nil || r.conn.server.closing.Load() || !sockstate.Readable(r.conn.rawConn) {
 		return n, err
 	}
-	p.conn.netConn.SetReadDeadline(time.Now().Add(lateReadTimeout))
-	return p.conn.netConn.Read(b)
+	r.conn.netConn.SetReadDeadline(time.Now().Add(lateReadTimeout))
+	return r.conn.netConn.Read(b)
 }
 
 // interruptIdle ends the wait of an idle connection when the server closes.
@@ -384,6 +384,7 @@
 	c.mu.Unlock()
 }
 
+// isTimeout reports whether err is a network timeout.
 func isTimeout(err error) bool {
 	var ne net.Error
 	return errors.As(err, &ne) && ne.Timeout()
@@ -483,7 +484,8 @@
 	lingerTimeout  = 2 * time.Second
 )
 
-// rejectHead answers an invalid request head, unless the client sent nothing.
+// rejectHead responds to an invalid or late request head. It does nothing if
+// the connection failed or was closed.
 func (c *conn) rejectHead(err error) {
 	status := http1.StatusOf(err)
 	if status == 0 {
--- a/internal/front/s3/sigv4/sigv4_test.go
+++ b/internal/front/s3/sigv4/sigv4_test.go
@@ -11,15 +11,16 @@
 )
 
 var (
-	at     = time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
-	signer = Signer{AccessKey: "AKID", SecretKey: "secret", Region: "us-east-1"}
+	signedAt = time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
+	signer   = Signer{AccessKey: "AKID", SecretKey: "secret", Region: "us-east-1"}
 )
 
-func verifier() *Verifier {
+func newTestVerifier() *Verifier {
 	return NewVerifier("us-east-1", 15*time.Minute, map[string]string{"AKID": "secret"})
 }
 
-// The worked example of the public specification (GET Object).
+// The signature must equal that of the worked example (GET Object) in the
+// public specification.
 func TestPublishedExample(t *testing.T) {
 	r := &Request{Method: "GET", Path: "/test.txt", Fields: http1.Fields{
 		{Name: "Host", Value: "examplebucket.s3.amazonaws.com"}, {Name: "Range", Value: "bytes=0-9"},
@@ -32,10 +33,10 @@
 	}
 }
 
-func signed(change func(r *Request)) *Request {
+func signedRequest(change func(r *Request)) *Request {
 	r := &Request{Method: "PUT", Path: "/b/a b/é%2F", Query: Query{{"x", "1+2"}, {"a", ""}},
 		Fields: http1.Fields{{Name: "Host", Value: "h:1"}, {Name: "x-amz-meta-a", Value: "one   two"}}}
-	added, _ := signer.Sign(r, UnsignedPayload, at)
+	added, _ := signer.Sign(r, UnsignedPayload, signedAt)
 	r.Fields = append(r.Fields, added...)
 	if change != nil {
 		change(r)
@@ -43,7 +44,7 @@
 	return r
 }
 
-func set(r *Request, name, value string) {
+func setField(r *Request, name, value string) {
 	for i := range r.Fields {
 		if strings.EqualFold(r.Fields[i].Name, name) {
 			r.Fields[i].Value = value
@@ -52,7 +53,7 @@
 }
 
 func replaceAuth(r *Request, old, new string) {
-	set(r, "Authorization", strings.Replace(r.Fields.Get("Authorization"), old, new, 1))
+	setField(r, "Authorization", strings.Replace(r.Fields.Get("Authorization"), old, new, 1))
 }
 
 func TestVerify(t *testing.T) {
@@ -62,44 +63,44 @@
 		now    time.Time
 		code   string
 	}{
-		{"good", nil, at, ""},
-		{"folded spaces are one", func(r *Request) { set(r, "x-amz-meta-a", "one two") }, at, ""},
-		{"within the skew", nil, at.Add(14 * time.Minute), ""},
-		{"late", nil, at.Add(16 * time.Minute), "RequestTimeTooSkewed"},
-		{"early", nil, at.Add(-16 * time.Minute), "RequestTimeTooSkewed"},
-		{"method", func(r *Request) { r.Method = "GET" }, at, "SignatureDoesNotMatch"},
-		{"path", func(r *Request) { r.Path = "/b/a b/é/" }, at, "SignatureDoesNotMatch"},
-		{"query", func(r *Request) { r.Query = append(r.Query, Param{"acl", ""}) }, at, "SignatureDoesNotMatch"},
-		{"header", func(r *Request) { set(r, "x-amz-meta-a", "other") }, at, "SignatureDoesNotMatch"},
-		{"payload", func(r *Request) { set(r, "x-amz-content-sha256", EmptyPayloadHash) }, at, "SignatureDoesNotMatch"},
-		{"header not signed", func(r *Request) { r.Fields = append(r.Fields, http1.Field{Name: "X-Amz-Acl", Value: "public"}) }, at, "AccessDenied"},
-		{"unknown key", func(r *Request) { replaceAuth(r, "AKID", "OTHER") }, at, "InvalidAccessKeyId"},
-		{"region", func(r *Request) { replaceAuth(r, "us-east-1", "mars") }, at, "AuthorizationHeaderMalformed"},
-		{"no host", func(r *Request) { replaceAuth(r, "host;", "") }, at, "AuthorizationHeaderMalformed"},
-		{"date of another day", func(r *Request) { replaceAuth(r, "20261201", "20261130") }, at, "AuthorizationHeaderMalformed"},
+		{"good", nil, signedAt, ""},
+		{"collapsed spaces", func(r *Request) { setField(r, "x-amz-meta-a", "one two") }, signedAt, ""},
+		{"within the skew", nil, signedAt.Add(14 * time.Minute), ""},
+		{"late", nil, signedAt.Add(16 * time.Minute), "RequestTimeTooSkewed"},
+		{"early", nil, signedAt.Add(-16 * time.Minute), "RequestTimeTooSkewed"},
+		{"method", func(r *Request) { r.Method = "GET" }, signedAt, "SignatureDoesNotMatch"},
+		{"path", func(r *Request) { r.Path = "/b/a b/é/" }, signedAt, "SignatureDoesNotMatch"},
+		{"query", func(r *Request) { r.Query = append(r.Query, Param{"acl", ""}) }, signedAt, "SignatureDoesNotMatch"},
+		{"header", func(r *Request) { setField(r, "x-amz-meta-a", "other") }, signedAt, "SignatureDoesNotMatch"},
+		{"payload", func(r *Request) { setField(r, "x-amz-content-sha256", EmptyPayloadHash) }, signedAt, "SignatureDoesNotMatch"},
+		{"header not signed", func(r *Request) { r.Fields = append(r.Fields, http1.Field{Name: "X-Amz-Acl", Value: "public"}) }, signedAt, "AccessDenied"},
+		{"unknown key", func(r *Request) { replaceAuth(r, "AKID", "OTHER") }, signedAt, "InvalidAccessKeyId"},
+		{"region", func(r *Request) { replaceAuth(r, "us-east-1", "mars") }, signedAt, "AuthorizationHeaderMalformed"},
+		{"host not signed", func(r *Request) { replaceAuth(r, "host;", "") }, signedAt, "AuthorizationHeaderMalformed"},
+		{"credential of another day", func(r *Request) { replaceAuth(r, "20261201", "20261130") }, signedAt, "AuthorizationHeaderMalformed"},
 		{"empty signature", func(r *Request) {
 			a := r.Fields.Get("Authorization")
-			set(r, "Authorization", a[:strings.Index(a, "Signature=")+len("Signature=")])
-		}, at, "SignatureDoesNotMatch"},
-		{"other way", func(r *Request) { set(r, "Authorization", "Basic abc") }, at, "InvalidRequest"},
-		{"unsigned", func(r *Request) { r.Fields = r.Fields[:1] }, at, "AccessDenied"},
+			setField(r, "Authorization", a[:strings.Index(a, "Signature=")+len("Signature=")])
+		}, signedAt, "SignatureDoesNotMatch"},
+		{"unsupported mechanism", func(r *Request) { setField(r, "Authorization", "Basic abc") }, signedAt, "InvalidRequest"},
+		{"unsigned", func(r *Request) { r.Fields = r.Fields[:1] }, signedAt, "AccessDenied"},
 	} {
-		_, err := verifier().Verify(signed(c.change), c.now)
+		_, err := newTestVerifier().Verify(signedRequest(c.change), c.now)
 		var e *Error
 		if errors.As(err, &e); c.code == "" && err != nil || c.code != "" && (e == nil || e.Code != c.code) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.code)
 		}
 	}
 	wrong := NewVerifier("us-east-1", time.Minute, map[string]string{"AKID": "secretx"})
-	if _, err := wrong.Verify(signed(nil), at); err == nil {
-		t.Error("a wrong secret passes")
+	if _, err := wrong.Verify(signedRequest(nil), signedAt); err == nil {
+		t.Error("a signature with a wrong secret was accepted")
 	}
 }
 
-func presigned(span string, change func(r *Request)) *Request {
+func presignedRequest(expires string, change func(r *Request)) *Request {
 	r := &Request{Method: "GET", Path: "/b/k", Fields: http1.Fields{{Name: "Host", Value: "h"}}, Query: Query{
 		{"X-Amz-Algorithm", algorithm}, {"X-Amz-Credential", "AKID/20261201/us-east-1/s3/aws4_request"},
-		{"X-Amz-Date", "20261201T100000Z"}, {"X-Amz-Expires", span}, {"X-Amz-SignedHeaders", "host"}}}
+		{"X-Amz-Date", "20261201T100000Z"}, {"X-Amz-Expires", expires}, {"X-Amz-SignedHeaders", "host"}}}
 	key := deriveSigningKey("secret", "20261201", "us-east-1")
 	sig := signCanonicalRequest(key, "20261201T100000Z", "20261201/us-east-1/s3/aws4_request", canonicalRequest(r, []string{"host"}, UnsignedPayload, true))
 	r.Query = append(r.Query, Param{"X-Amz-Signature", sig})
@@ -111,30 +112,30 @@
 
 func TestPresigned(t *testing.T) {
 	for _, c := range []struct {
-		name, span string
-		change     func(r *Request)
-		now        time.Time
-		ok         bool
+		name, expires string
+		change        func(r *Request)
+		now           time.Time
+		ok            bool
 	}{
-		{"good", "60", nil, at.Add(59 * time.Second), true},
-		{"over", "60", nil, at.Add(61 * time.Second), false},
-		{"too long", "604801", nil, at, false},
-		{"none", "0", nil, at, false},
-		{"not yet", "60", nil, at.Add(-time.Hour), false},
-		{"longer by hand", "60", func(r *Request) { r.Query[3].Value = "600" }, at, false},
-		{"other key", "60", func(r *Request) { r.Path = "/b/other" }, at, false},
+		{"good", "60", nil, signedAt.Add(59 * time.Second), true},
+		{"over", "60", nil, signedAt.Add(61 * time.Second), false},
+		{"expiry too long", "604801", nil, signedAt, false},
+		{"none", "0", nil, signedAt, false},
+		{"not yet valid", "60", nil, signedAt.Add(-time.Hour), false},
+		{"expiry changed", "60", func(r *Request) { r.Query[3].Value = "600" }, signedAt, false},
+		{"other key", "60", func(r *Request) { r.Path = "/b/other" }, signedAt, false},
 		{"also in a header", "60", func(r *Request) {
 			r.Fields = append(r.Fields, http1.Field{Name: "Authorization", Value: "x"})
-		}, at, false},
+		}, signedAt, false},
 	} {
-		if _, err := verifier().Verify(presigned(c.span, c.change), c.now); (err == nil) != c.ok {
+		if _, err := newTestVerifier().Verify(presignedRequest(c.expires, c.change), c.now); (err == nil) != c.ok {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
 }
 
-// Whatever comes, the canonical form is of one line for each thing, decodes to
-// what it was made of, and verifying does not panic.
+// For any input, the canonical form has one entry per parameter and decodes to
+// its source, and Verify accepts no forged signature and does not panic.
 func FuzzCanonical(f *testing.F) {
 	f.Add("GET", "/b/k", "a=b&c", "x-amz-meta-a", "v", "AWS4-HMAC-SHA256 Credential=AKID/20261201/us-east-1/s3/aws4_request, SignedHeaders=host, Signature=00")
 	f.Add("PUT", "/%2F/../ ", "%zz=+&=&&&", "host", "  a   b ", "AWS4-HMAC-SHA256 ,,,=")
@@ -145,15 +146,15 @@
 		}
 		r := &Request{Method: method, Path: path, Query: q, Fields: http1.Fields{{Name: "Host", Value: "h"}, {Name: name, Value: value},
 			{Name: "Authorization", Value: auth}, {Name: "X-Amz-Date", Value: "20261201T100000Z"}, {Name: "x-amz-content-sha256", Value: UnsignedPayload}}}
-		if _, err := verifier().Verify(r, at); err == nil {
-			t.Errorf("a signature made up passes: %q", auth)
+		if _, err := newTestVerifier().Verify(r, signedAt); err == nil {
+			t.Errorf("a forged signature was accepted: %q", auth)
 		}
 		escaped := string(AppendPercentEncoded(nil, path, true))
 		if strings.ContainsAny(escaped, "\n ?&") {
 			t.Errorf("path %q escapes to %q", path, escaped)
 		}
-		if back, err := unescapeQuery(escaped); err != nil || back != path {
-			t.Errorf("path %q comes back as %q, %v", path, back, err)
+		if decoded, err := unescapeQuery(escaped); err != nil || decoded != path {
+			t.Errorf("path %q decodes to %q, %v", path, decoded, err)
 		}
 		pairs := strings.Split(string(appendCanonicalQuery(nil, q, false)), "&")
 		if !slices.IsSorted(pairs) || len(q) > 0 && len(pairs) != len(q) {
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -17,8 +17,9 @@
 	"arrowwalk/internal/host"
 )
 
-// openController opens the record of orders and plays it again, before any brick is
-// told of: a drain by hand holds from the first moment.
+// openController opens the log of operators' orders and replays it. This
+// happens before any brick is known, so that drains ordered by an operator
+// apply from the start.
 func (g *Gateway) openController() error {
 	var err error
 	if g.opts.ControlSocket != "" {
@@ -30,23 +31,23 @@
 	return err
 }
 
-// startControl opens the operators' socket.
+// startControl starts the server of the operators' socket.
 func (g *Gateway) startControl() error {
-	if at, ok := strings.CutPrefix(g.opts.DisabledGuard, "crash-"); ok { // ends outright there, for a proof
+	if crashStage, ok := strings.CutPrefix(g.opts.DisabledGuard, "crash-"); ok { // a proof makes the process crash at this stage
 		g.controller.OnStage = func(stage string) {
-			if stage == at {
+			if stage == crashStage {
 				syscall.Kill(syscall.Getpid(), syscall.SIGKILL)
 				select {}
 			}
 		}
 	}
 	g.controller.SetApplyFunc(func() {
-		if g.opts.DisabledGuard == "apply" { // recorded, and not carried out: a proof must see it
+		if g.opts.DisabledGuard == "apply" { // the order is recorded but not applied, which a proof must detect
 			return
 		}
-		g.selfDraining.Clear() // what an order took back may be said again
+		g.selfDraining.Clear() // bricks may report again what an order has overridden
 		g.tracker.Refresh()
-		g.host.Snapshot() // comes back after the host has taken the change
+		g.host.Snapshot() // returns after the host has applied the change
 	})
 	if g.opts.ControlSocket == "" {
 		return nil
@@ -56,26 +57,28 @@
 	return err
 }
 
-// updateController tells the desk of discovery's word.
+// updateController passes the members that discovery lists to the controller.
 func (g *Gateway) updateController(members []host.Member) {
 	states := map[arrowwalk.NodeState]drains.State{arrowwalk.Ready: drains.Ready, arrowwalk.Draining: drains.Draining, arrowwalk.Removed: drains.Gone}
-	list := make([]drains.Brick, 0, len(members))
+	bricks := make([]drains.Brick, 0, len(members))
 	for _, m := range members {
-		list = append(list, drains.Brick{Name: string(m.ID), Shard: m.Shard, State: states[m.State], Started: int64(m.Started)})
+		bricks = append(bricks, drains.Brick{Name: string(m.ID), Shard: m.Shard, State: states[m.State], Started: int64(m.Started)})
 	}
-	slices.SortFunc(list, func(a, b drains.Brick) int { return cmp.Compare(a.Name, b.Name) })
-	g.controller.UpdateBricks(list)
+	slices.SortFunc(bricks, func(a, b drains.Brick) int { return cmp.Compare(a.Name, b.Name) })
+	g.controller.UpdateBricks(bricks)
 }
 
-// applyDrains makes of a member what the desk decides.
+// applyDrains sets a ready member to draining if the controller drains the
+// brick.
 func (g *Gateway) applyDrains(m *host.Member) {
 	if g.controller.BrickState(string(m.ID)) == drains.Draining && m.State == arrowwalk.Ready {
 		m.State = arrowwalk.Draining
 	}
 }
 
-// recordSelfDraining takes in what a brick says of itself in an answer. Nearly all say the
-// same as before, which is all that a request's goroutine finds out.
+// recordSelfDraining records the draining state that a brick reports about
+// itself in a response. Requests call it, and nearly always the state is
+// unchanged, so that case is only a map lookup.
 func (g *Gateway) recordSelfDraining(brick string, draining bool) {
 	if before, known := g.selfDraining.Load(brick); known && before == draining || !known && !draining {
 		return
@@ -86,21 +89,23 @@
 	}
 }
 
-// recordOutcome counts how a collection's task recordOutcome.
+// recordOutcome counts the outcome of a task of a bucket or volume.
 func (g *Gateway) recordOutcome(bucket string, plan, shard int, end host.TaskStatus) {
-	if bucket == "" { // a chore of the gateway's own: no collection's
+	if bucket == "" { // background work of the gateway, not of a bucket
 		return
 	}
-	ends := map[host.TaskStatus]trafficstats.Outcome{host.Served: trafficstats.Served, host.Refused: trafficstats.Refused, host.Failed: trafficstats.Failed}
-	if e, ok := ends[end]; ok {
-		g.controller.Stats.RecordOutcome(bucket, g.opts.Config.Plans[plan].Name, shard, e)
+	outcomes := map[host.TaskStatus]trafficstats.Outcome{host.Served: trafficstats.Served, host.Refused: trafficstats.Refused, host.Failed: trafficstats.Failed}
+	if outcome, ok := outcomes[end]; ok {
+		g.controller.Stats.RecordOutcome(bucket, g.opts.Config.Plans[plan].Name, shard, outcome)
 	}
 }
 
-// HostLabel names this run of this host (control.Source).
+// HostLabel returns the label of this run of the host. It implements
+// control.Source.
 func (g *Gateway) HostLabel() string { return g.host.RunID() }
 
-// RunningRequests lists the requests that the host owes an answer (control.Source).
+// RunningRequests lists the requests in progress, oldest first. It implements
+// control.Source.
 func (g *Gateway) RunningRequests() []control.RunningRequest {
 	state := g.host.Snapshot()
 	if state == nil {
@@ -115,7 +120,8 @@
 	return out
 }
 
-// Snapshot is the whole picture (control.Source).
+// Snapshot returns the current state of the gateway, its bricks and its
+// volumes. It implements control.Source.
 func (g *Gateway) Snapshot() *control.Snapshot {
 	now := time.Now()
 	stats, front, use := g.host.Stats(), g.front.Stats(), g.spool.Usage()
@@ -167,7 +173,8 @@
 	return s
 }
 
-// volumeStatuses joins what was counted of collections with the module's view.
+// volumeStatuses combines the counted traffic of each volume with the
+// scheduler's view of it.
 func (g *Gateway) volumeStatuses(state *host.Snapshot) []control.VolumeStatus {
 	views := map[arrowwalk.VolumeID]arrowwalk.VolumeView{}
 	for _, v := range state.Volumes {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway puts the rooms together: a host with its front, its bricks'
-// pool and its node list, and, where the settings have bricks without an
-// address, those bricks in the same process.
+// Package gateway assembles a running gateway: the host, the object API, the
+// pool of brick connections, cluster membership and the control socket. Bricks
+// that the settings list without an address run in the same process.
 package gateway
 
 import (
@@ -34,23 +34,26 @@
 	"arrowwalk/internal/store/maintenance"
 )
 
-// Options of a Gateway.
+// Options configures a Gateway.
 type Options struct {
 	Config  *config.Config
-	DataDir string // directory of embedded bricks and made keys
+	DataDir string // directory of embedded bricks, generated keys and orders
 	Log     *slog.Logger
-	// ControlSocket is the path of the operators' socket; orders are kept in Data.
-	// "": there is none, and no orders.
+	// ControlSocket is the path of the operators' socket. Orders are stored in
+	// DataDir. If it is empty, there is no socket and no orders are accepted.
 	ControlSocket string
-	// SkipFailedBricks goes on without an embedded brick whose directory cannot be
-	// used, as long as one is left.
+	// SkipFailedBricks makes the gateway start without embedded bricks whose
+	// directory cannot be used, as long as at least one brick is left.
 	SkipFailedBricks bool
-	// DisabledGuard takes a guard out, so that a proof is seen to fail: "expect"
-	// believes a kept list and lets any brick answer for another, "age" takes
-	// what is found after a stall for fresh.
+	// DisabledGuard disables a safeguard so that a proof can show that it detects
+	// the fault: "expect" trusts a cached brick list and accepts responses from a
+	// brick other than the one addressed, "age" treats bytes that are found after
+	// a stall as new, "apply" records orders without applying them, "fence"
+	// disables fencing of block volumes, and "crash-STAGE" kills the process at a
+	// stage of an order.
 	DisabledGuard string
-	NoSync        bool             // embedded bricks do not wait for the disk; for tests of other things
-	Now           func() time.Time // wall clock for signatures; nil: time.Now
+	NoSync        bool             // embedded bricks do not sync to disk; only for tests and benchmarks
+	Now           func() time.Time // wall clock for signatures; nil means time.Now
 }
 
 // Gateway is a running gateway.
@@ -69,11 +72,11 @@
 	orderLog       *orderlog.Log
 	controlServer  *control.Server
 	embeddedBricks []*embeddedBrick
-	selfDraining   sync.Map         // brick to whether it last said that it drains
-	failedBricks   map[string]error // embedded bricks that could not be started
+	selfDraining   sync.Map         // brick name to the draining state that it last reported (bool)
+	failedBricks   map[string]error // errors of embedded bricks that could not be started, by name
 }
 
-// embeddedBrick is a brick in this process.
+// embeddedBrick is a brick that runs in this process.
 type embeddedBrick struct {
 	name        string
 	server      *brickd.Server
@@ -81,9 +84,10 @@
 	maintenance *maintenance.Runner
 }
 
-// Start opens the sockets and serves. Nothing is left open after an error.
-func Start(opt Options) (*Gateway, error) {
-	g := &Gateway{opts: opt}
+// Start opens the sockets and starts serving. After an error, nothing is left
+// open.
+func Start(opts Options) (*Gateway, error) {
+	g := &Gateway{opts: opts}
 	if err := g.start(); err != nil {
 		g.closeAll()
 		return nil, err
@@ -91,6 +95,7 @@
 	return g, nil
 }
 
+// start loads the keys, listens and starts the components.
 func (g *Gateway) start() error {
 	cfg := g.opts.Config
 	keys, err := g.loadKeys()
@@ -98,18 +103,21 @@
 		return err
 	}
 	g.Keys = keys
-	ln, err := net.Listen("tcp", cfg.Listen)
+	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	if err := g.startComponents(ln); err != nil {
-		ln.Close()
+	if err := g.startComponents(listener); err != nil {
+		listener.Close()
 		return err
 	}
 	return nil
 }
 
-func (g *Gateway) startComponents(ln net.Listener) error {
+// startComponents starts the components in the order in which they depend on
+// each other. The caller closes listener and the started components after an
+// error.
+func (g *Gateway) startComponents(listener net.Listener) error {
 	cfg := g.opts.Config
 	if err := g.openController(); err != nil {
 		return err
@@ -131,9 +139,9 @@
 	for _, k := range g.Keys {
 		secrets[k.Access] = k.Secret
 	}
-	opt := s3.Options{OnObservation: g.recordObservation, OnTaskEnd: g.recordOutcome, NotReadyReason: g.notReadyReason, Config: cfg, Host: g.host, Pool: g.pool, Spool: g.spool, Secrets: secrets, Log: g.opts.Log, Now: g.opts.Now,
+	s3Options := s3.Options{OnObservation: g.recordObservation, OnTaskEnd: g.recordOutcome, NotReadyReason: g.notReadyReason, Config: cfg, Host: g.host, Pool: g.pool, Spool: g.spool, Secrets: secrets, Log: g.opts.Log, Now: g.opts.Now,
 		AcceptAnyBrick: g.opts.DisabledGuard == "expect", IgnoreSocketAge: g.opts.DisabledGuard == "age"}
-	if g.front, err = s3.Start(ln, opt); err != nil {
+	if g.front, err = s3.Start(listener, s3Options); err != nil {
 		return err
 	}
 	if err := g.startExports(); err != nil {
@@ -142,8 +150,8 @@
 	return g.startControl()
 }
 
-// startBricks starts the embedded bricks and returns the list of all in the
-// settings.
+// startBricks starts the embedded bricks. It returns the list of all bricks of
+// the settings, except for skipped ones.
 func (g *Gateway) startBricks() (*membership.List, error) {
 	cfg := g.opts.Config
 	zones := map[string]*brickd.Zone{}
@@ -158,7 +166,7 @@
 				zone.Name = b.Zone
 				zones[b.Zone] = zone
 			}
-			e, err := g.startBrick(b, zone, meter)
+			embedded, err := g.startBrick(b, zone, meter)
 			if err != nil && g.opts.SkipFailedBricks {
 				g.skipBrick(b, err)
 				continue
@@ -166,101 +174,106 @@
 			if err != nil {
 				return nil, err
 			}
-			g.embeddedBricks = append(g.embeddedBricks, e)
-			entry.Address = e.server.Addr()
+			g.embeddedBricks = append(g.embeddedBricks, embedded)
+			entry.Address = embedded.server.Addr()
 		}
 		list.Bricks = append(list.Bricks, entry)
 	}
 	if len(list.Bricks) == 0 && len(cfg.Bricks) > 0 {
-		return nil, fmt.Errorf("no brick can be used: %w", g.failedBricks[cfg.Bricks[0].Name])
+		return nil, fmt.Errorf("no brick could be started: %w", g.failedBricks[cfg.Bricks[0].Name])
 	}
 	return list, nil
 }
 
-// skipBrick goes on skipBrick a brick, and says so.
+// skipBrick records, logs and publishes that the gateway runs without a brick.
 func (g *Gateway) skipBrick(b config.Brick, err error) {
 	if g.failedBricks == nil {
 		g.failedBricks = map[string]error{}
 	}
 	g.failedBricks[b.Name] = err
-	g.opts.Log.Error("going on without a brick", "brick", b.Name, "error", err)
+	g.opts.Log.Error("running without a brick that failed to start", "brick", b.Name, "error", err)
 	g.controller.PublishEvent("without", b.Name, fmt.Sprintf("%s takes no part: %v", b.Name, err))
 }
 
-// FailedBricks returns the embedded bricks that could not be started, and why.
+// FailedBricks returns the embedded bricks that could not be started, with
+// their errors.
 func (g *Gateway) FailedBricks() map[string]error { return g.failedBricks }
 
+// startBrick opens the store of an embedded brick and starts its server and
+// maintenance.
 func (g *Gateway) startBrick(b config.Brick, zone *brickd.Zone, meter *brickd.Meter) (*embeddedBrick, error) {
 	path := b.Data
 	if path == "" {
 		path = filepath.Join(g.opts.DataDir, "bricks", b.Name)
 	}
-	dir, err := store.Open(path, store.Options{NoSync: g.opts.NoSync, Log: g.opts.Log.With("brick", b.Name)})
+	brickStore, err := store.Open(path, store.Options{NoSync: g.opts.NoSync, Log: g.opts.Log.With("brick", b.Name)})
 	if err != nil {
 		return nil, fmt.Errorf("brick %s: %w", b.Name, err)
 	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		dir.Close()
+		brickStore.Close()
 		return nil, fmt.Errorf("brick %s: %w", b.Name, err)
 	}
-	e := &embeddedBrick{name: b.Name, server: brickd.Start(ln, dir, brickd.Options{ID: b.Name, Zone: zone, Meter: meter, Log: g.opts.Log}), store: dir}
-	e.maintenance = maintenance.Start(maintenance.Options{Store: dir, Load: e.server.Load, Log: g.opts.Log.With("brick", b.Name)})
-	return e, nil
+	embedded := &embeddedBrick{name: b.Name, server: brickd.Start(listener, brickStore, brickd.Options{ID: b.Name, Zone: zone, Meter: meter, Log: g.opts.Log}), store: brickStore}
+	embedded.maintenance = maintenance.Start(maintenance.Options{Store: brickStore, Load: embedded.server.Load, Log: g.opts.Log.With("brick", b.Name)})
+	return embedded, nil
 }
 
-// followMembership tells the host of the settings' bricks, or follows the source that
-// the settings name, with what was kept of it before.
+// followMembership starts the membership tracker. Bricks come from the
+// settings, a node file or discovery; until the source responds, a cached list
+// is used.
 func (g *Gateway) followMembership(list *membership.List) error {
 	cfg := g.opts.Config
-	shape := membership.Topology{Zones: cfg.Zones, Shards: cfg.Shards}
-	keeper, err := membership.StartTracker(membership.TrackerOptions{Topology: shape, Host: g.host, Prober: brickProber{g.pool}, CacheDir: cfg.CacheDir,
+	topology := membership.Topology{Zones: cfg.Zones, Shards: cfg.Shards}
+	tracker, err := membership.StartTracker(membership.TrackerOptions{Topology: topology, Host: g.host, Prober: brickProber{g.pool}, CacheDir: cfg.CacheDir,
 		Log: g.opts.Log, OnAddresses: g.pool.CloseIdleExcept, TrustCache: g.opts.DisabledGuard == "expect", OnList: g.updateController, Overlay: g.applyDrains})
 	if err != nil {
 		return err
 	}
-	g.tracker = keeper
+	g.tracker = tracker
 	switch {
 	case cfg.Discovery != nil:
 		g.zkSource, err = membership.FollowZK(membership.ZKOptions{Servers: cfg.Discovery.Servers, Root: cfg.Discovery.Root,
-			SessionTimeout: config.MS(cfg.Discovery.SessionMS), RelistInterval: config.MS(cfg.Discovery.RelistMS), Topology: shape, Log: g.opts.Log},
-			func(l *membership.List) { keeper.Offer("discovery", l) }, keeper.ReportFailure)
+			SessionTimeout: config.MS(cfg.Discovery.SessionMS), RelistInterval: config.MS(cfg.Discovery.RelistMS), Topology: topology, Log: g.opts.Log},
+			func(l *membership.List) { tracker.Offer("discovery", l) }, tracker.ReportFailure)
 		return err
 	case cfg.NodesFile == "":
-		keeper.Offer("settings", list)
-		keeper.Refresh() // the list is taken when this returns
+		tracker.Offer("settings", list)
+		tracker.Refresh() // the list is in use when this returns
 		return nil
 	}
-	g.fileSource, err = membership.FollowFile(cfg.NodesFile, shape, g.opts.Log, func(l *membership.List) {
-		edit := *l // an edit is news whatever version its author gave it
+	g.fileSource, err = membership.FollowFile(cfg.NodesFile, topology, g.opts.Log, func(l *membership.List) {
+		edit := *l // a changed file counts as newer whatever version it states
 		edit.Version = time.Now().UnixMicro()
-		keeper.Offer("file", &edit)
+		tracker.Offer("file", &edit)
 	})
 	if err != nil && cfg.CacheDir == "" {
 		return fmt.Errorf("node list %s: %w", cfg.NodesFile, err)
 	}
 	if err != nil {
-		g.opts.Log.Warn("node list not taken", "file", cfg.NodesFile, "error", err)
+		g.opts.Log.Warn("node list not loaded", "file", cfg.NodesFile, "error", err)
 	}
 	return nil
 }
 
-// brickProber asks bricks who they are (membership.Asker).
+// brickProber asks bricks for their identity. It implements membership.Prober.
 type brickProber struct{ pool *brick.Pool }
 
-// Probe asks the brick that should be name at address.
-func (a brickProber) Probe(ctx context.Context, address, name string) (trust.Observation, int64) {
-	at := &brick.Attempt{}
-	defer context.AfterFunc(ctx, at.Abort)()
+// Probe asks the brick that is expected to be name at address. It returns the
+// observation and the start time of the brick.
+func (p brickProber) Probe(ctx context.Context, address, name string) (trust.Observation, int64) {
+	attempt := &brick.Attempt{}
+	defer context.AfterFunc(ctx, attempt.Abort)()
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = time.Now().Add(time.Second)
 	}
-	id, err := a.pool.Identify(at, address, name, deadline)
+	id, err := p.pool.Identify(attempt, address, name, deadline)
 	return observationOf(err), id.Started
 }
 
-// observationOf says what an attempt's end shows of the brick.
+// observationOf returns what the error of an attempt reveals about the brick.
 func observationOf(err error) trust.Observation {
 	var f *brick.Failure
 	switch {
@@ -274,41 +287,44 @@
 	return trust.TimedOut
 }
 
-// recordObservation passes on what an attempt showed.
-func (g *Gateway) recordObservation(s attempts.Observation) {
-	full := s.Reason == brick.ReasonDiskFull
-	turned := g.controller.Stats.RecordAttempt(trafficstats.Attempt{Brick: s.Brick, Volume: s.Volume, Units: s.Units, Latency: s.Latency,
-		OK: s.Reason == "", Reason: string(s.Reason), Util: s.Util, Write: s.Write, Full: full}, time.Now())
+// recordObservation passes what an attempt revealed about its brick to the
+// statistics, the event log and the tracker.
+func (g *Gateway) recordObservation(observation attempts.Observation) {
+	full := observation.Reason == brick.ReasonDiskFull
+	changed := g.controller.Stats.RecordAttempt(trafficstats.Attempt{Brick: observation.Brick, Volume: observation.Volume, Units: observation.Units, Latency: observation.Latency,
+		OK: observation.Reason == "", Reason: string(observation.Reason), Util: observation.Util, Write: observation.Write, Full: full}, time.Now())
 	switch {
-	case turned && full:
-		g.controller.PublishEvent("full", s.Brick, s.Brick+" has no room: it refuses writes, reads go on")
-	case turned:
-		g.controller.PublishEvent("room", s.Brick, s.Brick+" takes writes again")
-	}
-	if s.Identity != "" {
-		g.recordSelfDraining(s.Brick, s.Draining)
-		if id, ok := brick.ParseIdentity(s.Identity); ok && id.Name == s.Brick {
-			g.tracker.Observe(s.Brick, trust.Answered, id.Started)
+	case changed && full:
+		g.controller.PublishEvent("full", observation.Brick, observation.Brick+" has no room: it refuses writes, reads go on")
+	case changed:
+		g.controller.PublishEvent("room", observation.Brick, observation.Brick+" takes writes again")
+	}
+	if observation.Identity != "" {
+		g.recordSelfDraining(observation.Brick, observation.Draining)
+		if id, ok := brick.ParseIdentity(observation.Identity); ok && id.Name == observation.Brick {
+			g.tracker.Observe(observation.Brick, trust.Answered, id.Started)
 		}
 		return
 	}
-	switch s.Reason {
+	switch observation.Reason {
 	case brick.ReasonWrongBrick, brick.ReasonRefused:
-		g.tracker.Observe(s.Brick, observationOf(&brick.Failure{Reason: s.Reason}), 0)
+		g.tracker.Observe(observation.Brick, observationOf(&brick.Failure{Reason: observation.Reason}), 0)
 	case brick.ReasonTimeout, brick.ReasonDialTimeout:
-		g.tracker.Observe(s.Brick, trust.TimedOut, 0)
+		g.tracker.Observe(observation.Brick, trust.TimedOut, 0)
 	}
 }
 
-// notReadyReason says why nothing can be served, or "".
+// notReadyReason returns why no request can be served, or "" if requests can
+// be served.
 func (g *Gateway) notReadyReason() string {
 	if g.tracker.HasList() {
 		return ""
 	}
-	return "No brick is known yet: discovery has told none and no list is kept."
+	return "No brick is known yet: discovery has reported none and there is no cached list."
 }
 
-// loadKeys returns the settings' loadKeys, or a pair made at the first start and kept.
+// loadKeys returns the keys of the settings. If there are none, it returns a
+// generated pair that is created at the first start and stored in DataDir.
 func (g *Gateway) loadKeys() ([]config.Key, error) {
 	if len(g.opts.Config.Keys) > 0 {
 		return g.opts.Config.Keys, nil
@@ -318,7 +334,7 @@
 	if err == nil {
 		var keys []config.Key
 		if err := json.Unmarshal(text, &keys); err != nil || len(keys) == 0 || keys[0].Access == "" || keys[0].Secret == "" {
-			return nil, fmt.Errorf("keys %s: not a list of access_key and secret_key", path)
+			return nil, fmt.Errorf("keys file %s: expected a list of access_key and secret_key", path)
 		}
 		return keys, nil
 	}
@@ -339,13 +355,15 @@
 	return keys, nil
 }
 
+// randomBase32 returns the given number of random bytes in base32.
 func randomBase32(bytes int) string {
 	b := make([]byte, bytes)
 	rand.Read(b)
 	return base32.StdEncoding.WithPadding(base32.NoPadding).EncodeToString(b)
 }
 
-// WriteFileAtomic writes a file that only its owner can read, in one step.
+// WriteFileAtomic replaces a file atomically. Only the owner can read the
+// file.
 func WriteFileAtomic(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".arrowwalk")
 	if err != nil {
@@ -368,31 +386,34 @@
 // Endpoint returns the URL of the object API.
 func (g *Gateway) Endpoint() string { return "http://" + g.front.Addr() }
 
-// Host returns the running host, for those who watch it.
+// Host returns the running host, for monitoring.
 func (g *Gateway) Host() *host.Host { return g.host }
 
-// S3Server returns the object API, for those who watch it.
+// S3Server returns the server of the object API, for monitoring.
 func (g *Gateway) S3Server() *s3.Server { return g.front }
 
-// Spool returns the store of bodies, for those who watch it.
+// Spool returns the buffer pool of request and response bodies, for
+// monitoring.
 func (g *Gateway) Spool() *spool.Pool { return g.spool }
 
-// Stop stops accepting, lets what was taken get its answer until ctx ends, and
-// closes everything.
+// Stop stops accepting requests, waits for the requests in progress until ctx
+// ends, and closes everything.
 func (g *Gateway) Stop(ctx context.Context) {
 	g.front.Shutdown(ctx)
 	g.front = nil
 	g.closeAll()
 }
 
-// MaxStopDuration returns how long a request that was taken may still need.
+// MaxStopDuration returns the longest time that a request in progress may
+// still need.
 func (g *Gateway) MaxStopDuration() time.Duration {
 	c := g.opts.Config
 	return config.MS(max(c.Classes.Read.DeadlineMS, c.Classes.Write.DeadlineMS)) + 2*time.Second
 }
 
+// closeAll closes all components that were started.
 func (g *Gateway) closeAll() {
-	if g.front != nil { // it did not start whole
+	if g.front != nil { // a component that is started later has failed
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		g.front.Shutdown(ctx)
--- a/internal/gateway/volumes.go
+++ b/internal/gateway/volumes.go
@@ -20,9 +20,10 @@
 	"arrowwalk/internal/volume/extent"
 )
 
-// volumeExports are the block volumes that this gateway has attached, each on a
-// socket of its own. Which they are is kept in the data directory: a start
-// attaches them again, under an epoch over the last.
+// volumeExports manages the block volumes that this gateway exports, each on
+// its own socket. The exported volumes are recorded in the data directory;
+// after a restart, the gateway attaches them again under a new epoch that is
+// higher than the last.
 type volumeExports struct {
 	store     *volume.Store
 	holder    string
@@ -34,18 +35,21 @@
 
 	mu       sync.Mutex
 	attached map[string]*exportedVolume
-	sockets  map[string]string // volume to socket: what the file says
+	sockets  map[string]string // socket of each exported volume, as recorded in the file
 }
 
+// exportedVolume is an attached volume and its server.
 type exportedVolume struct {
 	volume *volume.Volume
 	server *vhost.Server
 	socket string
 }
 
-// attachTimeout is how long one try to attach may take.
+// attachTimeout bounds one attempt to attach a volume, and one order.
 const attachTimeout = 10 * time.Second
 
+// startExports loads the recorded exports and starts attaching them again in
+// the background.
 func (g *Gateway) startExports() error {
 	store, err := volume.New(volume.Options{Config: g.opts.Config, Host: g.host, Pool: g.pool, Log: g.opts.Log, NoFence: g.opts.DisabledGuard == "fence", Seen: g.recordObservation,
 		Ended: func(name string, plan, shard int, end host.TaskStatus) {
@@ -82,8 +86,9 @@
 	return nil
 }
 
-// reattach attaches a volume of an earlier run again, until it is refused or
-// the gateway stops.
+// reattach attaches a volume that an earlier run exported. It tries again
+// until it succeeds, the volume is held elsewhere or does not exist, or the
+// gateway stops.
 func (g *Gateway) reattach(name, socket string) {
 	x := g.exports
 	for x.ctx.Err() == nil {
@@ -93,8 +98,8 @@
 			return
 		}
 		if errors.As(err, &held) || errors.Is(err, volume.ErrNotFound) {
-			g.opts.Log.Error("volume not exported again", "volume", name, "error", err)
-			g.controller.PublishEvent("volume", "", fmt.Sprintf("%s is not exported again: %v", name, err))
+			g.opts.Log.Error("failed to export volume again", "volume", name, "error", err)
+			g.controller.PublishEvent("volume", "", fmt.Sprintf("%s could not be exported again: %v", name, err))
 			return
 		}
 		t := time.NewTimer(200 * time.Millisecond)
@@ -106,13 +111,15 @@
 	}
 }
 
+// attach attaches a volume and starts serving it at socket. With steal, it
+// takes the volume over from its holder.
 func (x *volumeExports) attach(name, socket string, steal bool) error {
 	ctx, cancel := context.WithTimeout(x.ctx, attachTimeout)
 	defer cancel()
 	x.mu.Lock()
-	_, open := x.attached[name]
+	_, attached := x.attached[name]
 	x.mu.Unlock()
-	if open {
+	if attached {
 		return fmt.Errorf("volume %s: %w", name, &extent.Held{Volume: name, Holder: x.holder})
 	}
 	v, err := x.store.Attach(ctx, name, x.holder, steal)
@@ -122,8 +129,8 @@
 	if err := os.MkdirAll(filepath.Dir(socket), 0o700); err != nil {
 		return err
 	}
-	r := v.Record()
-	server, err := vhost.Listen(socket, vhost.Disk{Name: name, Bytes: r.Bytes, Block: r.Block, Extent: r.Extent, Backend: v}, nil)
+	record := v.Record()
+	server, err := vhost.Listen(socket, vhost.Disk{Name: name, Bytes: record.Bytes, Block: record.Block, Extent: record.Extent, Backend: v}, nil)
 	if err != nil {
 		return err
 	}
@@ -133,7 +140,7 @@
 	return nil
 }
 
-// save writes which volumes are exported. Its caller holds x.mu.
+// save writes the file of exported volumes. The caller must hold x.mu.
 func (x *volumeExports) save() error {
 	text, err := json.Marshal(x.sockets)
 	if err != nil {
@@ -142,7 +149,8 @@
 	return WriteFileAtomic(x.path, text)
 }
 
-// close ends all devices; volumes stay attached to this host, for its next run.
+// close stops all volume servers. The volumes stay attached to this host for
+// its next run.
 func (x *volumeExports) close() {
 	x.cancel()
 	x.wg.Wait()
@@ -153,64 +161,67 @@
 	}
 }
 
-// ExecuteVolumeOrder does an operator's order on block volumes (control.Source).
-func (g *Gateway) ExecuteVolumeOrder(q *control.VolumeOrder) ([]control.VolumeInfo, error) {
+// ExecuteVolumeOrder executes an operator's order on block volumes and returns
+// the affected volumes. It implements control.Source.
+func (g *Gateway) ExecuteVolumeOrder(order *control.VolumeOrder) ([]control.VolumeInfo, error) {
 	x := g.exports
 	if x == nil {
-		return nil, errors.New("this gateway has no block volumes")
+		return nil, errors.New("this gateway does not serve block volumes")
 	}
 	ctx, cancel := context.WithTimeout(x.ctx, attachTimeout)
 	defer cancel()
-	switch q.Action {
+	switch order.Action {
 	case "create":
-		if _, err := x.store.Create(ctx, q.Name, q.SizeBytes, q.BlockBytes, q.Plan); err != nil {
+		if _, err := x.store.Create(ctx, order.Name, order.SizeBytes, order.BlockBytes, order.Plan); err != nil {
 			return nil, err
 		}
 	case "resize":
-		if _, err := x.store.Resize(ctx, q.Name, q.SizeBytes); err != nil {
+		if _, err := x.store.Resize(ctx, order.Name, order.SizeBytes); err != nil {
 			return nil, err
 		}
 	case "delete":
-		if err := x.store.Delete(ctx, q.Name); err != nil {
+		if err := x.store.Delete(ctx, order.Name); err != nil {
 			return nil, err
 		}
 	case "export":
-		return x.export(q)
+		return x.export(order)
 	case "unexport":
-		if err := x.unexport(ctx, q.Name); err != nil {
+		if err := x.unexport(ctx, order.Name); err != nil {
 			return nil, err
 		}
 	case "list":
 	default:
-		return nil, fmt.Errorf("volume order %q is not known", q.Action)
+		return nil, fmt.Errorf("unknown volume order %q", order.Action)
 	}
-	return x.list(ctx, q.Name)
+	return x.list(ctx, order.Name)
 }
 
-func (x *volumeExports) export(q *control.VolumeOrder) ([]control.VolumeInfo, error) {
-	socket := q.Socket
+// export attaches a volume and records it as exported.
+func (x *volumeExports) export(order *control.VolumeOrder) ([]control.VolumeInfo, error) {
+	socket := order.Socket
 	if socket == "" {
-		socket = filepath.Join(x.socketDir, q.Name+".sock")
+		socket = filepath.Join(x.socketDir, order.Name+".sock")
 	}
-	if strings.ContainsAny(q.Name, "/") || !filepath.IsAbs(socket) {
-		return nil, fmt.Errorf("volume %q, socket %q: must be a plain name and an absolute path", q.Name, socket)
+	if strings.ContainsAny(order.Name, "/") || !filepath.IsAbs(socket) {
+		return nil, fmt.Errorf("volume %q, socket %q: must be a plain name and an absolute path", order.Name, socket)
 	}
-	if err := x.attach(q.Name, socket, q.Steal); err != nil {
+	if err := x.attach(order.Name, socket, order.Steal); err != nil {
 		return nil, err
 	}
 	x.mu.Lock()
-	x.sockets[q.Name] = socket
+	x.sockets[order.Name] = socket
 	err := x.save()
 	x.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	return x.list(x.ctx, q.Name)
+	return x.list(x.ctx, order.Name)
 }
 
+// unexport stops serving a volume, detaches it and removes it from the record.
 func (x *volumeExports) unexport(ctx context.Context, name string) error {
 	x.mu.Lock()
-	e := x.attached[name]
+	exported := x.attached[name]
 	delete(x.attached, name)
 	delete(x.sockets, name)
 	err := x.save()
@@ -218,33 +229,33 @@
 	if err != nil {
 		return err
 	}
-	if e == nil {
-		return fmt.Errorf("volume %s is not exported here", name)
+	if exported == nil {
+		return fmt.Errorf("volume %s is not exported by this gateway", name)
 	}
-	e.server.Close()
-	os.Remove(e.socket)
-	return e.volume.Detach(ctx)
+	exported.server.Close()
+	os.Remove(exported.socket)
+	return exported.volume.Detach(ctx)
 }
 
-// list tells of one volume, or of all.
+// list returns the state of one volume, or of all if name is empty.
 func (x *volumeExports) list(ctx context.Context, name string) ([]control.VolumeInfo, error) {
 	records, err := x.store.List(ctx)
 	if err != nil {
 		return nil, err
 	}
-	var out []control.VolumeInfo
+	var infos []control.VolumeInfo
 	for _, r := range records {
 		if name != "" && r.Name != name {
 			continue
 		}
-		one := control.VolumeInfo{Record: *r}
+		info := control.VolumeInfo{Record: *r}
 		x.mu.Lock()
 		if e := x.attached[r.Name]; e != nil {
-			one.Socket, one.Requests, one.Errors, one.Superseded = e.socket, e.server.Stats.Requests.Load(), e.server.Stats.Errors.Load(), e.volume.Over()
+			info.Socket, info.Requests, info.Errors, info.Superseded = e.socket, e.server.Stats.Requests.Load(), e.server.Stats.Errors.Load(), e.volume.Over()
 		}
 		x.mu.Unlock()
-		out = append(out, one)
+		infos = append(infos, info)
 	}
-	slices.SortFunc(out, func(a, b control.VolumeInfo) int { return strings.Compare(a.Name, b.Name) })
-	return out, nil
+	slices.SortFunc(infos, func(a, b control.VolumeInfo) int { return strings.Compare(a.Name, b.Name) })
+	return infos, nil
 }
