--- a/internal/front/s3/body.go
+++ b/internal/front/s3/body.go
@@ -50,13 +50,13 @@
 	source            io.Reader
 	chunkReader       *awschunked.Reader // nil unless the body is aws-chunked
 	declaredSize      int64              // decoded length that the client declared; -1 if unknown
-	received          int64
+	received          int64              // decoded bytes read so far
 	md5               hash.Hash
 	payloadSHA256     hash.Hash            // nil unless the hash of the payload is signed
 	checksums         map[string]hash.Hash // running hashes by algorithm
 	declaredChecksums map[string]string    // expected checksums in base64, by algorithm
 	trailerAlgorithm  string               // algorithm whose checksum follows in the trailer
-	wantMD5           []byte
+	wantMD5           []byte               // nil unless Content-MD5 is given
 }
 
 // newUpload prepares reading the request body. It returns an error response if
@@ -155,10 +155,10 @@
 // wait of each read.
 type clientBody struct{ exchange *exchange }
 
-// maxBufferedInFlight is how much of a body the socket buffers can hold, in
-// bytes. While more than that is unread, the client has not sent its last
+// maxSocketBufferBytes is how much of a body the socket buffers of both ends
+// can hold. While more than that is unread, the client has not sent its last
 // byte.
-const maxBufferedInFlight = 16 << 20
+const maxSocketBufferBytes = 16 << 20
 
 // bufferTransitTime is how long bytes may take to arrive from the client's
 // send buffer once the receive buffer has space. Pauses in reading that are
@@ -185,7 +185,7 @@
 	startedAt := time.Now()
 	remaining := x.conn.body.Remaining()
 	socketEmpty := x.conn.reader.Buffered() == 0 && x.conn.rawConn != nil && !sockstate.Readable(x.conn.rawConn)
-	if remaining > maxBufferedInFlight || (remaining < 0 || socketEmpty) && !x.restMayBeBuffered {
+	if remaining > maxSocketBufferBytes || (remaining < 0 || socketEmpty) && !x.restMayBeBuffered {
 		x.waitStart = startedAt // the client is still sending, so its wait has not begun
 	}
 	x.conn.netConn.SetReadDeadline(startedAt.Add(config.MS(x.server.cfg.Timeouts.BodyStallMS)))
@@ -203,13 +203,13 @@
 }
 
 // countBodyBytes counts bytes read from the body. If more than
-// maxBufferedInFlight bytes arrived since markedAt, the client was still
-// sending at that time, so its wait began no earlier.
+// maxSocketBufferBytes arrived since markedAt, the client was still sending at
+// that time, so its wait began no earlier.
 func (x *exchange) countBodyBytes(n int64, now time.Time) {
 	if x.markedAt.IsZero() {
 		x.markedAt = now
 	}
-	if x.bytesSinceMark += n; x.bytesSinceMark <= maxBufferedInFlight {
+	if x.bytesSinceMark += n; x.bytesSinceMark <= maxSocketBufferBytes {
 		return
 	}
 	if x.markedAt.After(x.waitStart) {
--- a/internal/front/s3/calls.go
+++ b/internal/front/s3/calls.go
@@ -26,7 +26,7 @@
 
 // errClientWrite ends an attempt whose response could not be forwarded to the
 // client.
-var errClientWrite = errors.New("the answer could not be passed on")
+var errClientWrite = errors.New("failed to forward the response to the client")
 
 // runCall runs a call on the host. It returns nil if a brick responded; the
 // status may still be an error such as 404. Otherwise it returns the error to
@@ -116,7 +116,7 @@
 // unexpectedStatus logs a response with an unexpected status and returns
 // errInternal.
 func (x *exchange) unexpectedStatus(call *scheduledCall) error {
-	x.server.log.Error("unexpected answer from a brick", "request", x.requestID, "brick", string(call.Node.ID),
+	x.server.log.Error("unexpected response from a brick", "request", x.requestID, "brick", string(call.Node.ID),
 		"method", call.Request.Method, "space", call.Request.Space, "status", call.Response.Status)
 	return errInternal
 }
--- a/internal/front/s3/multipart.go
+++ b/internal/front/s3/multipart.go
@@ -52,7 +52,8 @@
 	return placement.Object(bucket, key) + "\x00" + uploadID
 }
 
-// isValidUploadID reports whether id has the form that newUniqueID produces.
+// isValidUploadID reports whether uploadID has the form that newUniqueID
+// produces.
 func isValidUploadID(uploadID string) bool {
 	return len(uploadID) == 34 && strings.Trim(uploadID, "0123456789abcdef") == ""
 }
@@ -92,8 +93,8 @@
 		return err
 	}
 	id := newUniqueID()
-	call := brick.Request{Space: brick.SpaceUploads, Name: uploadName(x.bucket, x.key, id), Meta: meta, IfAbsent: true}
-	if _, err := x.writeBlob(call, x.objectShard()); err != nil {
+	request := brick.Request{Space: brick.SpaceUploads, Name: uploadName(x.bucket, x.key, id), Meta: meta, IfAbsent: true}
+	if _, err := x.writeBlob(request, x.objectShard()); err != nil {
 		return err
 	}
 	var fields http1.Fields
@@ -312,18 +313,18 @@
 // response if one is missing, differs or is too small.
 func selectParts(requested []completePart, stored []partRecord) ([]partRecord, error) {
 	selected := make([]partRecord, 0, len(requested))
-	for i, w := range requested {
-		index, ok := slices.BinarySearchFunc(stored, w.PartNumber, func(p partRecord, n int) int { return cmp.Compare(p.Number, n) })
-		if !ok || stored[index].ETag != strings.Trim(w.ETag, `"`) {
-			return nil, newAPIError(400, "InvalidPart", "Part %d could not be found, or its entity tag is not that of the last upload of it.", w.PartNumber)
+	for i, want := range requested {
+		index, ok := slices.BinarySearchFunc(stored, want.PartNumber, func(p partRecord, n int) int { return cmp.Compare(p.Number, n) })
+		if !ok || stored[index].ETag != strings.Trim(want.ETag, `"`) {
+			return nil, newAPIError(400, "InvalidPart", "Part %d could not be found, or its entity tag is not that of the last upload of it.", want.PartNumber)
 		}
-		for algorithm, sum := range w.checksums() {
+		for algorithm, sum := range want.checksums() {
 			if storedSum := stored[index].Checksums[algorithm]; sum != "" && storedSum != "" && sum != storedSum {
-				return nil, newAPIError(400, "InvalidPart", "Part %d: the %s checksum does not match that of the uploaded part.", w.PartNumber, algorithm)
+				return nil, newAPIError(400, "InvalidPart", "Part %d: the %s checksum does not match that of the uploaded part.", want.PartNumber, algorithm)
 			}
 		}
 		if i < len(requested)-1 && stored[index].Size < minPartBytes {
-			return nil, newAPIError(400, "EntityTooSmall", "Your proposed upload is smaller than the minimum allowed size: part %d.", w.PartNumber)
+			return nil, newAPIError(400, "EntityTooSmall", "Your proposed upload is smaller than the minimum allowed size: part %d.", want.PartNumber)
 		}
 		selected = append(selected, stored[index])
 	}
@@ -390,11 +391,11 @@
 		}
 	}
 	record.ETag = hex.EncodeToString(etagHash.Sum(nil)) + "-" + strconv.Itoa(len(parts))
-	call, err := x.parseWriteConditions()
+	request, err := x.parseWriteConditions()
 	if err != nil {
 		return nil, err
 	}
-	return &record, x.storeRecord(call, &record, id, runs, nil)
+	return &record, x.storeRecord(request, &record, id, runs, nil)
 }
 
 // respondAlreadyCompleted responds to a complete of an upload that no longer
--- a/internal/front/s3/put.go
+++ b/internal/front/s3/put.go
@@ -24,29 +24,29 @@
 	if err := rejectUnsupportedFields(x.conn.req.Fields); err != nil {
 		return err
 	}
-	rec := &record{}
-	if err := x.readMetadata(rec); err != nil {
+	newRecord := &record{}
+	if err := x.readMetadata(newRecord); err != nil {
 		return err
 	}
-	call, err := x.parseWriteConditions()
+	request, err := x.parseWriteConditions()
 	if err != nil {
 		return err
 	}
-	u, err := x.newUpload()
+	body, err := x.newUpload()
 	if err != nil {
 		return err
 	}
 	id := newUniqueID()
 	buffer := x.server.opts.Spool.NewBuffer()
 	defer buffer.Release()
-	runs, err := x.storeBody(u, id+"/o", buffer)
+	runs, err := x.storeBody(body, id+"/o", buffer)
 	if err == nil {
-		err = u.verify()
+		err = body.verify()
 	}
 	if err == nil {
-		rec.ETag, rec.Size, rec.Checksums = u.etag(), u.received, u.verifiedChecksums()
-		rec.ModifiedMS = time.Now().UnixMilli()
-		err = x.storeRecord(call, rec, id, runs, buffer)
+		newRecord.ETag, newRecord.Size, newRecord.Checksums = body.etag(), body.received, body.verifiedChecksums()
+		newRecord.ModifiedMS = time.Now().UnixMilli()
+		err = x.storeRecord(request, newRecord, id, runs, buffer)
 	}
 	if err != nil {
 		if len(runs) > 0 {
@@ -54,7 +54,7 @@
 		}
 		return err
 	}
-	return x.respond(200, u.responseFields(), nil)
+	return x.respond(200, body.responseFields(), nil)
 }
 
 // rejectUnsupportedFields rejects headers that request an unsupported feature
@@ -76,35 +76,35 @@
 // parseWriteConditions translates If-Match and If-None-Match into the
 // conditions of a brick write.
 func (x *exchange) parseWriteConditions() (brick.Request, error) {
-	var call brick.Request
+	var request brick.Request
 	fields := x.conn.req.Fields
 	if value, ok := fields.Lookup("If-None-Match"); ok {
 		if value != "*" {
-			return call, errNotImplemented
+			return request, errNotImplemented
 		}
-		call.IfAbsent = true
+		request.IfAbsent = true
 	}
 	match, ok := fields.Lookup("If-Match")
 	if !ok {
-		return call, nil
+		return request, nil
 	}
 	name := placement.Object(x.bucket, x.key)
 	response, _, found, err := x.readBlob(brick.SpaceObjects, name, x.shardOf(name), false)
 	if err != nil {
-		return call, err
+		return request, err
 	}
 	if !found {
-		return call, errNoSuchKey
+		return request, errNoSuchKey
 	}
 	rec, err := decodeRecord(response.Meta)
 	if err != nil {
-		return call, err
+		return request, err
 	}
 	if !matchesETag(match, rec.ETag) {
-		return call, errPrecondition
+		return request, errPrecondition
 	}
-	call.IfVersion = response.Version
-	return call, nil
+	request.IfVersion = response.Version
+	return request, nil
 }
 
 // storeBody reads an upload. A body that fits into one piece is left in
@@ -134,9 +134,9 @@
 			}
 			runs[0].Size += size
 			name := placement.Piece(base, index)
-			call := brick.Request{Space: brick.SpacePieces, Name: name, Body: buffer}
+			request := brick.Request{Space: brick.SpacePieces, Name: name, Body: buffer}
 			writeStart := time.Now()
-			if _, err := x.writeBlob(call, x.shardOf(name)); err != nil {
+			if _, err := x.writeBlob(request, x.shardOf(name)); err != nil {
 				return runs, err
 			}
 			x.recordReadPause(writeStart)
@@ -170,23 +170,23 @@
 // storeRecord writes the blob of an object: its record with the body, or with
 // the manifest of its pieces. The pieces of the object that it replaces are
 // deleted in the background.
-func (x *exchange) storeRecord(call brick.Request, rec *record, id string, runs []pieceRun, body *spool.Buffer) error {
-	call.Space, call.Name = brick.SpaceObjects, placement.Object(x.bucket, x.key)
+func (x *exchange) storeRecord(request brick.Request, rec *record, id string, runs []pieceRun, body *spool.Buffer) error {
+	request.Space, request.Name = brick.SpaceObjects, placement.Object(x.bucket, x.key)
 	if runs != nil {
 		rec.PiecePrefix = id
 		manifestJSON, err := json.Marshal(manifest{runs})
 		if err != nil {
 			return err
 		}
-		call.Body, call.Whole = brick.Bytes(manifestJSON), true
+		request.Body, request.Whole = brick.Bytes(manifestJSON), true
 	} else if body != nil {
-		call.Body = body
+		request.Body = body
 	}
 	var err error
-	if call.Meta, err = rec.encode(); err != nil {
+	if request.Meta, err = rec.encode(); err != nil {
 		return err
 	}
-	response, err := x.writeBlob(call, x.shardOf(call.Name))
+	response, err := x.writeBlob(request, x.shardOf(request.Name))
 	if err != nil {
 		return err
 	}
@@ -335,16 +335,16 @@
 	if err := x.requireBucket(); err != nil {
 		return err
 	}
-	call, err := x.parseWriteConditions()
+	request, err := x.parseWriteConditions()
 	if err != nil {
 		return err
 	}
-	return x.copyFrom(bucket, key, directive == "REPLACE", call)
+	return x.copyFrom(bucket, key, directive == "REPLACE", request)
 }
 
 // copyFrom copies the object bucket/key to the object of the request. With
 // replace, the metadata comes from the request instead of the source.
-func (x *exchange) copyFrom(bucket, key string, replace bool, call brick.Request) error {
+func (x *exchange) copyFrom(bucket, key string, replace bool, request brick.Request) error {
 	from := placement.Object(bucket, key)
 	response, body, ok, err := x.readBlob(brick.SpaceObjects, from, x.shardOf(from), true)
 	if err != nil {
@@ -353,15 +353,15 @@
 	if !ok {
 		return x.notFoundError(bucket)
 	}
-	rec, err := decodeRecord(response.Meta)
+	sourceRecord, err := decodeRecord(response.Meta)
 	if err != nil {
 		return err
 	}
 	conditions := parseConditions(x.conn.req.Fields, "x-amz-copy-source-")
-	if err := conditions.check(rec); err != nil {
+	if err := conditions.check(sourceRecord); err != nil {
 		return errPrecondition
 	}
-	newRecord := &record{ETag: rec.ETag, Size: rec.Size, Checksums: rec.Checksums, ContentType: rec.ContentType, Fields: rec.Fields}
+	newRecord := &record{ETag: sourceRecord.ETag, Size: sourceRecord.Size, Checksums: sourceRecord.Checksums, ContentType: sourceRecord.ContentType, Fields: sourceRecord.Fields}
 	if replace {
 		newRecord.ContentType, newRecord.Fields = "", nil
 		if err := x.readMetadata(newRecord); err != nil {
@@ -372,14 +372,14 @@
 	id := newUniqueID()
 	var runs []pieceRun
 	if response.Whole {
-		if runs, err = x.copyPieces(body, id, rec.Size); err != nil {
+		if runs, err = x.copyPieces(body, id, sourceRecord.Size); err != nil {
 			x.server.gc.deletePieces(x, id)
 			return err
 		}
 	} else {
-		call.Body = brick.Bytes(body)
+		request.Body = brick.Bytes(body)
 	}
-	if err := x.storeRecord(call, newRecord, id, runs, nil); err != nil {
+	if err := x.storeRecord(request, newRecord, id, runs, nil); err != nil {
 		if runs != nil {
 			x.server.gc.deletePieces(x, id)
 		}
@@ -402,15 +402,15 @@
 			if x.clientTimeout == 0 { // the time limit applies to each piece, because copying takes time in proportion to the size
 				x.restartWait()
 			}
-			from, to := placement.Piece(r.Base, index), placement.Piece(runs[i].Base, index)
-			_, data, ok, err := x.readBlob(brick.SpacePieces, from, x.shardOf(from), true)
+			sourceName, targetName := placement.Piece(r.Base, index), placement.Piece(runs[i].Base, index)
+			_, data, ok, err := x.readBlob(brick.SpacePieces, sourceName, x.shardOf(sourceName), true)
 			if err != nil {
 				return nil, err
 			}
 			if !ok {
 				return nil, errInternal
 			}
-			if _, err := x.writeBlob(brick.Request{Space: brick.SpacePieces, Name: to, Body: brick.Bytes(data)}, x.shardOf(to)); err != nil {
+			if _, err := x.writeBlob(brick.Request{Space: brick.SpacePieces, Name: targetName, Body: brick.Bytes(data)}, x.shardOf(targetName)); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/front/s3/record.go
+++ b/internal/front/s3/record.go
@@ -175,15 +175,15 @@
 // false for a value that must be ignored: several ranges, other units or a
 // syntax error (RFC 9110 section 14.2). The error is the response to a range
 // that cannot be satisfied.
-func parseRange(header string, size int64) (s byteRange, ok bool, err error) {
+func parseRange(header string, size int64) (r byteRange, ok bool, err error) {
 	rangeSpec, found := strings.CutPrefix(header, "bytes=")
 	first, last, dash := strings.Cut(strings.TrimSpace(rangeSpec), "-")
 	if !found || !dash || strings.Contains(rangeSpec, ",") {
 		return byteRange{}, false, nil
 	}
 	if first == "" {
-		n, firstOK := parseDigits(last)
-		if !firstOK {
+		n, valid := parseDigits(last)
+		if !valid {
 			return byteRange{}, false, nil
 		}
 		if n == 0 || size == 0 {
@@ -206,6 +206,7 @@
 	return byteRange{from, min(to, size-1) - from + 1}, true, nil
 }
 
+// errInvalidRange is the response to a range that cannot be satisfied.
 var errInvalidRange = newAPIError(416, "InvalidRange", "The requested range is not satisfiable")
 
 // parseDigits parses a decimal number. A number that overflows is returned as
@@ -221,7 +222,7 @@
 	return n, true
 }
 
-// piece is the wanted part of a piece, which is stored on one brick.
+// piece is the wanted part of a stored piece.
 type piece struct {
 	name   string
 	from   int64 // offset of the first wanted byte
--- a/internal/front/s3/server.go
+++ b/internal/front/s3/server.go
@@ -198,8 +198,8 @@
 	}
 }
 
-// startConn starts serving a connection, or answers 503 and closes it if the
-// server is closing or has reached its connection limit.
+// startConn starts serving a connection, or responds with 503 and closes it if
+// the server is closing or has reached its connection limit.
 func (s *Server) startConn(netConn net.Conn) {
 	if s.stats.openConns.Add(1) > int64(s.cfg.Bounds.Connections) || s.closing.Load() {
 		s.stats.openConns.Add(-1)
@@ -269,7 +269,7 @@
 // readerPool holds the read buffers that idle connections release.
 var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 8<<10) }}
 
-// serve answers the requests of the connection until it ends.
+// serve serves the requests of the connection until it ends.
 func (c *conn) serve() {
 	defer c.server.wg.Done()
 	defer func() {
@@ -445,7 +445,7 @@
 	}
 }
 
-// serveRequest reads and answers one request. It returns false if the
+// serveRequest reads one request and responds to it. It returns false if the
 // connection is to be closed.
 func (c *conn) serveRequest() bool {
 	c.server.opts.Host.Heartbeat()
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -80,7 +80,7 @@
 // itself in a response. Requests call it, and nearly always the state is
 // unchanged, so that case is only a map lookup.
 func (g *Gateway) recordSelfDraining(brick string, draining bool) {
-	if before, known := g.selfDraining.Load(brick); known && before == draining || !known && !draining {
+	if previous, known := g.selfDraining.Load(brick); known && previous == draining || !known && !draining {
 		return
 	}
 	g.selfDraining.Store(brick, draining)
@@ -101,76 +101,76 @@
 }
 
 // HostLabel returns the label of this run of the host. It implements
-// control.Source.
+// control.Gateway.
 func (g *Gateway) HostLabel() string { return g.host.RunID() }
 
 // RunningRequests lists the requests in progress, oldest first. It implements
-// control.Source.
+// control.Gateway.
 func (g *Gateway) RunningRequests() []control.RunningRequest {
 	state := g.host.Snapshot()
 	if state == nil {
 		return nil
 	}
-	out := make([]control.RunningRequest, 0, len(state.Running))
+	requests := make([]control.RunningRequest, 0, len(state.Running))
 	for _, r := range state.Running {
-		out = append(out, control.RunningRequest{ID: r.ClientRequestID, Class: g.host.Settings().Classes[r.Class].Name, Units: r.Units,
+		requests = append(requests, control.RunningRequest{ID: r.ClientRequestID, Class: g.host.Settings().Classes[r.Class].Name, Units: r.Units,
 			AgeUS: r.Age.Microseconds(), Stage: r.Stage, Brick: r.Brick, Attempts: r.Attempts, Volume: uint64(r.Volume)})
 	}
-	slices.SortFunc(out, func(a, b control.RunningRequest) int { return cmp.Compare(b.AgeUS, a.AgeUS) })
-	return out
+	slices.SortFunc(requests, func(a, b control.RunningRequest) int { return cmp.Compare(b.AgeUS, a.AgeUS) })
+	return requests
 }
 
 // Snapshot returns the current state of the gateway, its bricks and its
-// volumes. It implements control.Source.
+// volumes. It implements control.Gateway.
 func (g *Gateway) Snapshot() *control.Snapshot {
 	now := time.Now()
-	stats, front, use := g.host.Stats(), g.front.Stats(), g.spool.Usage()
-	s := &control.Snapshot{At: now.UnixMicro(), Host: g.host.RunID(), Accepted: stats.Accepted,
-		Served: stats.Ended["served"], Refused: stats.Ended["refused"], Failed: stats.Ended["failed"], Connections: front.OpenConns,
-		BodyMemoryBytes: use.Memory, SpoolBytes: use.File, LastEvent: g.controller.LastEventNumber()}
+	stats, frontStats, spoolUsage := g.host.Stats(), g.s3Server.Stats(), g.spool.Usage()
+	snapshot := &control.Snapshot{At: now.UnixMicro(), Host: g.host.RunID(), Accepted: stats.Accepted,
+		Served: stats.Ended["served"], Refused: stats.Ended["refused"], Failed: stats.Ended["failed"], Connections: frontStats.OpenConns,
+		BodyMemoryBytes: spoolUsage.Memory, SpoolBytes: spoolUsage.File, LastEvent: g.controller.LastEventNumber()}
 	state := g.host.Snapshot()
 	if state == nil {
-		return s
+		return snapshot
 	}
 	views := map[arrowwalk.NodeID]arrowwalk.NodeView{}
 	for _, v := range state.Nodes {
 		views[v.ID] = v
 	}
-	s.Volumes = g.volumeStatuses(state)
-	out, units := map[string]int{}, map[string]float64{}
+	snapshot.Volumes = g.volumeStatuses(state)
+	outstanding, units := map[string]int{}, map[string]float64{}
 	for _, r := range state.Running {
 		if r.Stage == "sent" {
-			s.Sent++
-			out[r.Brick]++
+			snapshot.Sent++
+			outstanding[r.Brick]++
 			units[r.Brick] += r.Units
 		} else {
-			s.Queued++
+			snapshot.Queued++
 		}
 	}
 	members := map[string]host.Member{}
-	for _, m := range state.Members {
-		members[string(m.ID)] = m
+	for _, member := range state.Members {
+		members[string(member.ID)] = member
 	}
-	figures, levels := g.controller.Stats.Bricks(now), g.tracker.TrustLevels()
-	bad := map[string]int{}
+	brickStats, levels := g.controller.Stats.Bricks(now), g.tracker.TrustLevels()
+	quarantined := map[string]int{}
 	for _, e := range g.embeddedBricks {
-		bad[e.name] = e.store.QuarantinedBlocks()
-	}
-	n, longest := g.host.StallStats()
-	s.Stalls, s.MaxStallUS = n, longest.Microseconds()
-	warm := arrowwalk.Micros(g.opts.Config.Rules.WarmWithinMS) * 1000
-	for _, st := range g.controller.Statuses() {
-		m := members[st.Brick]
-		b := control.BrickStatus{Status: st, BrickStats: figures[st.Brick], Address: m.Address, Zone: m.Zone, Trust: levels[st.Brick],
-			OutstandingRequests: out[st.Brick], OutstandingUnits: units[st.Brick], Cap: views[m.ID].MaxUnitsInFlight, QueueUS: int64(views[m.ID].QueueDelay)}
-		if b.BrickStats.Name == "" {
-			b.BrickStats = trafficstats.BrickStats{Name: st.Brick, Util: -1}
+		quarantined[e.name] = e.store.QuarantinedBlocks()
+	}
+	stalls, longestStall := g.host.StallStats()
+	snapshot.Stalls, snapshot.MaxStallUS = stalls, longestStall.Microseconds()
+	warmAge := arrowwalk.Micros(g.opts.Config.Rules.WarmWithinMS) * 1000
+	for _, status := range g.controller.Statuses() {
+		member := members[status.Brick]
+		brick := control.BrickStatus{Status: status, BrickStats: brickStats[status.Brick], Address: member.Address, Zone: member.Zone, Trust: levels[status.Brick],
+			OutstandingRequests: outstanding[status.Brick], OutstandingUnits: units[status.Brick], Cap: views[member.ID].MaxUnitsInFlight, QueueUS: int64(views[member.ID].QueueDelay)}
+		if brick.BrickStats.Name == "" {
+			brick.BrickStats = trafficstats.BrickStats{Name: status.Brick, Util: -1}
 		}
-		b.QuarantinedBlocks = bad[st.Brick]
-		b.Cold = m.Started > 0 && arrowwalk.Micros(now.UnixMicro())-m.Started < warm
-		s.Bricks = append(s.Bricks, b)
+		brick.QuarantinedBlocks = quarantined[status.Brick]
+		brick.Cold = member.Started > 0 && arrowwalk.Micros(now.UnixMicro())-member.Started < warmAge
+		snapshot.Bricks = append(snapshot.Bricks, brick)
 	}
-	return s
+	return snapshot
 }
 
 // volumeStatuses combines the counted traffic of each volume with the
@@ -180,10 +180,10 @@
 	for _, v := range state.Volumes {
 		views[v.ID] = v
 	}
-	var out []control.VolumeStatus
+	var statuses []control.VolumeStatus
 	for _, v := range g.controller.Stats.Volumes() {
 		view := views[s3.VolumeID(v.Name)]
-		out = append(out, control.VolumeStatus{VolumeStats: v, Quadrant: view.Quadrant, TokenRate: view.TokenRate, MeasuredRate: view.ServedRate, Reserve: view.ReserveUnits})
+		statuses = append(statuses, control.VolumeStatus{VolumeStats: v, Quadrant: view.Quadrant, TokenRate: view.TokenRate, MeasuredRate: view.ServedRate, Reserve: view.ReserveUnits})
 	}
-	return out
+	return statuses
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -56,12 +56,12 @@
 	Now           func() time.Time // wall clock for signatures; nil means time.Now
 }
 
-// Gateway is a running gateway.
+// Gateway is a running gateway. Start creates it and Stop ends it.
 type Gateway struct {
 	opts           Options
-	Keys           []config.Key
+	Keys           []config.Key // access keys of the object API
 	host           *host.Host
-	front          *s3.Server
+	s3Server       *s3.Server
 	pool           *brick.Pool
 	spool          *spool.Pool
 	fileSource     *membership.FileSource
@@ -141,7 +141,7 @@
 	}
 	s3Options := s3.Options{OnObservation: g.recordObservation, OnTaskEnd: g.recordOutcome, NotReadyReason: g.notReadyReason, Config: cfg, Host: g.host, Pool: g.pool, Spool: g.spool, Secrets: secrets, Log: g.opts.Log, Now: g.opts.Now,
 		AcceptAnyBrick: g.opts.DisabledGuard == "expect", IgnoreSocketAge: g.opts.DisabledGuard == "age"}
-	if g.front, err = s3.Start(listener, s3Options); err != nil {
+	if g.s3Server, err = s3.Start(listener, s3Options); err != nil {
 		return err
 	}
 	if err := g.startExports(); err != nil {
@@ -384,13 +384,13 @@
 }
 
 // Endpoint returns the URL of the object API.
-func (g *Gateway) Endpoint() string { return "http://" + g.front.Addr() }
+func (g *Gateway) Endpoint() string { return "http://" + g.s3Server.Addr() }
 
 // Host returns the running host, for monitoring.
 func (g *Gateway) Host() *host.Host { return g.host }
 
 // S3Server returns the server of the object API, for monitoring.
-func (g *Gateway) S3Server() *s3.Server { return g.front }
+func (g *Gateway) S3Server() *s3.Server { return g.s3Server }
 
 // Spool returns the buffer pool of request and response bodies, for
 // monitoring.
@@ -399,8 +399,8 @@
 // Stop stops accepting requests, waits for the requests in progress until ctx
 // ends, and closes everything.
 func (g *Gateway) Stop(ctx context.Context) {
-	g.front.Shutdown(ctx)
-	g.front = nil
+	g.s3Server.Shutdown(ctx)
+	g.s3Server = nil
 	g.closeAll()
 }
 
@@ -413,10 +413,10 @@
 
 // closeAll closes all components that were started.
 func (g *Gateway) closeAll() {
-	if g.front != nil { // a component that is started later has failed
+	if g.s3Server != nil { // a component that is started later has failed
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		g.front.Shutdown(ctx)
+		g.s3Server.Shutdown(ctx)
 	}
 	if g.exports != nil {
 		g.exports.close()
--- a/internal/gateway/volumes.go
+++ b/internal/gateway/volumes.go
@@ -58,22 +58,22 @@
 	if err != nil {
 		return err
 	}
-	data, err := filepath.Abs(g.opts.DataDir)
+	dataDir, err := filepath.Abs(g.opts.DataDir)
 	if err != nil {
 		return err
 	}
-	x := &volumeExports{store: store, holder: fmt.Sprintf("host-%d", g.opts.Config.Host.Number), path: filepath.Join(data, "exports.json"),
-		socketDir: filepath.Join(data, "volumes"), attached: map[string]*exportedVolume{}, sockets: map[string]string{}}
+	x := &volumeExports{store: store, holder: fmt.Sprintf("host-%d", g.opts.Config.Host.Number), path: filepath.Join(dataDir, "exports.json"),
+		socketDir: filepath.Join(dataDir, "volumes"), attached: map[string]*exportedVolume{}, sockets: map[string]string{}}
 	x.ctx, x.cancel = context.WithCancel(context.Background())
 	g.exports = x
-	text, err := os.ReadFile(x.path)
+	content, err := os.ReadFile(x.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	if err := json.Unmarshal(text, &x.sockets); err != nil {
+	if err := json.Unmarshal(content, &x.sockets); err != nil {
 		return fmt.Errorf("%s: %w", x.path, err)
 	}
 	for name, socket := range x.sockets {
@@ -142,11 +142,11 @@
 
 // save writes the file of exported volumes. The caller must hold x.mu.
 func (x *volumeExports) save() error {
-	text, err := json.Marshal(x.sockets)
+	content, err := json.Marshal(x.sockets)
 	if err != nil {
 		return err
 	}
-	return WriteFileAtomic(x.path, text)
+	return WriteFileAtomic(x.path, content)
 }
 
 // close stops all volume servers. The volumes stay attached to this host for
@@ -162,7 +162,7 @@
 }
 
 // ExecuteVolumeOrder executes an operator's order on block volumes and returns
-// the affected volumes. It implements control.Source.
+// the affected volumes. It implements control.Gateway.
 func (g *Gateway) ExecuteVolumeOrder(order *control.VolumeOrder) ([]control.VolumeInfo, error) {
 	x := g.exports
 	if x == nil {
