--- a/internal/prove/nodiscovery.go
+++ b/internal/prove/nodiscovery.go
@@ -123,7 +123,7 @@
 		all = append(all, b)
 	}
 	n.stays, n.shard = shards[0], shards[3]
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // kept closed until discovery returns
+	ln, err := net.Listen("tcp", reopenedListen) // kept closed until discovery returns
 	if err != nil {
 		return err
 	}
--- a/internal/prove/platform.go
+++ b/internal/prove/platform.go
@@ -117,7 +117,7 @@
 	if d.agent, err = d.newAgent(); err != nil {
 		return err
 	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // a port of the host's own, kept over restarts
+	ln, err := net.Listen("tcp", reopenedListen) // a port of the host's own, kept over restarts
 	if err != nil {
 		return err
 	}
--- a/internal/prove/script.go
+++ b/internal/prove/script.go
@@ -74,6 +74,11 @@
 	return steps, nil
 }
 
+// reopenedListen is where a port is found that is closed for a while and then
+// listened on again. Connections between other processes have local ports on
+// 127.0.0.1, so none of them can take the port meanwhile.
+const reopenedListen = "127.0.0.2:0"
+
 // dice draws what a seed decides.
 type dice struct{ *rand.Rand }
 
