--- a/internal/gateway/volumes.go
+++ b/internal/gateway/volumes.go
@@ -51,8 +51,8 @@
 // startExports loads the recorded exports and starts attaching them again in
 // the background.
 func (g *Gateway) startExports() error {
-	store, err := volume.New(volume.Options{Config: g.opts.Config, Host: g.host, Pool: g.pool, Log: g.opts.Log, NoFence: g.opts.DisabledGuard == "fence", Seen: g.recordObservation,
-		Ended: func(name string, plan, shard int, end host.TaskStatus) {
+	store, err := volume.New(volume.Options{Config: g.opts.Config, Host: g.host, Pool: g.pool, Log: g.opts.Log, DisableFencing: g.opts.DisabledGuard == "fence", Observe: g.recordObservation,
+		OnTaskEnd: func(name string, plan, shard int, end host.TaskStatus) {
 			g.recordOutcome("volume/"+name, plan, shard, end)
 		}})
 	if err != nil {
@@ -93,7 +93,7 @@
 	x := g.exports
 	for x.ctx.Err() == nil {
 		err := x.attach(name, socket, false)
-		var held *extent.Held
+		var held *extent.HeldError
 		if err == nil {
 			return
 		}
@@ -120,7 +120,7 @@
 	_, attached := x.attached[name]
 	x.mu.Unlock()
 	if attached {
-		return fmt.Errorf("volume %s: %w", name, &extent.Held{Volume: name, Holder: x.holder})
+		return fmt.Errorf("volume %s: %w", name, &extent.HeldError{Volume: name, Holder: x.holder})
 	}
 	v, err := x.store.Attach(ctx, name, x.holder, steal)
 	if err != nil {
@@ -130,7 +130,7 @@
 		return err
 	}
 	record := v.Record()
-	server, err := vhost.Listen(socket, vhost.Disk{Name: name, Bytes: record.Bytes, Block: record.Block, Extent: record.Extent, Backend: v}, nil)
+	server, err := vhost.Listen(socket, vhost.Disk{Name: name, SizeBytes: record.SizeBytes, BlockBytes: record.BlockBytes, ExtentBytes: record.ExtentBytes, Backend: v}, nil)
 	if err != nil {
 		return err
 	}
@@ -248,10 +248,10 @@
 		if name != "" && r.Name != name {
 			continue
 		}
-		info := control.VolumeInfo{Record: *r}
+		info := control.VolumeInfo{VolumeRecord: *r}
 		x.mu.Lock()
 		if e := x.attached[r.Name]; e != nil {
-			info.Socket, info.Requests, info.Errors, info.Superseded = e.socket, e.server.Stats.Requests.Load(), e.server.Stats.Errors.Load(), e.volume.Over()
+			info.Socket, info.Requests, info.Errors, info.Superseded = e.socket, e.server.Stats.Requests.Load(), e.server.Stats.Errors.Load(), e.volume.IsFenced()
 		}
 		x.mu.Unlock()
 		infos = append(infos, info)
