--- a/internal/membership/cache/cache_test.go
+++ b/internal/membership/cache/cache_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func list(version int64, n int) *List {
+func testList(version int64, n int) *List {
 	l := &List{Header: Header{Version: version, Source: "zk", AcceptedAt: 1_790_000_000_000_000}}
 	for i := range n {
 		l.Bricks = append(l.Bricks, Entry{Name: fmt.Sprint("brick-", i), Address: fmt.Sprintf("10.0.0.%d:9100", i), Zone: "zone-a", Shard: i, LastConfirmed: l.AcceptedAt})
@@ -18,7 +18,7 @@
 	return l
 }
 
-func save(t *testing.T, path string, lists ...*List) {
+func saveLists(t *testing.T, path string, lists ...*List) {
 	t.Helper()
 	d, err := Open(path)
 	if err != nil {
@@ -35,65 +35,65 @@
 func TestTwoGenerations(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "cache")
 	if l, damage := Load(path); l != nil || len(damage) != 1 || !errors.Is(damage[0], ErrNotFound) {
-		t.Errorf("no cache: %v %v", l, damage)
+		t.Errorf("missing cache: %v %v", l, damage)
 	}
-	save(t, path, list(1, 3), list(2, 4))
-	save(t, path, list(3, 5))
+	saveLists(t, path, testList(1, 3), testList(2, 4))
+	saveLists(t, path, testList(3, 5))
 	l, damage := Load(path)
-	if want := list(3, 5); len(damage) != 0 || l.Version != 3 || l.Generation != 3 || !reflect.DeepEqual(l.Bricks, want.Bricks) {
+	if want := testList(3, 5); len(damage) != 0 || l.Version != 3 || l.Generation != 3 || !reflect.DeepEqual(l.Bricks, want.Bricks) {
 		t.Errorf("%+v %v", l, damage)
 	}
-	st, err := os.Stat(filepath.Join(path, newest))
-	if err != nil || st.Mode().Perm() != 0o600 {
-		t.Errorf("mode %v, %v", st.Mode(), err)
+	info, err := os.Stat(filepath.Join(path, newestFile))
+	if err != nil || info.Mode().Perm() != 0o600 {
+		t.Errorf("mode %v, %v", info.Mode(), err)
 	}
 	d, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(path); !errors.Is(err, ErrLocked) {
-		t.Errorf("second host: %v", err)
+		t.Errorf("second process: %v", err)
 	}
 	d.Close()
 }
 
-// Cut at every byte, and with one bit flipped in every byte, the newest is
-// never taken, the one before is, and a line names the file and the place.
+// If the newest file is truncated at any byte, or any of its bits is flipped, Load
+// must return the previous generation and an error that names the file.
 func TestEveryDamageIsTold(t *testing.T) {
 	path := t.TempDir()
-	save(t, path, list(1, 2), list(2, 3))
-	file := filepath.Join(path, newest)
-	good, err := os.ReadFile(file)
+	saveLists(t, path, testList(1, 2), testList(2, 3))
+	file := filepath.Join(path, newestFile)
+	intact, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	check := func(what string, text []byte) {
+	check := func(description string, text []byte) {
 		t.Helper()
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		l, damage := Load(path)
-		if l == nil || l.Version != 1 || len(l.Bricks) != 2 || len(damage) != 1 || !strings.Contains(damage[0].Error(), newest) {
-			t.Fatalf("%s: %+v, %v", what, l, damage)
+		if l == nil || l.Version != 1 || len(l.Bricks) != 2 || len(damage) != 1 || !strings.Contains(damage[0].Error(), newestFile) {
+			t.Fatalf("%s: %+v, %v", description, l, damage)
 		}
-		if all := Verify(path); len(all) == 0 {
-			t.Fatalf("%s: verify finds nothing", what)
+		if found := Verify(path); len(found) == 0 {
+			t.Fatalf("%s: Verify finds nothing", description)
 		}
 	}
-	for at := range good {
-		check(fmt.Sprint("cut at ", at), good[:at])
+	for offset := range intact {
+		check(fmt.Sprint("truncated at ", offset), intact[:offset])
 		for bit := range 8 {
-			bent := append([]byte{}, good...)
-			bent[at] ^= 1 << bit
-			check(fmt.Sprintf("bit %d of byte %d", bit, at), bent)
+			corrupted := append([]byte{}, intact...)
+			corrupted[offset] ^= 1 << bit
+			check(fmt.Sprintf("bit %d of byte %d", bit, offset), corrupted)
 		}
 	}
-	check("newer format", append([]byte("AWMC9"), good[5:]...))
-	check("lines swapped", []byte(strings.Replace(string(good), "\n", "\n\n", 1)))
+	check("newer format", append([]byte("AWMC9"), intact[5:]...))
+	check("empty line inserted", []byte(strings.Replace(string(intact), "\n", "\n\n", 1)))
 	check("empty", nil)
 	for _, l := range Verify(path) {
 		if !strings.Contains(l.Error(), file) {
-			t.Errorf("%v names no file", l)
+			t.Errorf("%v does not name the file", l)
 		}
 	}
 	if err := os.Remove(file); err != nil {
@@ -103,38 +103,38 @@
 		t.Fatal(err)
 	}
 	if l, damage := Load(path); l == nil || l.Version != 1 || len(damage) != 1 {
-		t.Errorf("a directory in its place: %v %v", l, damage)
+		t.Errorf("directory instead of the file: %v %v", l, damage)
 	}
 }
 
-// A damaged newest does not push out the good one before it, and a save that
-// fails leaves what was kept.
+// Save must not replace an intact previous generation by a damaged newest one, and
+// must fail if the directory is missing.
 func TestSavesThatMeetDamage(t *testing.T) {
 	path := t.TempDir()
-	save(t, path, list(1, 2), list(2, 3))
-	file := filepath.Join(path, newest)
+	saveLists(t, path, testList(1, 2), testList(2, 3))
+	file := filepath.Join(path, newestFile)
 	if err := os.WriteFile(file, []byte("AWMC1 nonsense"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	save(t, path, list(3, 4))
-	if l, err := read(filepath.Join(path, previous)); err != nil || l.Version != 1 {
-		t.Errorf("the one before: %+v, %v", l, err)
+	saveLists(t, path, testList(3, 4))
+	if l, err := readList(filepath.Join(path, previousFile)); err != nil || l.Version != 1 {
+		t.Errorf("previous generation: %+v, %v", l, err)
 	}
 	d, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.Close()
-	if err := os.RemoveAll(path); err != nil { // as a disk that takes nothing
+	if err := os.RemoveAll(path); err != nil { // stands for a disk that cannot be written
 		t.Fatal(err)
 	}
-	if err := d.Save(list(4, 1)); err == nil {
-		t.Error("a save without a directory succeeds")
+	if err := d.Save(testList(4, 1)); err == nil {
+		t.Error("Save succeeds without a directory")
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	text, err := encode(list(1, 2))
+	text, err := encodeList(testList(1, 2))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -152,7 +152,7 @@
 }
 
 func BenchmarkLoad5000(b *testing.B) {
-	text, err := encode(list(1, 5000))
+	text, err := encodeList(testList(1, 5000))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -1,5 +1,7 @@
-// Package membership follows the list of a site's bricks. A Source tells of
-// lists; what is made of them is decided in files of their own, free of I/O.
+// Package membership tracks the bricks of a site. Sources read node lists from
+// a file or from a coordination service; a Tracker merges them with the list
+// cached on disk and reports the members to the host. The decisions on which
+// lists and cached entries to trust are in package trust, which does no I/O.
 package membership
 
 import (
@@ -13,98 +15,101 @@
 	"arrowwalk/internal/host"
 )
 
-// Entry is a brick as a list tells of it.
+// Entry describes one brick in a node list.
 type Entry struct {
 	Name    string `json:"name"`
 	Address string `json:"address"` // HOST:PORT
 	Zone    string `json:"zone"`
 	Shard   int    `json:"shard"`
-	State   string `json:"state,omitempty"`   // ready (or nothing), draining or gone
-	Started int64  `json:"started,omitempty"` // microseconds since 1970; 0: long ago
+	State   string `json:"state,omitempty"`   // ready, draining or gone; "" means ready
+	Started int64  `json:"started,omitempty"` // start time in microseconds since 1970; 0 means long ago
 }
 
-// List is a complete list of one source.
+// List is a complete node list from one source.
 type List struct {
 	Version int64   `json:"version"`
 	Bricks  []Entry `json:"bricks"`
 }
 
-// States of an entry.
+// Values of Entry.State.
 const (
 	Ready    = "ready"
 	Draining = "draining"
 	Gone     = "gone"
 )
 
-var states = map[string]arrowwalk.NodeState{
+var nodeStates = map[string]arrowwalk.NodeState{
 	"": arrowwalk.Ready, Ready: arrowwalk.Ready, Draining: arrowwalk.Draining, Gone: arrowwalk.Removed,
 }
 
-// Topology is what a list must fit into.
+// Topology holds the zones and the number of shards that entries may refer to.
 type Topology struct {
 	Zones  []string
 	Shards int
 }
 
 const (
-	listBytesMost = 16 << 20
-	entriesMost   = 100_000
-	nameMost      = 64
+	maxListBytes = 16 << 20
+	maxEntries   = 100_000
+	maxNameBytes = 64
 )
 
-// Parse reads a list in JSON and checks it; the error names the path at fault.
-func Parse(text []byte, shape Topology) (*List, error) {
-	if len(text) > listBytesMost {
-		return nil, fmt.Errorf("over %d bytes", listBytesMost)
+// Parse decodes a list from JSON and validates it. The error names the path of
+// the offending value.
+func Parse(text []byte, topology Topology) (*List, error) {
+	if len(text) > maxListBytes {
+		return nil, fmt.Errorf("node list exceeds %d bytes", maxListBytes)
 	}
 	l := &List{}
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(l); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(l); err != nil {
 		return nil, err
 	}
-	if d.More() {
-		return nil, fmt.Errorf("something follows the list")
+	if decoder.More() {
+		return nil, fmt.Errorf("unexpected data follows the list")
 	}
-	return l, l.Validate(shape)
+	return l, l.Validate(topology)
 }
 
-// Validate tells what of a list cannot be.
-func (l *List) Validate(shape Topology) error {
-	if len(l.Bricks) > entriesMost {
-		return fmt.Errorf("bricks: over %d", entriesMost)
+// Validate returns an error for the first invalid entry or duplicate name. The
+// error names the path of the offending value.
+func (l *List) Validate(topology Topology) error {
+	if len(l.Bricks) > maxEntries {
+		return fmt.Errorf("bricks: more than %d entries", maxEntries)
 	}
-	names := make(map[string]int, len(l.Bricks))
+	indexByName := make(map[string]int, len(l.Bricks))
 	for i := range l.Bricks {
-		at := fmt.Sprintf("bricks[%d]", i)
-		if err := l.Bricks[i].Validate(shape); err != nil {
-			return fmt.Errorf("%s.%w", at, err)
+		field := fmt.Sprintf("bricks[%d]", i)
+		if err := l.Bricks[i].Validate(topology); err != nil {
+			return fmt.Errorf("%s.%w", field, err)
 		}
-		if first, ok := names[l.Bricks[i].Name]; ok {
-			return fmt.Errorf("%s.name: %q is the name of bricks[%d] too", at, l.Bricks[i].Name, first)
+		if first, ok := indexByName[l.Bricks[i].Name]; ok {
+			return fmt.Errorf("%s.name: %q is already the name of bricks[%d]", field, l.Bricks[i].Name, first)
 		}
-		names[l.Bricks[i].Name] = i
+		indexByName[l.Bricks[i].Name] = i
 	}
 	return nil
 }
 
-// Validate tells what of an entry cannot be; the error begins with the field.
-func (e *Entry) Validate(shape Topology) error {
-	if e.Name == "" || len(e.Name) > nameMost || !validName(e.Name) {
-		return fmt.Errorf("name: %q: must be 1 to %d letters, digits, dots, dashes or underscores", e.Name, nameMost)
+// Validate returns an error for the first invalid field of an entry. The error
+// text begins with the name of the field.
+func (e *Entry) Validate(topology Topology) error {
+	if e.Name == "" || len(e.Name) > maxNameBytes || !isValidName(e.Name) {
+		return fmt.Errorf("name: %q: must be 1 to %d letters, digits, dots, dashes or underscores", e.Name, maxNameBytes)
 	}
 	if e.State != Gone {
-		if h, p, err := net.SplitHostPort(e.Address); err != nil || h == "" || p == "" {
+		if hostName, port, err := net.SplitHostPort(e.Address); err != nil || hostName == "" || port == "" {
 			return fmt.Errorf("address: %q: must be HOST:PORT", e.Address)
 		}
 	}
-	if !slices.Contains(shape.Zones, e.Zone) {
-		return fmt.Errorf("zone: %q: must be one of the zones of the settings", e.Zone)
+	if !slices.Contains(topology.Zones, e.Zone) {
+		return fmt.Errorf("zone: %q: must be one of the configured zones", e.Zone)
 	}
-	if e.Shard < 0 || e.Shard >= shape.Shards {
-		return fmt.Errorf("shard: %d: must be from 0 to %d", e.Shard, shape.Shards-1)
+	if e.Shard < 0 || e.Shard >= topology.Shards {
+		return fmt.Errorf("shard: %d: must be from 0 to %d", e.Shard, topology.Shards-1)
 	}
-	if _, ok := states[e.State]; !ok {
+	if _, ok := nodeStates[e.State]; !ok {
 		return fmt.Errorf("state: %q: must be ready, draining or gone", e.State)
 	}
 	if e.Started < 0 {
@@ -113,31 +118,33 @@
 	return nil
 }
 
-func validName(s string) bool {
+// isValidName reports whether s begins with an ASCII letter or digit and otherwise
+// holds only letters, digits, dots, dashes and underscores.
+func isValidName(s string) bool {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
-		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
-		if !letter && (i == 0 || c != '.' && c != '-' && c != '_') {
+		alphanumeric := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+		if !alphanumeric && (i == 0 || c != '.' && c != '-' && c != '_') {
 			return false
 		}
 	}
 	return true
 }
 
-// Member returns the entry as the host takes it.
-func (e *Entry) Member(shape Topology) host.Member {
+// Member converts an entry to a host member.
+func (e *Entry) Member(topology Topology) host.Member {
 	return host.Member{
-		Node: arrowwalk.Node{ID: arrowwalk.NodeID(e.Name), Shard: e.Shard, Zone: slices.Index(shape.Zones, e.Zone),
-			State: states[e.State], Started: arrowwalk.Micros(e.Started)},
+		Node: arrowwalk.Node{ID: arrowwalk.NodeID(e.Name), Shard: e.Shard, Zone: slices.Index(topology.Zones, e.Zone),
+			State: nodeStates[e.State], Started: arrowwalk.Micros(e.Started)},
 		Address: e.Address, Zone: e.Zone,
 	}
 }
 
-// Members returns all entries as the host takes them.
-func (l *List) Members(shape Topology) []host.Member {
+// Members converts all entries to host members.
+func (l *List) Members(topology Topology) []host.Member {
 	out := make([]host.Member, len(l.Bricks))
 	for i := range l.Bricks {
-		out[i] = l.Bricks[i].Member(shape)
+		out[i] = l.Bricks[i].Member(topology)
 	}
 	return out
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/list_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var shape = Topology{Zones: []string{"z1", "z2"}, Shards: 2}
+var topology = Topology{Zones: []string{"z1", "z2"}, Shards: 2}
 
 func TestParse(t *testing.T) {
 	for _, c := range []struct{ text, err string }{
@@ -31,17 +31,17 @@
 		{`{} {}`, "follows"},
 		{``, "EOF"},
 	} {
-		_, err := Parse([]byte(c.text), shape)
+		_, err := Parse([]byte(c.text), topology)
 		if c.err == "" && err != nil || c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err)) {
 			t.Errorf("%s: %v, want %q", c.text, err, c.err)
 		}
 	}
 }
 
-// An operator's edits are followed; a bad edit changes nothing.
+// Each valid edit of the file must be delivered, and an invalid one must not.
 func TestFollowFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "nodes.json")
-	told := make(chan *List, 10)
+	lists := make(chan *List, 10)
 	write := func(text string) {
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -50,22 +50,22 @@
 			t.Fatal(err)
 		}
 	}
-	f, err := FollowFile(path, shape, slog.New(slog.DiscardHandler), func(l *List) { told <- l })
+	f, err := FollowFile(path, topology, slog.New(slog.DiscardHandler), func(l *List) { lists <- l })
 	if err == nil {
-		t.Error("a missing file is no error")
+		t.Error("no error for a missing file")
 	}
 	defer f.Close()
 	next := func() *List {
 		select {
-		case l := <-told:
+		case l := <-lists:
 			return l
 		case <-time.After(5 * time.Second):
-			t.Fatal("not told")
+			t.Fatal("no list delivered within 5 s")
 			return nil
 		}
 	}
 	write(`{"version":1,"bricks":[{"name":"a","address":"h:1","zone":"z1"}]}`)
-	if l := next(); len(l.Bricks) != 1 || l.Members(shape)[0].Address != "h:1" {
+	if l := next(); len(l.Bricks) != 1 || l.Members(topology)[0].Address != "h:1" {
 		t.Errorf("%+v", l)
 	}
 	write(`{"version":2,"bricks":[{"name":`)
@@ -78,12 +78,12 @@
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"version":1,"bricks":[{"name":"a","address":"h:1","zone":"z1","shard":0}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		l, err := Parse(text, shape)
+		l, err := Parse(text, topology)
 		if err != nil {
 			return
 		}
-		for _, m := range l.Members(shape) {
-			if m.Shard < 0 || m.Shard >= shape.Shards || m.Node.Zone < 0 {
+		for _, m := range l.Members(topology) {
+			if m.Shard < 0 || m.Shard >= topology.Shards || m.Node.Zone < 0 {
 				t.Errorf("%+v", m)
 			}
 		}
--- /dev/null
+++ b/internal/membership/trust/gate.go
@@ -0,0 +1,96 @@
+package trust
+
+import "time"
+
+// Offer describes a node list that a source offers.
+type Offer struct {
+	Source     string
+	Version    int64 // increases within one source
+	BrickCount int
+	At         time.Duration // time since a fixed moment
+}
+
+// Decision is the result of Gate.Decide.
+type Decision int
+
+const (
+	// Accept means that the offered list replaces the current one.
+	Accept Decision = iota
+	// Unchanged means that the offered list is the current one, which is thereby
+	// confirmed.
+	Unchanged
+	// Hold means that the current list stays; the offered one may be accepted later.
+	Hold
+)
+
+// Gate decides which lists are accepted. Its rules, in order of precedence:
+//
+//  1. The first list of a source is accepted, unless it is empty while bricks are
+//     known (rule 3).
+//  2. A version lower than the current one comes from a source that went back in
+//     time: a stale follower or a restored ensemble. It is withheld until lower
+//     versions, and no others, have been offered for RollbackHold. Then the older
+//     state is taken as valid.
+//  3. An empty list while bricks are known comes from a wiped or half-built tree. It
+//     is withheld until empty lists, and no others, have been offered EmptyRepeats
+//     times over at least EmptyHold, because a site does not lose all its bricks at
+//     once.
+//
+// A list that lacks some of the bricks is accepted at once, because no requests may
+// be sent to a brick that has left for longer than the grace period.
+//
+// A Gate is not safe for concurrent use.
+type Gate struct {
+	RollbackHold time.Duration // minimum duration of rule 2
+	EmptyHold    time.Duration // minimum duration of rule 3
+	EmptyRepeats int           // minimum number of offers of rule 3
+
+	source     string
+	version    int64
+	brickCount int
+	hasList    bool // a list was accepted
+
+	rollbackSince, emptySince time.Duration
+	rollbackSeen, emptySeen   int
+}
+
+// NewGate returns a Gate with the given limits that starts from a cached list of
+// brickCount bricks, or from none. It starts without a source and a version, so
+// rule 1 applies to the first offer.
+func NewGate(rollbackHold, emptyHold time.Duration, emptyRepeats, brickCount int) *Gate {
+	return &Gate{RollbackHold: rollbackHold, EmptyHold: emptyHold, EmptyRepeats: emptyRepeats, brickCount: brickCount}
+}
+
+// Decide returns the decision on an offered list. For Hold, reason is "empty" or
+// "older".
+func (g *Gate) Decide(o Offer) (decision Decision, reason string) {
+	if o.BrickCount == 0 && g.brickCount > 0 {
+		if g.emptySeen == 0 {
+			g.emptySince = o.At
+		}
+		g.emptySeen++
+		if g.emptySeen < g.EmptyRepeats || o.At-g.emptySince < g.EmptyHold {
+			return Hold, "empty"
+		}
+	} else {
+		g.emptySeen = 0
+	}
+	if g.hasList && o.Source == g.source {
+		switch {
+		case o.Version == g.version && o.BrickCount == g.brickCount:
+			g.rollbackSeen = 0
+			return Unchanged, ""
+		case o.Version < g.version:
+			if g.rollbackSeen == 0 {
+				g.rollbackSince = o.At
+			}
+			g.rollbackSeen++
+			if o.At-g.rollbackSince < g.RollbackHold {
+				return Hold, "older"
+			}
+		}
+	}
+	g.source, g.version, g.brickCount, g.hasList = o.Source, o.Version, o.BrickCount, true
+	g.rollbackSeen, g.emptySeen = 0, 0
+	return Accept, ""
+}
--- a/internal/membership/trust/trust.go
+++ b/internal/membership/trust/trust.go
@@ -1,17 +1,16 @@
-// Package trust decides how much a host believes of the bricks that it knows
-// from a kept list: what each entry's state is, what may be sent there, and
-// when a list that a source offers is taken. It is pure: events in, decisions
-// out, no clock, goroutine or I/O.
+// Package trust decides how far a host trusts the entries of its cached node list,
+// whether requests may be sent to a brick, and which lists of a source to accept.
+// It is deterministic and does no I/O, starts no goroutines and reads no clock.
 //
-// An entry of a list that a live source confirms is fresh. Without a source,
-// the chance that an entry still holds falls with its age and with how often
-// bricks of this site have changed before:
+// An entry that a live source confirms is fresh. Without a source, the probability
+// that an entry is still valid falls with its age and with the rate at which bricks
+// of this site have changed so far:
 //
 //	p = exp(-rate * age)
 //
-// where rate, changes a brick and hour, is learned from the lists that were
-// kept: the posterior mean (changes + prior) / (brick-hours + prior hours). A
-// high p makes the entry aged, a lower one doubted, a low one unknown.
+// rate is in changes per brick and hour. It is estimated from successive lists as
+// the posterior mean (changes + prior changes) / (brick-hours + prior brick-hours).
+// A high p makes the entry aged, a lower one doubted and a low one unknown.
 package trust
 
 import (
@@ -21,214 +20,218 @@
 	"time"
 )
 
-// Level says how much an entry is believed.
+// Level is the degree to which an entry is trusted.
 type Level int
 
 const (
-	// Fresh entries are confirmed by a live source, or by the brick itself.
+	// Fresh entries were confirmed by a live source or by the brick itself.
 	Fresh Level = iota
-	// Aged entries are most probably right: they take work as a cold brick
-	// does, and their first answer confirms them.
+	// Aged entries are most probably valid. They get requests like a cold brick,
+	// and the first answer confirms them.
 	Aged
-	// Doubted entries are asked who they are before anything is sent.
+	// Doubted entries are probed before any request is sent to them.
 	Doubted
-	// Unknown entries are so old that they are asked last.
+	// Unknown entries are too old for an estimate; they are probed last.
 	Unknown
-	// Contradicted entries were seen to be wrong: another brick, a refused
-	// connection, or an answer of another start. Nothing is sent there.
+	// Contradicted entries were found to be wrong: another brick answered or the
+	// connection was refused. No requests are sent to them.
 	Contradicted
 )
 
-// String returns the level's name in logs and answers.
+// String returns the name of the level in logs and on the control socket.
 func (l Level) String() string {
 	return [...]string{"fresh", "aged", "doubted", "unknown", "contradicted"}[l]
 }
 
-// ChangeRate is what was learned of how often the site's bricks change.
+// ChangeRate holds the observations from which the rate of changes is estimated.
 type ChangeRate struct {
-	Changes    float64 `json:"changes"` // entries that were replaced, moved or left
-	BrickHours float64 `json:"hours"`   // brick-hours in which they did
+	Changes    float64 `json:"changes"` // entries that moved or left
+	BrickHours float64 `json:"hours"`   // observed brick-hours
 }
 
-// The prior: one change in 30 days of one brick, worth ten brick-days.
+// The prior is one change per brick in 30 days, with the weight of ten brick-days.
 const (
-	priorHours   = 240.0
-	priorChanges = priorHours / (30 * 24)
+	priorBrickHours = 240.0
+	priorChanges    = priorBrickHours / (30 * 24)
 )
 
-// PerBrickHour returns the changes a brick and hour.
+// PerBrickHour returns the estimated changes per brick and hour.
 func (r ChangeRate) PerBrickHour() float64 {
-	return (r.Changes + priorChanges) / (r.BrickHours + priorHours)
+	return (r.Changes + priorChanges) / (r.BrickHours + priorBrickHours)
 }
 
-// ProbUnchanged returns the chance that an entry that was right age ago still is.
+// ProbUnchanged returns the probability that an entry that was valid age ago still is.
 func (r ChangeRate) ProbUnchanged(age time.Duration) float64 {
 	return math.Exp(-r.PerBrickHour() * max(0, age.Hours()))
 }
 
-// Below these chances an entry is doubted, and unknown.
+// Minimum probabilities of the levels.
 const (
-	agedLeast    = 0.99
-	doubtedLeast = 0.5
+	minAgedProb    = 0.99
+	minDoubtedProb = 0.5
 )
 
-// LevelAtAge returns the level of an entry that was last confirmed age ago, when
-// no source is live. An age that cannot be, as after a clock was set back,
-// counts as unknown.
+// LevelAtAge returns the level, without a live source, of an entry that was last
+// confirmed age ago. A negative age, as after the clock was set back, makes the
+// entry unknown.
 func (r ChangeRate) LevelAtAge(age time.Duration, ageKnown bool) Level {
 	if !ageKnown || age < 0 {
 		return Unknown
 	}
 	switch p := r.ProbUnchanged(age); {
-	case p >= agedLeast:
+	case p >= minAgedProb:
 		return Aged
-	case p >= doubtedLeast:
+	case p >= minDoubtedProb:
 		return Doubted
 	}
 	return Unknown
 }
 
-// Identity is what a list says of a brick, and what a brick says of itself.
+// Identity holds the properties of a brick in a node list.
 type Identity struct {
 	Name    string
 	Address string
 	Zone    string
 	Shard   int
-	Started int64 // microseconds since 1970; 0: not told
+	Started int64 // microseconds since 1970; 0 means not known
 }
 
-// Update adds to a rate what changed between two lists of one source, after
-// span in which bricks could change.
+// Update returns the rate with the changes added between two lists that are span
+// apart. An entry counts as changed if it left, or has another address, zone or
+// shard.
 func (r ChangeRate) Update(before, after []Identity, span time.Duration) ChangeRate {
-	now := make(map[string]Identity, len(after))
+	current := make(map[string]Identity, len(after))
 	for _, e := range after {
-		now[e.Name] = e
+		current[e.Name] = e
 	}
 	r.BrickHours += float64(len(before)) * max(0, span.Hours())
 	for _, e := range before {
-		if n, ok := now[e.Name]; !ok || n.Address != e.Address || n.Zone != e.Zone || n.Shard != e.Shard {
+		if n, ok := current[e.Name]; !ok || n.Address != e.Address || n.Zone != e.Zone || n.Shard != e.Shard {
 			r.Changes++
 		}
 	}
 	return r
 }
 
-// Observation is what was seen of a brick by asking it.
+// Observation is the result of a probe of a brick or of a request to it.
 type Observation int
 
 const (
-	// Answered as who it should be.
+	// Answered means that the expected brick answered.
 	Answered Observation = iota
-	// ConnRefused the connection: nobody listens there.
+	// ConnRefused means that nothing listens at the address.
 	ConnRefused
-	// TimedOut: the connection or the answer did not come in time.
+	// TimedOut means that the connection or the answer did not come in time.
 	TimedOut
-	// WrongBrick: another brick answered there.
+	// WrongBrick means that another brick answered at the address.
 	WrongBrick
 )
 
-// Entry is one brick that the host knows of.
+// Entry is a cached entry with its trust level and the state of its probes.
 type Entry struct {
 	Identity
 	Level        Level
-	FailedProbes int  // questions without an answer, in a row
-	Probing      bool // a question is out
-	NextProbe    time.Duration
+	FailedProbes int           // consecutive probes without the expected answer
+	Probing      bool          // a probe is in flight
+	NextProbe    time.Duration // earliest time of the next probe
 }
 
-// Verifier holds the entries of a kept list until a live source replaces them.
-// Times are spans since any fixed moment and only advance.
+// Verifier schedules probes of the entries of a cached list, until a live source
+// replaces the list. Times are durations since a fixed moment and must not
+// decrease. A Verifier is not safe for concurrent use.
 type Verifier struct {
-	entries map[string]*Entry
-	order   []string // who is asked first
+	entries    map[string]*Entry
+	probeOrder []string // names, most trusted first
 }
 
-// Waits between questions to one brick that does not answer as it should.
+// Bounds of the delay between probes of a brick that does not answer as expected.
 const (
-	askFirst = 200 * time.Millisecond
-	askMost  = 10 * time.Second
+	minProbeDelay = 200 * time.Millisecond
+	maxProbeDelay = 10 * time.Second
 )
 
-// NewVerifier holds the entries of a list whose ages are given by name; a name
-// without one was never confirmed.
+// NewVerifier returns a Verifier for the entries of a list. age holds the time since
+// the last confirmation by name; an entry without one was never confirmed.
 func NewVerifier(list []Identity, age map[string]time.Duration, rate ChangeRate) *Verifier {
-	d := &Verifier{entries: make(map[string]*Entry, len(list))}
+	v := &Verifier{entries: make(map[string]*Entry, len(list))}
 	for _, id := range list {
 		a, known := age[id.Name]
-		d.entries[id.Name] = &Entry{Identity: id, Level: rate.LevelAtAge(a, known)}
-		d.order = append(d.order, id.Name)
+		v.entries[id.Name] = &Entry{Identity: id, Level: rate.LevelAtAge(a, known)}
+		v.probeOrder = append(v.probeOrder, id.Name)
 	}
-	slices.SortStableFunc(d.order, func(a, b string) int {
-		return cmp.Or(cmp.Compare(d.entries[a].Level, d.entries[b].Level), cmp.Compare(a, b))
+	slices.SortStableFunc(v.probeOrder, func(a, b string) int {
+		return cmp.Or(cmp.Compare(v.entries[a].Level, v.entries[b].Level), cmp.Compare(a, b))
 	})
-	return d
+	return v
 }
 
-// Entries returns all entries, those believed most first.
-func (d *Verifier) Entries() []Entry {
-	out := make([]Entry, 0, len(d.order))
-	for _, name := range d.order {
-		out = append(out, *d.entries[name])
+// Entries returns copies of all entries, most trusted first.
+func (v *Verifier) Entries() []Entry {
+	out := make([]Entry, 0, len(v.probeOrder))
+	for _, name := range v.probeOrder {
+		out = append(out, *v.entries[name])
 	}
 	return out
 }
 
-// Entry returns one entry, or false.
-func (d *Verifier) Entry(name string) (Entry, bool) {
-	if e := d.entries[name]; e != nil {
+// Entry returns a copy of the entry of a brick. The second result is false if there
+// is none.
+func (v *Verifier) Entry(name string) (Entry, bool) {
+	if e := v.entries[name]; e != nil {
 		return *e, true
 	}
 	return Entry{}, false
 }
 
-// MayServe tells whether work may be sent to an entry of a level.
+// MayServe reports whether requests may be sent to an entry of a level.
 func MayServe(l Level) bool { return l == Fresh || l == Aged }
 
-// StartProbes returns the bricks to be asked who they are now, at most most in all out
-// at once, one question at a time for each. Their next turn follows from Saw.
-func (d *Verifier) StartProbes(now time.Duration, most int) []Identity {
-	out := 0
-	for _, e := range d.entries {
+// StartProbes returns the bricks whose probe is due and marks them as being probed.
+// At most maxProbing probes are in flight at once, and one for each brick. Observe
+// ends a probe and schedules the next one.
+func (v *Verifier) StartProbes(now time.Duration, maxProbing int) []Identity {
+	inFlight := 0
+	for _, e := range v.entries {
 		if e.Probing {
-			out++
+			inFlight++
 		}
 	}
-	var ask []Identity
-	for _, name := range d.order {
-		e := d.entries[name]
-		if out >= most {
+	var due []Identity
+	for _, name := range v.probeOrder {
+		e := v.entries[name]
+		if inFlight >= maxProbing {
 			break
 		}
 		if e.Probing || e.Level == Fresh || now < e.NextProbe {
 			continue
 		}
 		e.Probing = true
-		out++
-		ask = append(ask, e.Identity)
+		inFlight++
+		due = append(due, e.Identity)
 	}
-	return ask
+	return due
 }
 
-// Observe takes in what a question, or a client's request, showed of a brick: it
-// tells whether the entry's level changed. started is the start that the brick
-// told, where it answered.
-func (d *Verifier) Observe(name string, what Observation, started int64, now time.Duration) bool {
-	e := d.entries[name]
+// Observe records the result of a probe or of a client's request. started is the
+// start time that the brick reported, or 0. It reports whether the level or the start
+// time of the entry changed.
+func (v *Verifier) Observe(name string, result Observation, started int64, now time.Duration) bool {
+	e := v.entries[name]
 	if e == nil {
 		return false
 	}
-	before, was := e.Level, e.Started
+	levelBefore, startedBefore := e.Level, e.Started
 	e.Probing = false
-	if what == Answered {
+	if result == Answered {
 		e.Level, e.FailedProbes = Fresh, 0
 		if started > 0 {
-			e.Started = started // a brick that has started anew is a cold one
+			e.Started = started // a restarted brick is cold
 		}
-		return before != Fresh || was != e.Started
+		return levelBefore != Fresh || startedBefore != e.Started
 	}
 	e.FailedProbes++
-	e.NextProbe = now + min(askFirst<<min(e.FailedProbes-1, 10), askMost)
-	switch what {
+	e.NextProbe = now + min(minProbeDelay<<min(e.FailedProbes-1, 10), maxProbeDelay)
+	switch result {
 	case WrongBrick:
 		e.Level = Contradicted
 	case ConnRefused:
@@ -236,9 +239,9 @@
 			e.Level = Contradicted
 		}
 	case TimedOut:
-		if e.Level == Aged { // it may be slow: but nothing more before it answers
+		if e.Level == Aged { // it may only be slow, but gets no more requests before it answers
 			e.Level = Doubted
 		}
 	}
-	return before != e.Level
+	return levelBefore != e.Level
 }
