--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -7,59 +7,60 @@
 	"time"
 )
 
-// Client is an operator's connection. It is used by one goroutine at a time.
+// Client is a connection to the control socket of a gateway. It is not safe for
+// concurrent use.
 type Client struct {
-	nc   net.Conn
-	next uint64
-	Host string // the gateway's label
+	conn   net.Conn
+	lastID uint64
+	Host   string // label of the gateway's run
 }
 
-// Refusal is a request that the gateway did not carry out.
+// Refusal is the error of a request that the gateway refused.
 type Refusal struct{ Code, Reason string }
 
 func (r *Refusal) Error() string { return r.Reason }
 
-// Dial connects to the control end of a gateway.
+// Dial connects to the control socket of a gateway. The caller must close the Client.
 func Dial(path string) (*Client, error) {
-	nc, err := net.DialTimeout("unix", path, 2*time.Second)
+	conn, err := net.DialTimeout("unix", path, 2*time.Second)
 	if err != nil {
 		return nil, fmt.Errorf("no gateway answers at %s: %w", path, err)
 	}
-	c := &Client{nc: nc}
-	nc.SetDeadline(time.Now().Add(5 * time.Second))
+	c := &Client{conn: conn}
+	conn.SetDeadline(time.Now().Add(5 * time.Second))
 	var hello Hello
-	if err = writeFrame(nc, Hello{Version: ProtocolVersion}); err == nil {
-		err = readFrame(nc, &hello)
+	if err = writeFrame(conn, Hello{Version: ProtocolVersion}); err == nil {
+		err = readFrame(conn, &hello)
 	}
 	if err == nil && hello.Refused != "" {
 		err = errors.New(hello.Refused)
 	}
 	if err != nil {
-		nc.Close()
+		conn.Close()
 		return nil, fmt.Errorf("control socket %s: %w", path, err)
 	}
-	nc.SetDeadline(time.Time{})
+	conn.SetDeadline(time.Time{})
 	c.Host = hello.Host
 	return c, nil
 }
 
-// Close hangs up.
-func (c *Client) Close() error { return c.nc.Close() }
+// Close closes the connection.
+func (c *Client) Close() error { return c.conn.Close() }
 
-// callFor is how long an answer may take.
-const callFor = 10 * time.Second
+// callTimeout bounds the time for a request and its answer.
+const callTimeout = 10 * time.Second
 
 // Call asks for one thing. A refusal is a *Refused.
-func (c *Client) Call(q Request) (*Response, error) {
-	c.next++
-	q.ID = c.next
-	c.nc.SetDeadline(time.Now().Add(callFor))
-	defer c.nc.SetDeadline(time.Time{})
-	if err := writeFrame(c.nc, q); err != nil {
+func (c *Client) Call(request Request) (*Response, error) {
+	c.lastID++
+	request.ID = c.lastID
+	c.conn.SetDeadline(time.Now().Add(callTimeout))
+	defer c.conn.SetDeadline(time.Time{})
+	if err := writeFrame(c.conn, request); err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
 	r := &Response{}
-	if err := readFrame(c.nc, r); err != nil {
+	if err := readFrame(c.conn, r); err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
 	if r.Code != "" {
@@ -68,18 +69,18 @@
 	return r, nil
 }
 
-// Watch has the gateway tell of snapshots and of events with numbers over
-// after; Next returns them. The connection serves nothing else then.
+// Watch subscribes to snapshots and to events with numbers above after, which Next
+// returns. The connection cannot be used for calls afterwards.
 func (c *Client) Watch(after int64) error {
-	c.next++
-	return writeFrame(c.nc, Request{ID: c.next, Op: OpWatch, After: after})
+	c.lastID++
+	return writeFrame(c.conn, Request{ID: c.lastID, Op: OpWatch, After: after})
 }
 
-// Next returns what a watched gateway tells next.
+// Next waits for the next update after Watch.
 func (c *Client) Next() (*Response, error) {
 	r := &Response{}
-	return r, readFrame(c.nc, r)
+	return r, readFrame(c.conn, r)
 }
 
-// CloseWrite closes this side of the connection alone.
-func (c *Client) CloseWrite() error { return c.nc.(*net.UnixConn).CloseWrite() }
+// CloseWrite closes the sending side of the connection only.
+func (c *Client) CloseWrite() error { return c.conn.(*net.UnixConn).CloseWrite() }
--- a/internal/control/console/run.go
+++ b/internal/control/console/run.go
@@ -15,19 +15,19 @@
 	"arrowwalk/internal/control/drains"
 )
 
-// Run shows the console of the gateway behind a socket on a terminal until its
-// user quits, the terminal goes or ctx ends. It connects again by itself.
+// Run shows the console of the gateway behind a socket on a terminal, until the user
+// quits, the terminal is closed or ctx is done. It reconnects after a lost connection.
 func Run(ctx context.Context, socket string, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	m := &model{socket: socket, state: State{LinkError: "connecting"}}
-	p := tea.NewProgram(m, tea.WithContext(ctx), tea.WithInput(in), tea.WithOutput(out))
+	program := tea.NewProgram(m, tea.WithContext(ctx), tea.WithInput(in), tea.WithOutput(out))
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		follow(ctx, socket, p.Send)
+		follow(ctx, socket, program.Send)
 	}()
-	_, err := p.Run()
+	_, err := program.Run()
 	cancel()
 	<-done
 	if errors.Is(err, tea.ErrProgramKilled) || errors.Is(err, context.Canceled) {
@@ -36,10 +36,10 @@
 	return err
 }
 
-// Messages of the program.
+// Messages of the bubbletea program.
 type (
-	linkMsg    string            // what is wrong with the connection; "": nothing
-	newsMsg    *control.Response // of the watch
+	linkMsg    string            // error of the connection; "" while connected
+	updateMsg  *control.Response // from the watch
 	runningMsg []control.RunningRequest
 	costMsg    struct {
 		brick string
@@ -48,24 +48,24 @@
 	noteMsg string
 )
 
-// Waits between two tries to connect.
+// Bounds of the delay between attempts to connect.
 const (
-	againFirst = 200 * time.Millisecond
-	againMost  = 3 * time.Second
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 3 * time.Second
 )
 
-// follow watches the gateway, and connects again when it must.
+// follow watches the gateway and reconnects until ctx is done.
 func follow(ctx context.Context, socket string, send func(tea.Msg)) {
-	after, wait := int64(0), againFirst
+	after, delay := int64(0), minRetryDelay
 	host := ""
 	for ctx.Err() == nil {
 		c, err := control.Dial(socket)
 		if err == nil {
-			if c.Host != host { // another run of the gateway: its events begin anew
+			if c.Host != host { // another run of the gateway numbers its events from 1
 				host, after = c.Host, 0
 			}
 			send(linkMsg(""))
-			wait = againFirst
+			delay = minRetryDelay
 			stop := context.AfterFunc(ctx, func() { c.Close() })
 			after, err = watch(c, after, send)
 			stop()
@@ -75,16 +75,18 @@
 			return
 		}
 		send(linkMsg(err.Error()))
-		t := time.NewTimer(wait)
+		timer := time.NewTimer(delay)
 		select {
-		case <-t.C:
+		case <-timer.C:
 		case <-ctx.Done():
-			t.Stop()
+			timer.Stop()
 		}
-		wait = min(2*wait, againMost)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
+// watch sends updates until the connection fails. It returns the number of the last
+// event and the error.
 func watch(c *control.Client, after int64, send func(tea.Msg)) (int64, error) {
 	if err := c.Watch(after); err != nil {
 		return after, err
@@ -97,40 +99,40 @@
 		for _, e := range r.Events {
 			after = e.Number
 		}
-		send(newsMsg(r))
+		send(updateMsg(r))
 	}
 }
 
-// model joins State to the terminal.
+// model connects a State to bubbletea.
 type model struct {
 	socket string
 	state  State
 }
 
-// Init does nothing: the first news comes by itself.
+// Init returns no command, since follow sends the first update.
 func (m *model) Init() tea.Cmd { return nil }
 
-// View draws the state.
+// View renders the state.
 func (m *model) View() tea.View {
 	v := tea.NewView(View(&m.state))
 	v.AltScreen = true
 	return v
 }
 
-// Update takes in a key or news.
+// Update handles a key or a message.
 func (m *model) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	s := &m.state
 	switch msg := msg.(type) {
 	case tea.WindowSizeMsg:
 		s.Width, s.Height = msg.Width, msg.Height
 	case tea.KeyPressMsg:
-		return m, m.do(s.HandleKey(msg.String()))
+		return m, m.perform(s.HandleKey(msg.String()))
 	case linkMsg:
 		s.LinkError = string(msg)
-	case newsMsg:
+	case updateMsg:
 		s.Update(msg)
 		if s.Screen == Requests {
-			return m, m.fetch()
+			return m, m.fetchRunning()
 		}
 	case runningMsg:
 		s.Running = msg
@@ -144,31 +146,32 @@
 	return m, nil
 }
 
-func (m *model) do(d Action) tea.Cmd {
+// perform returns the command for an action.
+func (m *model) perform(action Action) tea.Cmd {
 	switch {
-	case d.Quit:
+	case action.Quit:
 		return tea.Quit
-	case d.FetchCost != "":
-		return m.cost(d.FetchCost)
-	case d.Order != nil:
-		return m.order(*d.Order)
-	case d.FetchRunning:
-		return m.fetch()
+	case action.FetchCost != "":
+		return m.fetchCost(action.FetchCost)
+	case action.Order != nil:
+		return m.submitOrder(*action.Order)
+	case action.FetchRunning:
+		return m.fetchRunning()
 	}
 	return nil
 }
 
-// call makes one call on a connection of its own.
-func (m *model) call(q control.Request) (*control.Response, error) {
+// call sends one request on a new connection.
+func (m *model) call(request control.Request) (*control.Response, error) {
 	c, err := control.Dial(m.socket)
 	if err != nil {
 		return nil, err
 	}
 	defer c.Close()
-	return c.Call(q)
+	return c.Call(request)
 }
 
-func (m *model) fetch() tea.Cmd {
+func (m *model) fetchRunning() tea.Cmd {
 	return func() tea.Msg {
 		r, err := m.call(control.Request{Op: control.OpRunning})
 		if err != nil {
@@ -178,7 +181,7 @@
 	}
 }
 
-func (m *model) cost(brick string) tea.Cmd {
+func (m *model) fetchCost(brick string) tea.Cmd {
 	return func() tea.Msg {
 		r, err := m.call(control.Request{Op: control.OpCost, Brick: brick})
 		if err != nil {
@@ -188,17 +191,17 @@
 	}
 }
 
-// orderTries is how often an order is sent whose answer did not come. Its id
-// makes sure that it takes effect once.
-const orderTries = 3
+// maxOrderAttempts bounds the attempts to send an order that got no answer. Its ID
+// ensures that it takes effect only once.
+const maxOrderAttempts = 3
 
-func (m *model) order(o drains.Order) tea.Cmd {
+func (m *model) submitOrder(o drains.Order) tea.Cmd {
 	var id [12]byte
 	rand.Read(id[:])
 	o.ID, o.Operator = hex.EncodeToString(id[:]), os.Getenv("USER")
 	return func() tea.Msg {
 		var err error
-		for range orderTries {
+		for range maxOrderAttempts {
 			var r *control.Response
 			if r, err = m.call(control.Request{Op: control.OpOrder, Order: o}); err == nil {
 				text := o.Brick + " is " + string(r.Result.After.State)
--- a/internal/control/console/view.go
+++ b/internal/control/console/view.go
@@ -1,7 +1,7 @@
-// Package console is the operator's screen: what a gateway's control end tells,
-// drawn as text in a terminal, with drains by a key. What is drawn follows from
-// the State alone (View); keys change the State or ask for something to be done
-// (Key). Neither knows a terminal or a socket; run.go joins them.
+// Package console is the terminal user interface of operators. It shows what a
+// gateway's control socket reports and orders drains by key. View renders a State,
+// and State.HandleKey changes it or returns an action to perform. Neither uses a
+// terminal or a socket; Run connects them.
 package console
 
 import (
@@ -16,10 +16,10 @@
 	"arrowwalk/internal/control/drains"
 )
 
-// Screen is one of the console's pages.
+// Screen is one of the screens of the console.
 type Screen int
 
-// The screens, in the order of their keys 1 to 4.
+// Screens in the order of their keys, 1 to 4.
 const (
 	Bricks Screen = iota
 	Volumes
@@ -29,36 +29,36 @@
 
 var screenNames = []string{"bricks", "volumes", "requests", "events"}
 
-// State is all that the screen shows.
+// State holds everything that the console shows.
 type State struct {
 	Width, Height int
 	Screen        Screen
 	Help          bool
-	SelectedRow   int    // the chosen row of bricks; the first shown of the others
-	LinkError     string // "" while connected, else what is wrong
+	SelectedRow   int    // selected row of the bricks; first visible row on other screens
+	LinkError     string // error of the connection; "" while connected
 	Snapshot      *control.Snapshot
 	Running       []control.RunningRequest
 	Events        []control.Event
-	Rates         []float64            // requests ended a second, by snapshot
-	Utils         map[string][]float64 // by brick, by snapshot
+	Rates         []float64            // requests completed per second, one value per snapshot
+	Utils         map[string][]float64 // utilization by brick, one value per snapshot
 	Confirmation  *Confirmation
-	Note          string // what the last command did
-	WatchedBrick  string // brick whose drain is followed until it is idle
+	Note          string // result of the last command
+	WatchedBrick  string // brick whose drain is shown in Note until it is idle
 }
 
-// Confirmation is a confirmation that waits for a key.
+// Confirmation is an order that waits to be confirmed by a key.
 type Confirmation struct {
 	Brick               string
 	Kind                drains.Kind
-	Cost                *drains.Cost // nil: not known yet
+	Cost                *drains.Cost // nil until it is known
 	OutstandingRequests int
 }
 
-const historyMost = 600 // snapshots: five minutes
+const maxHistory = 600 // values of five minutes, with a snapshot every 500 ms
 
 // Update brings a new snapshot and events into the state.
-func (s *State) Update(r *control.Response) {
-	for _, e := range r.Events {
+func (s *State) Update(response *control.Response) {
+	for _, e := range response.Events {
 		if n := len(s.Events); n == 0 || e.Number > s.Events[n-1].Number {
 			s.Events = append(s.Events, e)
 		}
@@ -66,19 +66,21 @@
 	if n := len(s.Events); n > 1000 {
 		s.Events = slices.Delete(s.Events, 0, n-1000)
 	}
-	if r.Snapshot == nil {
+	if response.Snapshot == nil {
 		return
 	}
-	if old := s.Snapshot; old != nil && r.Snapshot.At > old.At && r.Snapshot.Host == old.Host {
-		ended := func(x *control.Snapshot) float64 { return float64(x.Served + x.Refused + x.Failed) }
-		s.Rates = push(s.Rates, (ended(r.Snapshot)-ended(old))/(float64(r.Snapshot.At-old.At)/1e6))
+	if old := s.Snapshot; old != nil && response.Snapshot.At > old.At && response.Snapshot.Host == old.Host {
+		ended := func(snapshot *control.Snapshot) float64 {
+			return float64(snapshot.Served + snapshot.Refused + snapshot.Failed)
+		}
+		s.Rates = appendHistory(s.Rates, (ended(response.Snapshot)-ended(old))/(float64(response.Snapshot.At-old.At)/1e6))
 	}
-	s.Snapshot = r.Snapshot
+	s.Snapshot = response.Snapshot
 	if s.Utils == nil {
 		s.Utils = map[string][]float64{}
 	}
-	for _, b := range r.Snapshot.Bricks {
-		s.Utils[b.Status.Brick] = push(s.Utils[b.Status.Brick], max(0, b.Util))
+	for _, b := range response.Snapshot.Bricks {
+		s.Utils[b.Status.Brick] = appendHistory(s.Utils[b.Status.Brick], max(0, b.Util))
 		if b.Status.Brick == s.WatchedBrick {
 			s.Note = fmt.Sprintf("%s is %s: %d requests out", s.WatchedBrick, b.State, b.OutstandingRequests)
 			if b.OutstandingRequests == 0 {
@@ -87,18 +89,19 @@
 			}
 		}
 	}
-	s.SelectedRow = min(s.SelectedRow, max(0, s.rows()-1))
+	s.SelectedRow = min(s.SelectedRow, max(0, s.rowCount()-1))
 }
 
-func push(list []float64, v float64) []float64 {
-	if len(list) >= historyMost {
+// appendHistory appends a value and drops the oldest one beyond maxHistory.
+func appendHistory(list []float64, v float64) []float64 {
+	if len(list) >= maxHistory {
 		list = slices.Delete(list, 0, 1)
 	}
 	return append(list, v)
 }
 
-// rows returns how many rows the screen's list has.
-func (s *State) rows() int {
+// rowCount returns the number of rows in the list of the screen.
+func (s *State) rowCount() int {
 	if s.Snapshot == nil {
 		return 0
 	}
@@ -113,8 +116,8 @@
 	return len(s.Events)
 }
 
-// sorted returns the bricks in the order of the screen.
-func (s *State) sorted() []control.BrickStatus {
+// sortedBricks returns the bricks in the order of the screen, by name.
+func (s *State) sortedBricks() []control.BrickStatus {
 	if s.Snapshot == nil {
 		return nil
 	}
@@ -123,30 +126,31 @@
 	return list
 }
 
-// SelectedBrick returns the brick under the cursor.
+// SelectedBrick returns the brick under the cursor. The second result is false if
+// there is none.
 func (s *State) SelectedBrick() (control.BrickStatus, bool) {
-	list := s.sorted()
+	list := s.sortedBricks()
 	if s.Screen != Bricks || s.SelectedRow >= len(list) {
 		return control.BrickStatus{}, false
 	}
 	return list[s.SelectedRow], true
 }
 
-// Action is what a key asks for.
+// Action is what the caller must do after a key. The zero Action requires nothing.
 type Action struct {
 	Quit         bool
-	FetchCost    string // ask what draining this brick would cost
+	FetchCost    string // brick whose drain cost is to be fetched
 	Order        *drains.Order
-	FetchRunning bool // the requests that run
+	FetchRunning bool // fetch the running requests
 }
 
-// HandleKey takes in a key, by its name as bubbletea gives it.
+// HandleKey handles a key, given by its bubbletea name.
 func (s *State) HandleKey(key string) Action {
 	if key == "ctrl+c" {
 		return Action{Quit: true}
 	}
 	if s.Confirmation != nil {
-		return s.answer(key)
+		return s.answerConfirmation(key)
 	}
 	if s.Help {
 		s.Help = false
@@ -166,14 +170,15 @@
 	case "up", "k":
 		s.SelectedRow = max(0, s.SelectedRow-1)
 	case "down", "j":
-		s.SelectedRow = min(max(0, s.rows()-1), s.SelectedRow+1)
+		s.SelectedRow = min(max(0, s.rowCount()-1), s.SelectedRow+1)
 	case "d", "u":
-		return s.ask(key)
+		return s.openConfirmation(key)
 	}
 	return Action{}
 }
 
-func (s *State) ask(key string) Action {
+// openConfirmation asks to confirm a drain or an undrain of the selected brick.
+func (s *State) openConfirmation(key string) Action {
 	b, ok := s.SelectedBrick()
 	if !ok {
 		return Action{}
@@ -186,57 +191,57 @@
 	return Action{FetchCost: b.Status.Brick}
 }
 
-// answer takes in the key that answers a question: y, or f where data would be
-// out of reach; any other key is a no.
-func (s *State) answer(key string) Action {
-	q := s.Confirmation
+// answerConfirmation handles the key that answers a confirmation: y, or f if data
+// would become unreachable. Any other key cancels.
+func (s *State) answerConfirmation(key string) Action {
+	confirmation := s.Confirmation
 	force := key == "f"
 	s.Confirmation = nil
 	switch {
-	case q.Kind == drains.Drain && q.Cost == nil: // not before its price is known
+	case confirmation.Kind == drains.Drain && confirmation.Cost == nil: // a drain cannot be confirmed before its cost is known
 		s.Note = "nothing was ordered"
 		return Action{}
-	case key == "y" && (q.Kind == drains.Undrain || !q.Cost.Unreachable), force && q.Kind == drains.Drain:
-		if q.Kind == drains.Drain {
-			s.WatchedBrick = q.Brick
+	case key == "y" && (confirmation.Kind == drains.Undrain || !confirmation.Cost.Unreachable), force && confirmation.Kind == drains.Drain:
+		if confirmation.Kind == drains.Drain {
+			s.WatchedBrick = confirmation.Brick
 		}
-		s.Note = fmt.Sprintf("ordering to %s %s", q.Kind, q.Brick)
-		return Action{Order: &drains.Order{Kind: q.Kind, Brick: q.Brick, Force: force}}
+		s.Note = fmt.Sprintf("ordering to %s %s", confirmation.Kind, confirmation.Brick)
+		return Action{Order: &drains.Order{Kind: confirmation.Kind, Brick: confirmation.Brick, Force: force}}
 	}
 	s.Note = "nothing was ordered"
 	return Action{}
 }
 
-// least is the smallest screen on which the tables fit.
+// Minimum size of the terminal, at which the tables fit.
 const (
-	leastWidth  = 80
-	leastHeight = 24
+	minWidth  = 80
+	minHeight = 24
 )
 
-// View draws the state: Height lines of at most Width columns, without colour.
+// View renders the state as Height lines of at most Width columns, without colour.
 func View(s *State) string {
-	if s.Width < leastWidth || s.Height < leastHeight {
-		return fmt.Sprintf("the console needs %dx%d, this terminal is %dx%d; q quits", leastWidth, leastHeight, s.Width, s.Height)
+	if s.Width < minWidth || s.Height < minHeight {
+		return fmt.Sprintf("the console needs %dx%d, this terminal is %dx%d; q quits", minWidth, minHeight, s.Width, s.Height)
 	}
 	lines := s.header()
-	room := s.Height - len(lines) - 2
+	maxLines := s.Height - len(lines) - 2
 	var body []string
 	switch {
 	case s.Help:
-		body = help
+		body = helpLines
 	case s.Snapshot == nil:
 		body = []string{"", "  nothing is known of the gateway yet"}
 	case s.Screen == Bricks:
-		body = s.bricks(room)
+		body = s.bricks(maxLines)
 	case s.Screen == Volumes:
 		body = s.volumes()
 	case s.Screen == Requests:
 		body = s.requests()
 	default:
-		body = s.events(room)
+		body = s.events(maxLines)
 	}
-	if len(body) > room {
-		body = body[:room]
+	if len(body) > maxLines {
+		body = body[:maxLines]
 	}
 	lines = append(lines, body...)
 	for len(lines) < s.Height-2 {
@@ -244,12 +249,13 @@
 	}
 	lines = append(lines, s.prompt(), "1 bricks  2 volumes  3 requests  4 events  d drain  u undrain  ? help  q quit")
 	for i := range lines {
-		lines[i] = clip(lines[i], s.Width)
+		lines[i] = truncateLine(lines[i], s.Width)
 	}
 	return strings.Join(lines, "\n")
 }
 
-func clip(line string, width int) string {
+// truncateLine shortens a line to width columns and marks the cut by an ellipsis.
+func truncateLine(line string, width int) string {
 	r := []rune(line)
 	if len(r) > width {
 		return string(r[:width-1]) + "…"
@@ -265,47 +271,47 @@
 	if s.Snapshot == nil {
 		return []string{title, ""}
 	}
-	x := s.Snapshot
-	return []string{title + "   host " + x.Host,
+	snapshot := s.Snapshot
+	return []string{title + "   host " + snapshot.Host,
 		fmt.Sprintf("taken %d  served %d  refused %d  failed %d  queued %d  sent %d  connections %d  bodies %d KiB",
-			x.Accepted, x.Served, x.Refused, x.Failed, x.Queued, x.Sent, x.Connections, (x.BodyMemoryBytes+x.SpoolBytes)>>10),
-		fmt.Sprintf("requests a second %8.0f  %s", last(s.Rates), Sparkline(s.Rates, 40)), ""}
+			snapshot.Accepted, snapshot.Served, snapshot.Refused, snapshot.Failed, snapshot.Queued, snapshot.Sent, snapshot.Connections, (snapshot.BodyMemoryBytes+snapshot.SpoolBytes)>>10),
+		fmt.Sprintf("requests a second %8.0f  %s", lastValue(s.Rates), Sparkline(s.Rates, 40)), ""}
 }
 
-func last(list []float64) float64 {
+func lastValue(list []float64) float64 {
 	if len(list) == 0 {
 		return 0
 	}
 	return list[len(list)-1]
 }
 
-// Sparkline draws the last width values as bars, the highest of them full.
+// Sparkline renders the last width values as bars, scaled to the highest of them.
 func Sparkline(list []float64, width int) string {
 	bars := []rune("▁▂▃▄▅▆▇█")
 	list = list[max(0, len(list)-width):]
-	most := 0.0
+	maxValue := 0.0
 	for _, v := range list {
-		most = max(most, v)
+		maxValue = max(maxValue, v)
 	}
 	out := make([]rune, 0, len(list))
 	for _, v := range list {
 		i := 0
-		if most > 0 {
-			i = int(max(0, v) / most * float64(len(bars)-1))
+		if maxValue > 0 {
+			i = int(max(0, v) / maxValue * float64(len(bars)-1))
 		}
 		out = append(out, bars[i])
 	}
 	return string(out)
 }
 
-func (s *State) bricks(room int) []string {
+func (s *State) bricks(maxLines int) []string {
 	out := []string{"  brick            state     util last min  queue  out units/cap     p50     p99 failed"}
-	list := s.sorted()
-	first := max(0, s.SelectedRow-(room-4))
+	list := s.sortedBricks()
+	first := max(0, s.SelectedRow-(maxLines-4))
 	for i, b := range list[first:] {
-		mark := "  "
+		cursor := "  "
 		if first+i == s.SelectedRow {
-			mark = "> "
+			cursor = "> "
 		}
 		state := string(b.State)
 		if b.Cold && b.State == drains.Ready {
@@ -321,17 +327,17 @@
 		if b.Util >= 0 {
 			util = fmt.Sprintf("%3.0f%%", 100*b.Util)
 		}
-		out = append(out, fmt.Sprintf("%s%-16.16s %-8.8s %s %-8s %6s %4d %5.1f/%-4.1f %7s %7s %6d", mark, b.Status.Brick, state, util,
-			Sparkline(s.Utils[b.Status.Brick], 8), short(time.Duration(b.QueueUS)*time.Microsecond), b.OutstandingRequests, b.OutstandingUnits, b.Cap, short(b.P50), short(b.P99), total(b.Failed)))
+		out = append(out, fmt.Sprintf("%s%-16.16s %-8.8s %s %-8s %6s %4d %5.1f/%-4.1f %7s %7s %6d", cursor, b.Status.Brick, state, util,
+			Sparkline(s.Utils[b.Status.Brick], 8), formatDuration(time.Duration(b.QueueUS)*time.Microsecond), b.OutstandingRequests, b.OutstandingUnits, b.Cap, formatDuration(b.P50), formatDuration(b.P99), sumCounts(b.Failed)))
 	}
 	if b, ok := s.SelectedBrick(); ok {
-		out = append(out, "", "  "+s.why(b))
+		out = append(out, "", "  "+s.brickDetails(b))
 	}
 	return out
 }
 
-// why tells of the chosen brick what does not fit into its row.
-func (s *State) why(b control.BrickStatus) string {
+// brickDetails returns the details of a brick that do not fit into its row.
+func (s *State) brickDetails(b control.BrickStatus) string {
 	text := fmt.Sprintf("%s: shard %d, %s, %s, %s", b.Status.Brick, b.Shard, b.Zone, b.Address, b.Trust)
 	if b.Origin != drains.ByNone {
 		text += "; " + string(b.State) + " by " + string(b.Origin)
@@ -345,14 +351,16 @@
 	return text
 }
 
-func total(by map[string]uint64) (n uint64) {
-	for _, v := range by {
+// sumCounts returns the sum of all counts.
+func sumCounts(counts map[string]uint64) (n uint64) {
+	for _, v := range counts {
 		n += v
 	}
 	return n
 }
 
-func short(d time.Duration) string {
+// formatDuration formats a duration with the unit that suits it; 0 is "-".
+func formatDuration(d time.Duration) string {
 	switch {
 	case d == 0:
 		return "-"
@@ -382,41 +390,42 @@
 	out := []string{"  request                        class      age stage   brick            tries"}
 	for i, r := range s.Running {
 		if i >= s.SelectedRow {
-			out = append(out, fmt.Sprintf("  %-30.30s %-5.5s %8s %-7.7s %-16.16s %5d", r.ID, r.Class, short(time.Duration(r.AgeUS)*time.Microsecond), r.Stage, r.Brick, r.Attempts))
+			out = append(out, fmt.Sprintf("  %-30.30s %-5.5s %8s %-7.7s %-16.16s %5d", r.ID, r.Class, formatDuration(time.Duration(r.AgeUS)*time.Microsecond), r.Stage, r.Brick, r.Attempts))
 		}
 	}
 	return out
 }
 
-func (s *State) events(room int) []string {
+func (s *State) events(maxLines int) []string {
 	out := []string{"  number  time          kind      what"}
-	from := max(0, len(s.Events)-(room-1)-s.SelectedRow)
+	from := max(0, len(s.Events)-(maxLines-1)-s.SelectedRow)
 	for _, e := range s.Events[from:max(from, len(s.Events)-s.SelectedRow)] {
 		out = append(out, fmt.Sprintf("  %6d  %s  %-8.8s  %s", e.Number, time.UnixMicro(e.At).Format("15:04:05.000"), e.Kind, e.Text))
 	}
 	return out
 }
 
+// prompt returns the pending confirmation, or the note if there is none.
 func (s *State) prompt() string {
-	q := s.Confirmation
+	confirmation := s.Confirmation
 	switch {
-	case q == nil:
+	case confirmation == nil:
 		return s.Note
-	case q.Kind == drains.Undrain:
-		return fmt.Sprintf("undrain %s? y takes the drain by hand back, any other key does nothing", q.Brick)
-	case q.Cost == nil:
-		return fmt.Sprintf("drain %s? asking what it costs ...", q.Brick)
-	case q.Cost.Unreachable:
-		who := "no collection is known to have data there"
-		if len(q.Cost.Volumes) > 0 {
-			who = strings.Join(q.Cost.Volumes, ", ")
+	case confirmation.Kind == drains.Undrain:
+		return fmt.Sprintf("undrain %s? y takes the drain by hand back, any other key does nothing", confirmation.Brick)
+	case confirmation.Cost == nil:
+		return fmt.Sprintf("drain %s? asking what it costs ...", confirmation.Brick)
+	case confirmation.Cost.Unreachable:
+		volumes := "no collection is known to have data there"
+		if len(confirmation.Cost.Volumes) > 0 {
+			volumes = strings.Join(confirmation.Cost.Volumes, ", ")
 		}
-		return fmt.Sprintf("drain %s? %d out; OUT OF REACH: %s. f drains all the same", q.Brick, q.OutstandingRequests, who)
+		return fmt.Sprintf("drain %s? %d out; OUT OF REACH: %s. f drains all the same", confirmation.Brick, confirmation.OutstandingRequests, volumes)
 	}
-	return fmt.Sprintf("drain %s? %d requests out may end, shard %d goes on elsewhere. y drains", q.Brick, q.OutstandingRequests, q.Cost.Shard)
+	return fmt.Sprintf("drain %s? %d requests out may end, shard %d goes on elsewhere. y drains", confirmation.Brick, confirmation.OutstandingRequests, confirmation.Cost.Shard)
 }
 
-var help = []string{
+var helpLines = []string{
 	"",
 	"  1 2 3 4, tab   bricks, volumes, running requests, events",
 	"  up down, k j   choose a brick, or scroll",
--- a/internal/control/console/view_test.go
+++ b/internal/control/console/view_test.go
@@ -12,7 +12,7 @@
 	"arrowwalk/internal/control/trafficstats"
 )
 
-func sample(bricks int, at int64) *control.Response {
+func testResponse(bricks int, at int64) *control.Response {
 	s := &control.Snapshot{At: at, Host: "0-run", Served: uint64(at / 1000), Volumes: []control.VolumeStatus{{VolumeStats: trafficstats.VolumeStats{Name: "theses", Plan: "basic", Served: 5, Shards: []int{0, 1}}, Quadrant: "meet"}}}
 	for i := range bricks {
 		s.Bricks = append(s.Bricks, control.BrickStatus{Status: drains.Status{Brick: fmt.Sprintf("brick-%02d", i), State: drains.Ready, Shard: i},
@@ -21,13 +21,13 @@
 	return &control.Response{Snapshot: s, Events: []control.Event{{Number: at, At: at, Kind: "brick", Text: "brick-00 is ready"}}}
 }
 
-// Every screen fits every size from 80x24 up, whatever it shows; smaller ones
-// say so.
+// Every screen must fit into every terminal of at least 80x24, whatever it shows. On
+// a smaller one the console must name the required size.
 func TestScreensFit(t *testing.T) {
 	for _, bricks := range []int{0, 6, 300} {
 		s := &State{}
 		for i := range 100 {
-			s.Update(sample(bricks, int64(i+1)*500_000))
+			s.Update(testResponse(bricks, int64(i+1)*500_000))
 		}
 		s.Running = []control.RunningRequest{{ID: strings.Repeat("x", 300), Brick: "b"}}
 		for _, size := range [][2]int{{80, 24}, {81, 25}, {200, 60}, {79, 24}, {80, 23}, {1, 1}, {0, 0}} {
@@ -61,53 +61,53 @@
 
 func TestKeys(t *testing.T) {
 	s := &State{Width: 100, Height: 30}
-	s.Update(sample(3, 500_000))
+	s.Update(testResponse(3, 500_000))
 	s.HandleKey("down")
-	if d := s.HandleKey("d"); d.FetchCost != "brick-01" || !strings.Contains(View(s), "drain brick-01? asking") {
-		t.Fatalf("%+v\n%s", d, View(s))
+	if action := s.HandleKey("d"); action.FetchCost != "brick-01" || !strings.Contains(View(s), "drain brick-01? asking") {
+		t.Fatalf("%+v\n%s", action, View(s))
 	}
-	if d := s.HandleKey("y"); d.Order != nil {
-		t.Error("drained before the cost was known")
+	if action := s.HandleKey("y"); action.Order != nil {
+		t.Error("drain ordered before the cost was known")
 	}
 	s.HandleKey("d")
 	s.Confirmation.Cost = &drains.Cost{Shard: 1, Unreachable: true, Volumes: []string{"theses"}}
 	if v := View(s); !strings.Contains(v, "1 out; OUT OF REACH: theses") {
-		t.Errorf("the cost is not told:\n%s", v)
+		t.Errorf("the cost is not shown:\n%s", v)
 	}
-	if d := s.HandleKey("y"); d.Order != nil {
-		t.Error("y drains though data would be out of reach")
+	if action := s.HandleKey("y"); action.Order != nil {
+		t.Error("y drains although data would become unreachable")
 	}
 	s.HandleKey("d")
 	s.Confirmation.Cost = &drains.Cost{Shard: 1, Unreachable: true}
-	if d := s.HandleKey("f"); d.Order == nil || !d.Order.Force || d.Order.Brick != "brick-01" || d.Order.Kind != drains.Drain {
-		t.Errorf("%+v", d)
+	if action := s.HandleKey("f"); action.Order == nil || !action.Order.Force || action.Order.Brick != "brick-01" || action.Order.Kind != drains.Drain {
+		t.Errorf("%+v", action)
 	}
-	r := sample(3, 1_000_000)
+	r := testResponse(3, 1_000_000)
 	r.Snapshot.Bricks[1].State = drains.Draining
 	s.Update(r)
 	if !strings.Contains(View(s), "brick-01 is draining: 1 requests out") {
-		t.Errorf("progress is not told:\n%s", View(s))
+		t.Errorf("progress is not shown:\n%s", View(s))
 	}
-	r = sample(3, 1_500_000)
+	r = testResponse(3, 1_500_000)
 	r.Snapshot.Bricks[1].State, r.Snapshot.Bricks[1].OutstandingRequests = drains.Draining, 0
 	s.Update(r)
 	if !strings.Contains(View(s), "draining and idle") || s.WatchedBrick != "" {
-		t.Errorf("idle is not told:\n%s", View(s))
+		t.Errorf("idle is not shown:\n%s", View(s))
 	}
 	s.HandleKey("u")
-	if d := s.HandleKey("y"); d.Order == nil || d.Order.Kind != drains.Undrain {
-		t.Errorf("%+v", d)
+	if action := s.HandleKey("y"); action.Order == nil || action.Order.Kind != drains.Undrain {
+		t.Errorf("%+v", action)
 	}
 	s.HandleKey("u")
-	if d := s.HandleKey("n"); d.Order != nil {
-		t.Error("n undrains")
+	if action := s.HandleKey("n"); action.Order != nil {
+		t.Error("n orders an undrain")
 	}
-	if d := s.HandleKey("3"); !d.FetchRunning || s.Screen != Requests {
-		t.Errorf("%+v", d)
+	if action := s.HandleKey("3"); !action.FetchRunning || s.Screen != Requests {
+		t.Errorf("%+v", action)
 	}
 	s.LinkError = "gone"
 	if !strings.Contains(View(s), "NO CONNECTION: gone") {
-		t.Error("a lost connection is not told")
+		t.Error("a lost connection is not shown")
 	}
 	if !s.HandleKey("q").Quit || !s.HandleKey("ctrl+c").Quit {
 		t.Error("q does not quit")
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -23,39 +23,39 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// still is a gateway at which nothing happens.
-type still struct{ big int }
+// idleGateway is a gateway without traffic that has brickCount bricks.
+type idleGateway struct{ brickCount int }
 
-func (s still) ExecuteVolumeOrder(*VolumeOrder) ([]VolumeInfo, error) { return nil, nil }
+func (s idleGateway) ExecuteVolumeOrder(*VolumeOrder) ([]VolumeInfo, error) { return nil, nil }
 
-func (s still) Snapshot() *Snapshot {
-	return &Snapshot{Host: "still", Bricks: make([]BrickStatus, s.big)}
+func (s idleGateway) Snapshot() *Snapshot {
+	return &Snapshot{Host: "still", Bricks: make([]BrickStatus, s.brickCount)}
 }
-func (still) RunningRequests() []RunningRequest { return []RunningRequest{{ID: "r"}} }
-func (still) HostLabel() string                 { return "still" }
+func (idleGateway) RunningRequests() []RunningRequest { return []RunningRequest{{ID: "r"}} }
+func (idleGateway) HostLabel() string                 { return "still" }
 
-var site = []drains.Brick{{Name: "a", Shard: 0, State: drains.Ready}, {Name: "a2", Shard: 0, State: drains.Ready}, {Name: "b", Shard: 1, State: drains.Ready}}
+var testBricks = []drains.Brick{{Name: "a", Shard: 0, State: drains.Ready}, {Name: "a2", Shard: 0, State: drains.Ready}, {Name: "b", Shard: 1, State: drains.Ready}}
 
-func serve(t *testing.T, book *orderlog.Log, source Gateway) (*Controller, string) {
+func startServer(t *testing.T, log *orderlog.Log, gateway Gateway) (*Controller, string) {
 	t.Helper()
-	desk, err := NewController(book)
+	controller, err := NewController(log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	desk.UpdateBricks(site)
+	controller.UpdateBricks(testBricks)
 	path := filepath.Join(t.TempDir(), "s")
-	s, err := Listen(path, desk, source, slog.New(slog.DiscardHandler))
+	s, err := Listen(path, controller, gateway, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.Close)
-	if st, err := os.Stat(path); err != nil || st.Mode().Perm() != 0o600 {
-		t.Errorf("socket mode %v, %v", st.Mode(), err)
+	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
+		t.Errorf("socket mode %v, %v", info.Mode(), err)
 	}
-	return desk, path
+	return controller, path
 }
 
-func dial(t *testing.T, path string) *Client {
+func dialServer(t *testing.T, path string) *Client {
 	t.Helper()
 	c, err := Dial(path)
 	if err != nil {
@@ -65,35 +65,35 @@
 	return c
 }
 
-// Orders are decided, recorded before they are carried out, have the same
-// answer when they are repeated, and hold after a restart.
+// Orders must be validated, be logged before they are applied, return the same result
+// when repeated, and hold after a restart.
 func TestOrdersAndRecord(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "orders.db")
-	book, err := orderlog.Open(file)
+	log, err := orderlog.Open(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	desk, path := serve(t, book, still{})
+	controller, path := startServer(t, log, idleGateway{})
 	applied := 0
-	desk.SetApplyFunc(func() {
+	controller.SetApplyFunc(func() {
 		applied++
-		if kept, err := book.EntriesAfter(0, 100); err != nil || len(kept) == 0 {
-			t.Error("an order is carried out before it is recorded")
+		if kept, err := log.EntriesAfter(0, 100); err != nil || len(kept) == 0 {
+			t.Error("an order is applied before it is logged")
 		}
 	})
-	c := dial(t, path)
+	c := dialServer(t, path)
 	order := func(o drains.Order) (*Response, error) { return c.Call(Request{Op: OpOrder, Order: o}) }
 	first, err := order(drains.Order{ID: "1", Kind: drains.Drain, Brick: "a", Operator: "op", Reason: "disk"})
 	if err != nil || !first.Result.Changed || first.EffectiveAt == 0 || !strings.HasPrefix(first.Result.After.Operator, "op (uid ") {
 		t.Fatalf("%+v %v", first, err)
 	}
-	again, err := order(drains.Order{ID: "1", Kind: drains.Drain, Brick: "a"})
-	if err != nil || again.Result.Number != first.Result.Number || applied != 1 {
-		t.Errorf("a repeat: %+v %v, applied %d times", again, err, applied)
+	repeated, err := order(drains.Order{ID: "1", Kind: drains.Drain, Brick: "a"})
+	if err != nil || repeated.Result.Number != first.Result.Number || applied != 1 {
+		t.Errorf("repeated order: %+v %v, applied %d times", repeated, err, applied)
 	}
 	var refused *Refusal
 	if _, err := order(drains.Order{ID: "2", Kind: drains.Drain, Brick: "b"}); !errors.As(err, &refused) || refused.Code != "unreachable" {
-		t.Errorf("the last brick of a shard: %v", err)
+		t.Errorf("drain of the last brick of a shard: %v", err)
 	}
 	if _, err := c.Call(Request{Op: "dance"}); !errors.As(err, &refused) || refused.Code != "bad_request" {
 		t.Errorf("unknown operation: %v", err)
@@ -107,44 +107,44 @@
 	if r, err := c.Call(Request{Op: OpRunning}); err != nil || len(r.Running) != 1 {
 		t.Errorf("running: %+v %v", r, err)
 	}
-	book.Close()
-	if _, err := order(drains.Order{ID: "3", Kind: drains.Undrain, Brick: "a"}); !errors.As(err, &refused) || refused.Code != "not_recorded" || desk.BrickState("a") != drains.Draining {
-		t.Errorf("an order that cannot be recorded: %v, %s", err, desk.BrickState("a"))
+	log.Close()
+	if _, err := order(drains.Order{ID: "3", Kind: drains.Undrain, Brick: "a"}); !errors.As(err, &refused) || refused.Code != "not_recorded" || controller.BrickState("a") != drains.Draining {
+		t.Errorf("order that cannot be logged: %v, %s", err, controller.BrickState("a"))
 	}
 
-	if book, err = orderlog.Open(file); err != nil {
+	if log, err = orderlog.Open(file); err != nil {
 		t.Fatal(err)
 	}
-	defer book.Close()
-	later, err := NewController(book)
+	defer log.Close()
+	restarted, err := NewController(log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	later.UpdateBricks(site)
-	if s := later.Statuses()[0]; s.State != drains.Draining || s.Origin != drains.ByOperator || s.Number != 1 {
+	restarted.UpdateBricks(testBricks)
+	if s := restarted.Statuses()[0]; s.State != drains.Draining || s.Origin != drains.ByOperator || s.Number != 1 {
 		t.Errorf("after a restart: %+v", s)
 	}
-	if _, _, err := later.SubmitOrder(drains.Order{Kind: drains.Undrain, Brick: "a"}); err != nil {
+	if _, _, err := restarted.SubmitOrder(drains.Order{Kind: drains.Undrain, Brick: "a"}); err != nil {
 		t.Error(err)
 	}
 }
 
-// Fifty watchers hear of every event; one that does not read loses snapshots,
-// then its connection, and holds nobody up.
+// Every watcher must receive every event. One that does not read must not delay the
+// others; it loses snapshots, and is disconnected once it has lost events.
 func TestWatchers(t *testing.T) {
 	const watchers, events = 50, 200
-	desk, path := serve(t, nil, still{big: 500})
+	controller, path := startServer(t, nil, idleGateway{brickCount: 500})
 	var wg sync.WaitGroup
 	for range watchers {
-		c := dial(t, path)
+		c := dialServer(t, path)
 		if err := c.Watch(0); err != nil {
 			t.Fatal(err)
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c.nc.SetReadDeadline(time.Now().Add(20 * time.Second))
-			last, shots := int64(0), 0
+			c.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+			last, snapshots := int64(0), 0
 			for last < events+3 {
 				r, err := c.Next()
 				if err != nil {
@@ -158,67 +158,67 @@
 					last = e.Number
 				}
 				if r.Snapshot != nil {
-					shots++
+					snapshots++
 				}
 			}
-			if shots == 0 {
+			if snapshots == 0 {
 				t.Error("no snapshot")
 			}
 		}()
 	}
-	deaf := dial(t, path)
-	if err := deaf.Watch(0); err != nil {
+	idleWatcher := dialServer(t, path)
+	if err := idleWatcher.Watch(0); err != nil {
 		t.Fatal(err)
 	}
 	for i := range events {
-		desk.PublishEvent("test", "", fmt.Sprint("event ", i))
+		controller.PublishEvent("test", "", fmt.Sprint("event ", i))
 	}
 	wg.Wait()
-	f := desk.subscribe(0)
+	f := controller.subscribe(0)
 	for range 10 {
-		f.snapshot(&Snapshot{})
+		f.setSnapshot(&Snapshot{})
 	}
-	if got, shot, missed, ok := f.take(); len(got) != events+3 || shot == nil || missed != 9 || !ok {
-		t.Errorf("a slow watcher's feed: %d events, %d snapshots missed, %v", len(got), missed, ok)
+	if got, snapshot, missedSnapshots, ok := f.drain(); len(got) != events+3 || snapshot == nil || missedSnapshots != 9 || !ok {
+		t.Errorf("feed of a slow watcher: %d events, %d snapshots missed, %v", len(got), missedSnapshots, ok)
 	}
-	for range feedMost + 1 {
-		desk.PublishEvent("flood", "", "")
+	for range maxFeedEvents + 1 {
+		controller.PublishEvent("flood", "", "")
 	}
-	if _, _, _, ok := f.take(); ok {
-		t.Error("a watcher that lost events is not cut off")
+	if _, _, _, ok := f.drain(); ok {
+		t.Error("a watcher that lost events is not disconnected")
 	}
-	desk.unsubscribe(f)
+	controller.unsubscribe(f)
 }
 
 func TestStrangers(t *testing.T) {
-	_, path := serve(t, nil, still{})
-	if _, err := Listen(path, nil, still{}, slog.New(slog.DiscardHandler)); err == nil {
-		t.Error("a second gateway takes a live socket")
+	_, path := startServer(t, nil, idleGateway{})
+	if _, err := Listen(path, nil, idleGateway{}, slog.New(slog.DiscardHandler)); err == nil {
+		t.Error("a second gateway replaces a socket that is in use")
 	}
 	for _, bad := range [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n"), binary.BigEndian.AppendUint32(nil, 1<<31), {0, 0, 0, 1, 0xff}, {0, 0, 0, 2, 0xa1}} {
-		nc, err := net.Dial("unix", path)
+		conn, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(10 * time.Second))
-		nc.Write(bad)
-		nc.(*net.UnixConn).CloseWrite()
-		if text, _ := io.ReadAll(nc); len(text) != 0 {
-			t.Errorf("%q is answered %q", bad, text)
+		conn.SetDeadline(time.Now().Add(10 * time.Second))
+		conn.Write(bad)
+		conn.(*net.UnixConn).CloseWrite()
+		if text, _ := io.ReadAll(conn); len(text) != 0 {
+			t.Errorf("%q gets the answer %q", bad, text)
 		}
-		nc.Close()
+		conn.Close()
 	}
-	nc, err := net.Dial("unix", path)
+	conn, err := net.Dial("unix", path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	if err := writeFrame(nc, Hello{Version: 99}); err != nil {
+	defer conn.Close()
+	if err := writeFrame(conn, Hello{Version: 99}); err != nil {
 		t.Fatal(err)
 	}
 	var hello Hello
-	if err := readFrame(nc, &hello); err != nil || !strings.Contains(hello.Refused, "99") {
-		t.Errorf("another version: %+v %v", hello, err)
+	if err := readFrame(conn, &hello); err != nil || !strings.Contains(hello.Refused, "99") {
+		t.Errorf("unsupported version: %+v %v", hello, err)
 	}
 }
 
@@ -234,13 +234,13 @@
 		if readFrame(bytes.NewReader(text), &q) != nil {
 			return
 		}
-		var again bytes.Buffer
-		if err := writeFrame(&again, q); err != nil {
+		var repeated bytes.Buffer
+		if err := writeFrame(&repeated, q); err != nil {
 			t.Fatal(err)
 		}
-		var back Request
-		if err := readFrame(&again, &back); err != nil || back.Op != q.Op || back.Order.Brick != q.Order.Brick {
-			t.Fatalf("%+v comes back as %+v, %v", q, back, err)
+		var decoded Request
+		if err := readFrame(&repeated, &decoded); err != nil || decoded.Op != q.Op || decoded.Order.Brick != q.Order.Brick {
+			t.Fatalf("%+v is decoded as %+v, %v", q, decoded, err)
 		}
 	})
 }
--- a/internal/control/drains/drains.go
+++ b/internal/control/drains/drains.go
@@ -1,19 +1,19 @@
-// Package drains decides what state a brick is in, out of what an operator
-// ordered, what discovery says and what the brick says of itself. It is pure:
-// the same orders and words, in the same order, give the same states, so a
-// record of orders can be played again after a crash.
+// Package drains derives the state of each brick from the orders of operators, from
+// discovery and from what the brick itself reports. It is deterministic: the same
+// inputs in the same order give the same states, so that logged orders can be
+// replayed after a crash.
 //
-// Precedence, strongest first:
+// Precedence, highest first:
 //
-//  1. gone: discovery no longer names the brick
-//  2. drained by hand, until it is undrained by hand
-//  3. discovery says that it drains
-//  4. the brick says that it drains
+//  1. gone: discovery does not list the brick, or lists it as gone
+//  2. drained by an operator, until an operator undrains it
+//  3. draining according to discovery
+//  4. draining according to the brick itself
 //  5. ready
 //
-// An operator's undrain takes back the hand's order and the brick's own word,
-// which nobody else would: a brick that discovery drains stays drained, and the
-// answer says so.
+// An undrain by an operator cancels both the operator's drain and the brick's own
+// report, which nothing else would cancel. A brick that discovery drains stays
+// drained, and the result of the order says so.
 package drains
 
 import (
@@ -24,20 +24,20 @@
 	"strings"
 )
 
-// State is what may be sent to a brick.
+// State is the state of a brick: ready for requests, draining or gone.
 type State string
 
-// The states.
+// States of a brick.
 const (
 	Ready    State = "ready"
 	Draining State = "draining"
 	Gone     State = "gone"
 )
 
-// Origin says whose word a state follows from.
+// Origin is the source of a brick's state.
 type Origin string
 
-// Whose word it is.
+// Origins of a state.
 const (
 	ByOperator  Origin = "hand"
 	ByDiscovery Origin = "discovery"
@@ -45,143 +45,146 @@
 	ByNone      Origin = ""
 )
 
-// Kind is what an order asks for.
+// Kind is the kind of an order.
 type Kind string
 
-// The kinds of orders.
+// Kinds of orders.
 const (
 	Drain   Kind = "drain"
 	Undrain Kind = "undrain"
-	Cancel  Kind = "cancel" // takes back one drain, by its number, if it is still in force
+	Cancel  Kind = "cancel" // cancels the drain with a given number, if it is still in force
 )
 
-// Order is an operator's command.
+// Order is an order of an operator.
 type Order struct {
-	ID       string `json:"id"` // the sender's: the same one again has the same answer
+	ID       string `json:"id"` // chosen by the sender; a repeated ID gets the first result
 	Kind     Kind   `json:"kind"`
 	Brick    string `json:"brick"`
-	Number   int64  `json:"number,omitempty"` // of Cancel: the drain that is meant
-	Force    bool   `json:"force,omitempty"`  // also where data can no longer be reached
+	Number   int64  `json:"number,omitempty"` // of the drain that Cancel refers to
+	Force    bool   `json:"force,omitempty"`  // drain even if data becomes unreachable
 	Operator string `json:"who"`
 	At       int64  `json:"at"` // microseconds since 1970
 	Reason   string `json:"reason,omitempty"`
 }
 
-// Status is a brick's state and why it is so.
+// Status is the state of a brick and its origin.
 type Status struct {
 	Brick        string   `json:"brick"`
 	Shard        int      `json:"shard"`
 	State        State    `json:"state"`
 	Origin       Origin   `json:"by,omitempty"`
-	Operator     string   `json:"who,omitempty"`    // of ByHand
-	Since        int64    `json:"since,omitempty"`  // of ByHand, microseconds since 1970
-	Number       int64    `json:"number,omitempty"` // of ByHand: the order
-	OtherOrigins []Origin `json:"also,omitempty"`   // who else says that it drains
+	Operator     string   `json:"who,omitempty"`    // for ByOperator
+	Since        int64    `json:"since,omitempty"`  // for ByOperator: microseconds since 1970
+	Number       int64    `json:"number,omitempty"` // for ByOperator: number of the order
+	OtherOrigins []Origin `json:"also,omitempty"`   // further origins of a drain, by precedence
 }
 
-// Result is what became of an order.
+// Result is the result of an order.
 type Result struct {
-	Number  int64  `json:"number"` // of the order, from 1; 0: it was not taken
-	Changed bool   `json:"done"`   // it changed something
+	Number  int64  `json:"number"` // of the order, from 1; 0 means not accepted
+	Changed bool   `json:"done"`   // the order had an effect
 	Note    string `json:"note,omitempty"`
 	Before  Status `json:"before"`
 	After   Status `json:"after"`
 }
 
-// Refusal is an order that was not taken.
+// Refusal is the error of an order that was not accepted.
 type Refusal struct {
 	Code   string // no_such_brick, unreachable, stale or bad_order
 	Reason string
 }
 
+// Error returns the reason.
 func (r *Refusal) Error() string { return r.Reason }
 
-// hand is a drain by hand that is in force.
-type hand struct {
-	number int64
-	who    string
-	at     int64
+// operatorDrain is an operator's drain that is in force.
+type operatorDrain struct {
+	number   int64
+	operator string
+	at       int64 // microseconds since 1970
 }
 
-// word is what others say of a brick.
-type word struct {
-	shard     int
-	discovery State
-	started   int64
-	self      bool // the brick says that it drains
+// brickReport holds what discovery and the brick itself report of a brick.
+type brickReport struct {
+	shard        int
+	discovery    State
+	started      int64
+	selfDraining bool // the brick reports that it is draining
 }
 
-// Registry holds all orders in force and all words.
+// Registry holds all drains in force and the reports of all bricks. It is not safe
+// for concurrent use.
 type Registry struct {
-	hands map[string]hand
-	words map[string]word
-	last  int64             // number of the last order
-	seen  map[string]Result // by the sender's id
-	order []string          // of seen, oldest first
+	operatorDrains map[string]operatorDrain
+	reports        map[string]brickReport
+	lastNumber     int64             // number of the last order
+	resultsByID    map[string]Result // by Order.ID
+	rememberedIDs  []string          // keys of resultsByID, oldest first
 }
 
-// seenMost is how many orders are remembered for repeats.
-const seenMost = 1024
+// maxRememberedOrders bounds the results that are remembered for repeated orders.
+const maxRememberedOrders = 1024
 
-// NewRegistry returns an empty board.
+// NewRegistry returns an empty Registry.
 func NewRegistry() *Registry {
-	return &Registry{hands: map[string]hand{}, words: map[string]word{}, seen: map[string]Result{}}
+	return &Registry{operatorDrains: map[string]operatorDrain{}, reports: map[string]brickReport{}, resultsByID: map[string]Result{}}
 }
 
-// Brick is what discovery says of one brick.
+// Brick describes a brick in a list of discovery.
 type Brick struct {
 	Name    string
 	Shard   int
 	State   State
-	Started int64 // a brick that has started anew takes its word back
+	Started int64 // microseconds since 1970; a restart cancels the brick's own report
 }
 
-// UpdateBricks takes in a complete list.
-func (b *Registry) UpdateBricks(list []Brick) {
-	next := make(map[string]word, len(list))
+// UpdateBricks replaces the bricks by a complete list of discovery.
+func (r *Registry) UpdateBricks(list []Brick) {
+	next := make(map[string]brickReport, len(list))
 	for _, e := range list {
-		old := b.words[e.Name]
-		next[e.Name] = word{shard: e.Shard, discovery: e.State, started: e.Started, self: old.self && old.started == e.Started}
+		before := r.reports[e.Name]
+		next[e.Name] = brickReport{shard: e.Shard, discovery: e.State, started: e.Started, selfDraining: before.selfDraining && before.started == e.Started}
 	}
-	b.words = next
+	r.reports = next
 }
 
-// SetSelfDraining takes in what a brick says of itself, and tells whether that is new. A
-// brick that drains gets no work and so says nothing more: its word holds until
-// it starts anew, says otherwise, or is undrained by hand.
-func (b *Registry) SetSelfDraining(name string, draining bool) bool {
-	w, ok := b.words[name]
-	if !ok || w.self == draining {
+// SetSelfDraining records whether a brick reports that it is draining, and returns
+// true if that changed. A draining brick gets no requests and so cannot report
+// again: its report holds until it restarts, reports otherwise or is undrained by an
+// operator.
+func (r *Registry) SetSelfDraining(name string, draining bool) bool {
+	report, ok := r.reports[name]
+	if !ok || report.selfDraining == draining {
 		return false
 	}
-	w.self = draining
-	b.words[name] = w
+	report.selfDraining = draining
+	r.reports[name] = report
 	return true
 }
 
-// Status returns a brick's state.
-func (b *Registry) Status(name string) Status {
-	w, known := b.words[name]
-	h, byHand := b.hands[name]
-	s := Status{Brick: name, Shard: w.shard, State: Ready}
-	says := []struct {
-		by Origin
-		so bool
-	}{{ByOperator, byHand}, {ByDiscovery, w.discovery == Draining}, {ByBrick, w.self}}
-	for _, one := range says {
-		if !one.so {
+// Status returns the status of a brick. A brick that is not listed is gone.
+func (r *Registry) Status(name string) Status {
+	report, known := r.reports[name]
+	drain, drainedByOperator := r.operatorDrains[name]
+	s := Status{Brick: name, Shard: report.shard, State: Ready}
+	causes := []struct {
+		origin   Origin
+		draining bool
+	}{{ByOperator, drainedByOperator}, {ByDiscovery, report.discovery == Draining}, {ByBrick, report.selfDraining}}
+	for _, cause := range causes {
+		if !cause.draining {
 			continue
 		}
 		if s.State == Ready {
-			s.State, s.Origin = Draining, one.by
+			s.State, s.Origin = Draining, cause.origin
 		} else {
-			s.OtherOrigins = append(s.OtherOrigins, one.by)
+			s.OtherOrigins = append(s.OtherOrigins, cause.origin)
 		}
 	}
-	if byHand {
-		s.Operator, s.Since, s.Number = h.who, h.at, h.number
+	if drainedByOperator {
+		s.Operator, s.Since, s.Number = drain.operator, drain.at, drain.number
 	}
-	if !known || w.discovery == Gone {
+	if !known || report.discovery == Gone {
 		if s.Origin != ByNone {
 			s.OtherOrigins = append([]Origin{s.Origin}, s.OtherOrigins...)
 		}
@@ -190,84 +193,86 @@
 	return s
 }
 
-// Statuses returns the state of every brick that is known or drained by hand.
-func (b *Registry) Statuses() []Status {
+// Statuses returns the status of every brick that is listed or drained by an
+// operator, sorted by name.
+func (r *Registry) Statuses() []Status {
 	names := map[string]bool{}
-	for name := range b.words {
+	for name := range r.reports {
 		names[name] = true
 	}
-	for name := range b.hands {
+	for name := range r.operatorDrains {
 		names[name] = true
 	}
 	var out []Status
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		out = append(out, b.Status(name))
+		out = append(out, r.Status(name))
 	}
 	return out
 }
 
-// Cost is what a drain would take away.
+// Cost describes the effects of a drain.
 type Cost struct {
 	Shard       int      `json:"shard"`
-	Unreachable bool     `json:"unreachable"` // no other brick of the shard takes work
-	Volumes     []string `json:"volumes"`     // those that are known to have data there
+	Unreachable bool     `json:"unreachable"` // no other brick of the shard is ready
+	Volumes     []string `json:"volumes"`     // volumes that are known to have data on the shard
 }
 
-// Cost returns what draining a brick would take away. volumes names those that
-// have been served out of each shard.
-func (b *Registry) Cost(name string, volumes map[int][]string) Cost {
-	w := b.words[name]
-	c := Cost{Shard: w.shard, Unreachable: true, Volumes: slices.Sorted(slices.Values(volumes[w.shard]))}
-	for other, ow := range b.words {
-		if other != name && ow.shard == w.shard && b.Status(other).State == Ready {
+// Cost returns the effects of draining a brick. volumes holds the names of the
+// volumes that were served from each shard.
+func (r *Registry) Cost(name string, volumes map[int][]string) Cost {
+	report := r.reports[name]
+	c := Cost{Shard: report.shard, Unreachable: true, Volumes: slices.Sorted(slices.Values(volumes[report.shard]))}
+	for other, otherReport := range r.reports {
+		if other != name && otherReport.shard == report.shard && r.Status(other).State == Ready {
 			c.Unreachable = false
 		}
 	}
 	return c
 }
 
-// Submit decides on an order. The error is a *Refusal; nothing has changed then.
-// An order with an id that was taken before changes nothing and has the answer
-// that the first one had.
-func (b *Registry) Submit(o Order, volumes map[int][]string) (Result, error) {
-	r, again, err := b.Preview(o, volumes)
-	if err != nil || again {
-		return r, err
+// Submit validates and applies an order. If the order is refused, the error is a
+// *Refusal and nothing changes. An order whose ID was accepted before changes nothing
+// and returns the result of the first one.
+func (r *Registry) Submit(o Order, volumes map[int][]string) (Result, error) {
+	result, isRepeat, err := r.Preview(o, volumes)
+	if err != nil || isRepeat {
+		return result, err
 	}
-	return b.Apply(o), nil
+	return r.Apply(o), nil
 }
 
-// Preview returns what Take would, without any change, and whether the order
-// is a repeat: so that it can be recorded first.
-func (b *Registry) Preview(o Order, volumes map[int][]string) (r Result, again bool, err error) {
-	if first, again := b.seen[o.ID]; again && o.ID != "" {
+// Preview returns what Submit would return, without applying the order, and whether
+// the order is a repeat. It lets the caller log an order before applying it.
+func (r *Registry) Preview(o Order, volumes map[int][]string) (result Result, isRepeat bool, err error) {
+	if first, seen := r.resultsByID[o.ID]; seen && o.ID != "" {
 		return first, true, nil
 	}
-	if err := b.refuse(o, volumes); err != nil {
+	if err := r.validate(o, volumes); err != nil {
 		return Result{}, false, err
 	}
-	trial := &Registry{hands: maps.Clone(b.hands), words: maps.Clone(b.words), last: b.last, seen: map[string]Result{}}
-	return trial.Apply(o), false, nil
+	copied := &Registry{operatorDrains: maps.Clone(r.operatorDrains), reports: maps.Clone(r.reports), lastNumber: r.lastNumber, resultsByID: map[string]Result{}}
+	return copied.Apply(o), false, nil
 }
 
-func (b *Registry) refuse(o Order, volumes map[int][]string) error {
-	before := b.Status(o.Brick)
-	_, known := b.words[o.Brick]
-	_, byHand := b.hands[o.Brick]
+// validate returns a *Refusal if an order cannot be accepted.
+func (r *Registry) validate(o Order, volumes map[int][]string) error {
+	before := r.Status(o.Brick)
+	_, known := r.reports[o.Brick]
+	_, drainedByOperator := r.operatorDrains[o.Brick]
 	switch o.Kind {
 	case Drain:
 		if !known || before.State == Gone {
 			return &Refusal{"no_such_brick", fmt.Sprintf("brick %q is not in the node list", o.Brick)}
 		}
-		if cost := b.Cost(o.Brick, volumes); cost.Unreachable && !o.Force && before.State == Ready {
-			return &Refusal{"unreachable", unreachable(o.Brick, cost)}
+		if cost := r.Cost(o.Brick, volumes); cost.Unreachable && !o.Force && before.State == Ready {
+			return &Refusal{"unreachable", unreachableReason(o.Brick, cost)}
 		}
 	case Undrain:
-		if !known && !byHand {
+		if !known && !drainedByOperator {
 			return &Refusal{"no_such_brick", fmt.Sprintf("brick %q is not in the node list", o.Brick)}
 		}
 	case Cancel:
-		if h := b.hands[o.Brick]; !byHand || h.number != o.Number {
+		if drain := r.operatorDrains[o.Brick]; !drainedByOperator || drain.number != o.Number {
 			return &Refusal{"stale", fmt.Sprintf("drain %d of brick %q is not in force any more", o.Number, o.Brick)}
 		}
 	default:
@@ -276,59 +281,61 @@
 	return nil
 }
 
-func unreachable(brick string, c Cost) string {
+// unreachableReason returns the reason of a refusal with up to ten volumes.
+func unreachableReason(brick string, c Cost) string {
 	text := fmt.Sprintf("no other brick of shard %d takes work: all that lies on %q could not be reached", c.Shard, brick)
 	if len(c.Volumes) > 0 {
-		most := c.Volumes[:min(len(c.Volumes), 10)]
-		text += " (" + strings.Join(most, ", ")
-		if len(c.Volumes) > len(most) {
-			text += fmt.Sprintf(" and %d more", len(c.Volumes)-len(most))
+		listed := c.Volumes[:min(len(c.Volumes), 10)]
+		text += " (" + strings.Join(listed, ", ")
+		if len(c.Volumes) > len(listed) {
+			text += fmt.Sprintf(" and %d more", len(c.Volumes)-len(listed))
 		}
 		text += ")"
 	}
 	return text + "; --force drains it all the same"
 }
 
-// Apply carries out an order that was taken, also when a record is played
-// again; it cannot fail.
-func (b *Registry) Apply(o Order) Result {
-	b.last++
-	r := Result{Number: b.last, Before: b.Status(o.Brick)}
+// Apply applies an accepted order, also during a replay of the order log. It cannot
+// fail.
+func (r *Registry) Apply(o Order) Result {
+	r.lastNumber++
+	result := Result{Number: r.lastNumber, Before: r.Status(o.Brick)}
 	if o.Kind == Undrain {
-		r.Changed = b.SetSelfDraining(o.Brick, false)
+		result.Changed = r.SetSelfDraining(o.Brick, false)
 	}
-	switch _, byHand := b.hands[o.Brick]; {
-	case o.Kind == Drain && byHand:
-		r.Note = "it was drained by hand already"
+	switch _, drainedByOperator := r.operatorDrains[o.Brick]; {
+	case o.Kind == Drain && drainedByOperator:
+		result.Note = "it was drained by hand already"
 	case o.Kind == Drain:
-		b.hands[o.Brick] = hand{b.last, o.Operator, o.At}
-		r.Changed = true
-	case byHand: // undrain and cancel
-		delete(b.hands, o.Brick)
-		r.Changed = true
-	case !r.Changed:
-		r.Note = "it was not drained by hand"
+		r.operatorDrains[o.Brick] = operatorDrain{r.lastNumber, o.Operator, o.At}
+		result.Changed = true
+	case drainedByOperator: // undrain and cancel
+		delete(r.operatorDrains, o.Brick)
+		result.Changed = true
+	case !result.Changed:
+		result.Note = "it was not drained by hand"
 	}
-	r.After = b.Status(o.Brick)
-	if o.Kind != Drain && r.After.State == Draining {
-		r.Note = strings.TrimPrefix(r.Note+fmt.Sprintf("; it stays drained by %s", r.After.Origin), "; ")
+	result.After = r.Status(o.Brick)
+	if o.Kind != Drain && result.After.State == Draining {
+		result.Note = strings.TrimPrefix(result.Note+fmt.Sprintf("; it stays drained by %s", result.After.Origin), "; ")
 	}
 	if o.ID != "" {
-		b.remember(o.ID, r)
+		r.remember(o.ID, result)
 	}
-	return r
+	return result
 }
 
-func (b *Registry) remember(id string, r Result) {
-	if len(b.order) >= seenMost {
-		delete(b.seen, b.order[0])
-		b.order = b.order[1:]
+// remember stores the result of an order for repeats and evicts the oldest one.
+func (r *Registry) remember(id string, result Result) {
+	if len(r.rememberedIDs) >= maxRememberedOrders {
+		delete(r.resultsByID, r.rememberedIDs[0])
+		r.rememberedIDs = r.rememberedIDs[1:]
 	}
-	b.seen[id] = r
-	b.order = append(b.order, id)
+	r.resultsByID[id] = result
+	r.rememberedIDs = append(r.rememberedIDs, id)
 }
 
-// CompareUrgency orders states for a table: those that need a look first.
+// CompareUrgency orders statuses for a table: draining, gone, ready, then by name.
 func CompareUrgency(a, b Status) int {
 	rank := map[State]int{Draining: 0, Gone: 1, Ready: 2}
 	return cmp.Or(cmp.Compare(rank[a.State], rank[b.State]), cmp.Compare(a.Brick, b.Brick))
--- a/internal/control/protocol.go
+++ b/internal/control/protocol.go
@@ -1,7 +1,7 @@
-// Package control is the operator's side of a running gateway: a Unix socket
-// for its owner, over which states, events and running requests are told and
-// drains are ordered. Orders are decided by control/drains and kept by
-// control/record; docs/control.md describes the protocol.
+// Package control lets operators inspect and control a running gateway over a Unix
+// socket: it reports states, events and running requests, and accepts orders to drain
+// bricks. Package drains decides on orders and package orderlog persists them.
+// docs/control.md describes the protocol.
 package control
 
 import (
@@ -18,13 +18,15 @@
 	"arrowwalk/internal/volume/extent"
 )
 
-// ProtocolVersion of the protocol. Both sides say theirs first; others are refused.
+// ProtocolVersion is the version of the protocol. Each side sends its version first,
+// and the gateway refuses clients of another version.
 const ProtocolVersion = 1
 
-// frameMost bounds a frame: four bytes of length, then a CBOR map (RFC 8949).
-const frameMost = 8 << 20
+// maxFrameBytes bounds a frame, which is four bytes of length and a CBOR map
+// (RFC 8949).
+const maxFrameBytes = 8 << 20
 
-// The operations.
+// Operations of a Request.
 const (
 	OpStatus  = "status"
 	OpRunning = "running"
@@ -35,20 +37,21 @@
 	OpVolume  = "volume"
 )
 
-// Hello is the first frame of each side.
+// Hello is the first frame that each side sends. Refused is the reason why the
+// gateway refuses the client, or "".
 type Hello struct {
 	Version int    `cbor:"version"`
 	Host    string `cbor:"host,omitempty"`
 	Refused string `cbor:"refused,omitempty"`
 }
 
-// Request is what an operator asks for.
+// Request is a request of an operator.
 type Request struct {
 	ID          uint64       `cbor:"id"`
 	Op          string       `cbor:"op"`
 	Order       drains.Order `cbor:"order,omitempty"`
-	Brick       string       `cbor:"brick,omitempty"` // of cost
-	After       int64        `cbor:"after,omitempty"` // of events: numbers over it
+	Brick       string       `cbor:"brick,omitempty"` // for OpCost
+	After       int64        `cbor:"after,omitempty"` // for OpEvents and OpWatch: only events with greater numbers
 	MaxEvents   int          `cbor:"most,omitempty"`
 	VolumeOrder *VolumeOrder `cbor:"volume,omitempty"`
 }
@@ -64,31 +67,31 @@
 	Steal      bool   `cbor:"steal,omitempty"`
 }
 
-// VolumeInfo is a block volume as operators see it.
+// VolumeInfo describes a block volume.
 type VolumeInfo struct {
 	extent.Record
-	Socket     string `json:"socket,omitempty"` // where this host exports it
+	Socket     string `json:"socket,omitempty"` // socket at which this host exports it
 	Requests   int64  `json:"requests,omitempty"`
 	Errors     int64  `json:"errors,omitempty"`
-	Superseded bool   `json:"over,omitempty"` // it was attached anew elsewhere
+	Superseded bool   `json:"over,omitempty"` // another host has attached the volume since
 }
 
-// Response answers a Request, or tells a watcher something.
+// Response is the answer to a Request or an update for a watcher.
 type Response struct {
 	ID              uint64           `cbor:"id"`
-	Code            string           `cbor:"code,omitempty"` // of a refusal
+	Code            string           `cbor:"code,omitempty"` // code of a refusal
 	Error           string           `cbor:"error,omitempty"`
 	Snapshot        *Snapshot        `cbor:"snapshot,omitempty"`
 	Running         []RunningRequest `cbor:"running,omitempty"`
 	Events          []Event          `cbor:"events,omitempty"`
 	Result          *drains.Result   `cbor:"result,omitempty"`
-	EffectiveAt     int64            `cbor:"effect,omitempty"` // of an order: when the host had taken it, microseconds since 1970
+	EffectiveAt     int64            `cbor:"effect,omitempty"` // when an order was in effect on the host, in microseconds since 1970
 	Cost            *drains.Cost     `cbor:"cost,omitempty"`
 	Volumes         []VolumeInfo     `cbor:"blocks,omitempty"`
-	MissedSnapshots int64            `cbor:"missed,omitempty"` // snapshots left out before this one
+	MissedSnapshots int64            `cbor:"missed,omitempty"` // snapshots skipped before this one
 }
 
-// BrickStatus is a brick as operators see it.
+// BrickStatus describes a brick.
 type BrickStatus struct {
 	drains.Status
 	trafficstats.BrickStats
@@ -98,28 +101,28 @@
 	Trust               string  `json:"trust"`
 	OutstandingRequests int     `json:"requests_out"`
 	OutstandingUnits    float64 `json:"units_out"`
-	QueueUS             int64   `json:"queue_us"` // the module's: how long a request should wait there now
-	Cap                 float64 `json:"cap"`      // the module's: units that may be out
-	QuarantinedBlocks   int     `json:"bad"`      // blocks of its store in quarantine; of embedded bricks
+	QueueUS             int64   `json:"queue_us"` // expected queueing delay at the brick, from the scheduler, in microseconds
+	Cap                 float64 `json:"cap"`      // maximum units in flight, from the scheduler
+	QuarantinedBlocks   int     `json:"bad"`      // blocks of its store in quarantine, for embedded bricks
 }
 
-// VolumeStatus is a collection as operators see it.
+// VolumeStatus describes a collection.
 type VolumeStatus struct {
 	trafficstats.VolumeStats
-	Quadrant     string  `json:"quadrant"` // the module's, of the last interval
-	TokenRate    float64 `json:"rate"`     // token rate, units a second; 0: unpaced
-	MeasuredRate float64 `json:"measured"` // units a second through this host
-	Reserve      float64 `json:"reserve"`  // units of the reserve that are left
+	Quadrant     string  `json:"quadrant"` // from the scheduler, of the last interval
+	TokenRate    float64 `json:"rate"`     // units per second; 0 means unpaced
+	MeasuredRate float64 `json:"measured"` // units per second through this host
+	Reserve      float64 `json:"reserve"`  // units left in the reserve
 }
 
-// Snapshot is the whole picture at a moment.
+// Snapshot is the state of the gateway at one moment.
 type Snapshot struct {
 	At              int64          `json:"at"` // microseconds since 1970
 	Host            string         `json:"host"`
 	Bricks          []BrickStatus  `json:"bricks"`
 	Volumes         []VolumeStatus `json:"volumes"`
-	Stalls          uint64         `json:"stalls"`    // how often the host stood still
-	MaxStallUS      int64          `json:"stall_max"` // for how long at most, microseconds
+	Stalls          uint64         `json:"stalls"`    // number of stalls of the host
+	MaxStallUS      int64          `json:"stall_max"` // longest stall, in microseconds
 	Accepted        uint64         `json:"taken"`
 	Served          uint64         `json:"served"`
 	Refused         uint64         `json:"refused"`
@@ -127,12 +130,12 @@
 	Queued          int            `json:"queued"`
 	Sent            int            `json:"sent"`
 	Connections     int64          `json:"connections"`
-	BodyMemoryBytes int64          `json:"memory"` // bytes of bodies
+	BodyMemoryBytes int64          `json:"memory"` // bytes of request and response bodies in memory
 	SpoolBytes      int64          `json:"spool"`
 	LastEvent       int64          `json:"event"` // number of the last event
 }
 
-// RunningRequest is a request that the host owes an answer.
+// RunningRequest is a client's request that has no answer yet.
 type RunningRequest struct {
 	ID       string  `json:"id"`
 	Class    string  `json:"class"`
@@ -144,20 +147,20 @@
 	Volume   uint64  `json:"volume"`
 }
 
-// Event is something that an operator may want to know of.
+// Event is a change that may concern an operator.
 type Event struct {
 	Number int64           `json:"number"`
 	At     int64           `json:"at"` // microseconds since 1970
 	Kind   string          `json:"kind"`
 	Brick  string          `json:"brick,omitempty"`
 	Text   string          `json:"text"`
-	Entry  *orderlog.Entry `json:"entry,omitempty"` // of an order
+	Entry  *orderlog.Entry `json:"entry,omitempty"` // the order, if the event is one
 }
 
-var errFrame = errors.New("control: bad frame")
+var errBadFrame = errors.New("control: bad frame")
 
-// decoding bounds what a stranger's frame can hold.
-var decoding = func() cbor.DecMode {
+// decMode limits what a frame from an untrusted peer can contain.
+var decMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: 131072, MaxMapPairs: 4096, MaxNestedLevels: 16}.DecMode()
 	if err != nil {
 		panic(err)
@@ -165,37 +168,39 @@
 	return mode
 }()
 
+// writeFrame writes v as one frame.
 func writeFrame(w io.Writer, v any) error {
 	text, err := cbor.Marshal(v)
 	if err != nil {
 		return err
 	}
-	if len(text) > frameMost {
-		return fmt.Errorf("%w: %d bytes", errFrame, len(text))
+	if len(text) > maxFrameBytes {
+		return fmt.Errorf("%w: %d bytes", errBadFrame, len(text))
 	}
 	_, err = w.Write(append(binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(text)), uint32(len(text))), text...))
 	return err
 }
 
-func readFrame(r io.Reader, into any) error {
-	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+// readFrame reads one frame into v.
+func readFrame(r io.Reader, v any) error {
+	var header [4]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return err
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n > frameMost {
-		return fmt.Errorf("%w: %d bytes", errFrame, n)
+	size := binary.BigEndian.Uint32(header[:])
+	if size > maxFrameBytes {
+		return fmt.Errorf("%w: %d bytes", errBadFrame, size)
 	}
-	text := make([]byte, 0, min(n, 64<<10)) // grows only as bytes come
-	for uint32(len(text)) < n {
-		part := make([]byte, min(n-uint32(len(text)), 64<<10))
-		if _, err := io.ReadFull(r, part); err != nil {
+	text := make([]byte, 0, min(size, 64<<10)) // grows only as bytes arrive, since the size is not trusted
+	for uint32(len(text)) < size {
+		chunk := make([]byte, min(size-uint32(len(text)), 64<<10))
+		if _, err := io.ReadFull(r, chunk); err != nil {
 			return err
 		}
-		text = append(text, part...)
+		text = append(text, chunk...)
 	}
-	if err := decoding.Unmarshal(text, into); err != nil {
-		return fmt.Errorf("%w: %w", errFrame, err)
+	if err := decMode.Unmarshal(text, v); err != nil {
+		return fmt.Errorf("%w: %w", errBadFrame, err)
 	}
 	return nil
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -13,68 +13,72 @@
 	"arrowwalk/internal/control/drains"
 )
 
-// Gateway is what the socket shows: the running gateway.
+// Gateway is the running gateway as the control socket needs it. Its methods must be
+// safe for concurrent use.
 type Gateway interface {
 	Snapshot() *Snapshot
 	RunningRequests() []RunningRequest
+	// HostLabel returns the label of this run of the host.
 	HostLabel() string
-	// ExecuteVolumeOrder does an order on block volumes, and tells of those it names.
-	ExecuteVolumeOrder(q *VolumeOrder) ([]VolumeInfo, error)
+	// ExecuteVolumeOrder executes an order on block volumes and returns the volumes
+	// that it concerns.
+	ExecuteVolumeOrder(order *VolumeOrder) ([]VolumeInfo, error)
 }
 
-// Server is the control end on a Unix socket.
+// Server serves the control protocol on a Unix socket.
 type Server struct {
-	desk   *Controller
-	source Gateway
-	log    *slog.Logger
-	ln     *net.UnixListener
+	controller *Controller
+	gateway    Gateway
+	log        *slog.Logger
+	listener   *net.UnixListener
 
 	mu     sync.Mutex
 	conns  map[net.Conn]struct{}
 	closed bool
 	wg     sync.WaitGroup
-	quit   chan struct{}
+	stop   chan struct{}
 }
 
 const (
-	connsMost = 128
-	writeFor  = 10 * time.Second // a watcher that takes nothing for so long is cut off
-	writePart = 64 << 10         // what is written with one look at the clock, bytes
-	shotEvery = 500 * time.Millisecond
+	maxConns         = 128
+	writeTimeout     = 10 * time.Second // maximum time without progress before a client is disconnected
+	writeChunkBytes  = 64 << 10         // bytes written per deadline
+	snapshotInterval = 500 * time.Millisecond
 )
 
-// Listen serves the control end at path, for the owner alone, until Close.
-// A socket that a crash left behind is replaced, a live one is not.
-func Listen(path string, desk *Controller, source Gateway, log *slog.Logger) (*Server, error) {
-	if c, err := net.Dial("unix", path); err == nil {
-		c.Close()
+// Listen serves the control protocol at path until Close. Only the owner of the
+// process and root may connect. A socket left behind by a crash is replaced; if
+// another process serves the socket, Listen fails.
+func Listen(path string, controller *Controller, gateway Gateway, log *slog.Logger) (*Server, error) {
+	if conn, err := net.Dial("unix", path); err == nil {
+		conn.Close()
 		return nil, fmt.Errorf("control socket %s: another gateway serves it", path)
 	}
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("control socket: %w", err)
 	}
-	before := syscall.Umask(0o177) // no moment at which others could connect
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
-	syscall.Umask(before)
+	previousMask := syscall.Umask(0o177) // other users must not be able to connect even before a chmod
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	syscall.Umask(previousMask)
 	if err != nil {
 		return nil, fmt.Errorf("control socket: %w", err)
 	}
-	s := &Server{desk: desk, source: source, log: log, ln: ln, conns: map[net.Conn]struct{}{}, quit: make(chan struct{})}
+	s := &Server{controller: controller, gateway: gateway, log: log, listener: listener, conns: map[net.Conn]struct{}{}, stop: make(chan struct{})}
 	s.wg.Add(2)
 	go s.accept()
-	go s.shoot()
+	go s.sendSnapshots()
 	return s, nil
 }
 
-// Close ends the control end; the gateway goes on.
+// Close closes the socket and all connections. The gateway keeps running.
 func (s *Server) Close() {
 	s.mu.Lock()
 	if !s.closed {
 		s.closed = true
-		close(s.quit)
-		s.ln.Close()
-		for c := range s.conns {
-			c.Close()
+		close(s.stop)
+		s.listener.Close()
+		for conn := range s.conns {
+			conn.Close()
 		}
 	}
 	s.mu.Unlock()
@@ -84,7 +88,7 @@
 func (s *Server) accept() {
 	defer s.wg.Done()
 	for {
-		c, err := s.ln.AcceptUnix()
+		conn, err := s.listener.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -92,207 +96,209 @@
 			continue
 		}
 		s.mu.Lock()
-		if s.closed || len(s.conns) >= connsMost {
+		if s.closed || len(s.conns) >= maxConns {
 			s.mu.Unlock()
-			c.Close()
+			conn.Close()
 			continue
 		}
-		s.conns[c] = struct{}{}
+		s.conns[conn] = struct{}{}
 		s.wg.Add(1)
 		s.mu.Unlock()
-		go s.serve(c)
+		go s.serve(conn)
 	}
 }
 
-// shoot takes a snapshot for all watchers at once, where there are any.
-func (s *Server) shoot() {
+// sendSnapshots periodically takes one snapshot for all watchers, if there are any.
+func (s *Server) sendSnapshots() {
 	defer s.wg.Done()
-	tick := time.NewTicker(shotEvery)
-	defer tick.Stop()
+	ticker := time.NewTicker(snapshotInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-s.quit:
+		case <-s.stop:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		s.desk.mu.Lock()
-		feeds := make([]*feed, 0, len(s.desk.feeds))
-		for f := range s.desk.feeds {
+		s.controller.mu.Lock()
+		feeds := make([]*feed, 0, len(s.controller.feeds))
+		for f := range s.controller.feeds {
 			feeds = append(feeds, f)
 		}
-		s.desk.mu.Unlock()
+		s.controller.mu.Unlock()
 		if len(feeds) == 0 {
 			continue
 		}
-		shot := s.source.Snapshot()
+		snapshot := s.gateway.Snapshot()
 		for _, f := range feeds {
-			f.snapshot(shot)
+			f.setSnapshot(snapshot)
 		}
 	}
 }
 
-// peer returns the user at the other end, as the kernel tells it.
-func peer(c *net.UnixConn) (uid uint32, err error) {
-	raw, err := c.SyscallConn()
+// peerUID returns the user id of the peer as reported by the kernel.
+func peerUID(conn *net.UnixConn) (uid uint32, err error) {
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
 	var cred *syscall.Ucred
-	var failed error
+	var sockoptErr error
 	if err := raw.Control(func(fd uintptr) {
-		cred, failed = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
+		cred, sockoptErr = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
 	}); err != nil {
 		return 0, err
 	}
-	if failed != nil {
-		return 0, failed
+	if sockoptErr != nil {
+		return 0, sockoptErr
 	}
 	return cred.Uid, nil
 }
 
-func (s *Server) serve(c *net.UnixConn) {
+// serve handles one connection.
+func (s *Server) serve(conn *net.UnixConn) {
 	defer s.wg.Done()
 	defer func() {
-		c.Close()
+		conn.Close()
 		s.mu.Lock()
-		delete(s.conns, c)
+		delete(s.conns, conn)
 		s.mu.Unlock()
 	}()
-	uid, err := peer(c)
+	uid, err := peerUID(conn)
 	if err != nil || uid != uint32(os.Geteuid()) && uid != 0 {
-		s.log.Warn("control: refused another user", "uid", uid, "error", err)
+		s.log.Warn("control connection of another user refused", "uid", uid, "error", err)
 		return
 	}
 	var hello Hello
-	c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if err := readFrame(c, &hello); err != nil {
+	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	if err := readFrame(conn, &hello); err != nil {
 		return
 	}
-	mine := Hello{Version: ProtocolVersion, Host: s.source.HostLabel()}
+	reply := Hello{Version: ProtocolVersion, Host: s.gateway.HostLabel()}
 	if hello.Version != ProtocolVersion {
-		mine.Refused = fmt.Sprintf("version %d of the protocol, this gateway speaks %d", hello.Version, ProtocolVersion)
+		reply.Refused = fmt.Sprintf("version %d of the protocol, this gateway speaks %d", hello.Version, ProtocolVersion)
 	}
-	if s.write(c, mine) != nil || mine.Refused != "" {
+	if s.write(conn, reply) != nil || reply.Refused != "" {
 		return
 	}
-	c.SetReadDeadline(time.Time{})
+	conn.SetReadDeadline(time.Time{})
 	for {
-		var q Request
-		if err := readFrame(c, &q); err != nil {
+		var request Request
+		if err := readFrame(conn, &request); err != nil {
 			return
 		}
-		if q.Op == OpWatch {
-			s.watch(c, q)
+		if request.Op == OpWatch {
+			s.watch(conn, request)
 			return
 		}
-		if s.write(c, s.answer(&q, uid)) != nil {
+		if s.write(conn, s.handleRequest(&request, uid)) != nil {
 			return
 		}
 	}
 }
 
-func (s *Server) write(c net.Conn, v any) error { return writeFrame(patient{c}, v) }
+func (s *Server) write(conn net.Conn, v any) error { return writeFrame(progressWriter{conn}, v) }
 
-// patient writes to a peer that may be slow: it is given up when it takes
-// nothing for writeFor, however long the whole takes.
-type patient struct{ net.Conn }
+// progressWriter writes to a peer that may be slow. It fails when the peer takes
+// nothing for writeTimeout, but does not limit the time of the whole write.
+type progressWriter struct{ net.Conn }
 
-func (p patient) Write(text []byte) (int, error) {
-	done := 0
-	for done < len(text) {
-		p.SetWriteDeadline(time.Now().Add(writeFor))
-		n, err := p.Conn.Write(text[done:min(done+writePart, len(text))])
-		done += n
+// Write writes text in chunks and extends the deadline before each.
+func (w progressWriter) Write(text []byte) (int, error) {
+	written := 0
+	for written < len(text) {
+		w.SetWriteDeadline(time.Now().Add(writeTimeout))
+		n, err := w.Conn.Write(text[written:min(written+writeChunkBytes, len(text))])
+		written += n
 		if err != nil && (n == 0 || !errors.Is(err, os.ErrDeadlineExceeded)) {
-			return done, err
+			return written, err
 		}
 	}
-	return done, nil
+	return written, nil
 }
 
-func (s *Server) answer(q *Request, uid uint32) *Response {
-	out := &Response{ID: q.ID}
-	switch q.Op {
+func (s *Server) handleRequest(request *Request, uid uint32) *Response {
+	response := &Response{ID: request.ID}
+	switch request.Op {
 	case OpStatus:
-		out.Snapshot = s.source.Snapshot()
+		response.Snapshot = s.gateway.Snapshot()
 	case OpRunning:
-		out.Running = s.source.RunningRequests()
+		response.Running = s.gateway.RunningRequests()
 	case OpEvents:
-		out.Events = s.desk.EventsAfter(q.After, min(max(q.MaxEvents, 1), eventsMost))
+		response.Events = s.controller.EventsAfter(request.After, min(max(request.MaxEvents, 1), maxEvents))
 	case OpCost:
-		cost := s.desk.DrainCost(q.Brick)
-		out.Cost = &cost
+		cost := s.controller.DrainCost(request.Brick)
+		response.Cost = &cost
 	case OpVolume:
-		s.volume(q, out)
+		s.handleVolumeOrder(request, response)
 	case OpOrder:
-		s.order(q, uid, out)
+		s.handleOrder(request, uid, response)
 	default:
-		out.Code, out.Error = "bad_request", fmt.Sprintf("operation %q is not known", q.Op)
+		response.Code, response.Error = "bad_request", fmt.Sprintf("operation %q is not known", request.Op)
 	}
-	return out
+	return response
 }
 
-func (s *Server) volume(q *Request, out *Response) {
-	if q.VolumeOrder == nil {
-		out.Code, out.Error = "bad_request", "no volume order"
+func (s *Server) handleVolumeOrder(request *Request, response *Response) {
+	if request.VolumeOrder == nil {
+		response.Code, response.Error = "bad_request", "request has no volume order"
 		return
 	}
-	list, err := s.source.ExecuteVolumeOrder(q.VolumeOrder)
+	list, err := s.gateway.ExecuteVolumeOrder(request.VolumeOrder)
 	if err != nil {
-		out.Code, out.Error = "refused", err.Error()
+		response.Code, response.Error = "refused", err.Error()
 		return
 	}
-	out.Volumes = list
-	if q.VolumeOrder.Action != "list" {
-		s.desk.PublishEvent("volume", "", fmt.Sprintf("%s of volume %s", q.VolumeOrder.Action, q.VolumeOrder.Name))
-		s.log.Info("volume order taken", "action", q.VolumeOrder.Action, "volume", q.VolumeOrder.Name)
+	response.Volumes = list
+	if request.VolumeOrder.Action != "list" {
+		s.controller.PublishEvent("volume", "", fmt.Sprintf("%s of volume %s", request.VolumeOrder.Action, request.VolumeOrder.Name))
+		s.log.Info("volume order executed", "action", request.VolumeOrder.Action, "volume", request.VolumeOrder.Name)
 	}
 }
 
-func (s *Server) order(q *Request, uid uint32, out *Response) {
-	o := q.Order
-	o.Operator = fmt.Sprintf("uid %d", uid) // as the kernel tells it, whatever the sender says
-	if q.Order.Operator != "" {
-		o.Operator = fmt.Sprintf("%.64s (uid %d)", q.Order.Operator, uid)
+func (s *Server) handleOrder(request *Request, uid uint32, response *Response) {
+	order := request.Order
+	order.Operator = fmt.Sprintf("uid %d", uid) // from the kernel, since the client can send any name
+	if request.Order.Operator != "" {
+		order.Operator = fmt.Sprintf("%.64s (uid %d)", request.Order.Operator, uid)
 	}
-	o.At = time.Now().UnixMicro()
-	result, at, err := s.desk.SubmitOrder(o)
+	order.At = time.Now().UnixMicro()
+	result, effectiveAt, err := s.controller.SubmitOrder(order)
 	var refusal *drains.Refusal
 	switch {
 	case errors.As(err, &refusal):
-		out.Code, out.Error = refusal.Code, refusal.Reason
+		response.Code, response.Error = refusal.Code, refusal.Reason
 	case err != nil:
-		out.Code, out.Error = "not_recorded", err.Error()
-		s.log.Error("order not recorded", "brick", o.Brick, "kind", string(o.Kind), "error", err)
+		response.Code, response.Error = "not_recorded", err.Error()
+		s.log.Error("order not recorded", "brick", order.Brick, "kind", string(order.Kind), "error", err)
 	default:
-		out.Result, out.EffectiveAt = &result, at.UnixMicro()
-		s.log.Info("order taken", "kind", string(o.Kind), "brick", o.Brick, "who", o.Operator, "number", result.Number, "state", string(result.After.State))
+		response.Result, response.EffectiveAt = &result, effectiveAt.UnixMicro()
+		s.log.Info("order accepted", "kind", string(order.Kind), "brick", order.Brick, "who", order.Operator, "number", result.Number, "state", string(result.After.State))
 	}
 }
 
-// watch sends snapshots and events until the watcher goes, stops reading, or
-// has missed events.
-func (s *Server) watch(c net.Conn, q Request) {
-	f := s.desk.subscribe(q.After)
-	defer s.desk.unsubscribe(f)
-	f.snapshot(s.source.Snapshot())
-	gone := make(chan struct{})
-	go func() { // nothing more is expected of a watcher but its end
-		defer close(gone)
-		var one [1]byte
-		c.Read(one[:])
+// watch sends snapshots and events until the watcher disconnects, stops reading or
+// has lost events.
+func (s *Server) watch(conn net.Conn, request Request) {
+	f := s.controller.subscribe(request.After)
+	defer s.controller.unsubscribe(f)
+	f.setSnapshot(s.gateway.Snapshot())
+	closed := make(chan struct{})
+	go func() { // a watcher sends nothing more, so a read returns when it disconnects
+		defer close(closed)
+		var buf [1]byte
+		conn.Read(buf[:])
 	}()
-	defer func() { c.Close(); <-gone }()
+	defer func() { conn.Close(); <-closed }()
 	for {
 		select {
 		case <-f.ready:
-		case <-gone:
+		case <-closed:
 			return
-		case <-s.quit:
+		case <-s.stop:
 			return
 		}
-		events, shot, missed, ok := f.take()
-		if !ok || s.write(c, &Response{ID: q.ID, Events: events, Snapshot: shot, MissedSnapshots: missed}) != nil {
+		events, snapshot, missedSnapshots, ok := f.drain()
+		if !ok || s.write(conn, &Response{ID: request.ID, Events: events, Snapshot: snapshot, MissedSnapshots: missedSnapshots}) != nil {
 			return
 		}
 	}
