--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -11,13 +11,14 @@
 // concurrent use.
 type Client struct {
 	conn   net.Conn
-	lastID uint64
+	lastID uint64 // of the last request
 	Host   string // label of the gateway's run
 }
 
 // Refusal is the error of a request that the gateway refused.
 type Refusal struct{ Code, Reason string }
 
+// Error returns the reason.
 func (r *Refusal) Error() string { return r.Reason }
 
 // Dial connects to the control socket of a gateway. The caller must close the Client.
@@ -50,7 +51,8 @@
 // callTimeout bounds the time for a request and its answer.
 const callTimeout = 10 * time.Second
 
-// Call asks for one thing. A refusal is a *Refused.
+// Call sends a request and waits for its answer. If the gateway refuses the request,
+// the error is a *Refusal.
 func (c *Client) Call(request Request) (*Response, error) {
 	c.lastID++
 	request.ID = c.lastID
--- a/internal/control/console/view.go
+++ b/internal/control/console/view.go
@@ -54,9 +54,11 @@
 	OutstandingRequests int
 }
 
-const maxHistory = 600 // values of five minutes, with a snapshot every 500 ms
+// maxHistory bounds the values of a history. It covers five minutes, with a snapshot
+// every 500 ms.
+const maxHistory = 600
 
-// Update brings a new snapshot and events into the state.
+// Update adds the events and the snapshot of a response to the state.
 func (s *State) Update(response *control.Response) {
 	for _, e := range response.Events {
 		if n := len(s.Events); n == 0 || e.Number > s.Events[n-1].Number {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -190,6 +190,8 @@
 	controller.unsubscribe(f)
 }
 
+// Malformed frames must get no answer, a client of another version must be refused,
+// and a socket that is in use must not be replaced.
 func TestStrangers(t *testing.T) {
 	_, path := startServer(t, nil, idleGateway{})
 	if _, err := Listen(path, nil, idleGateway{}, slog.New(slog.DiscardHandler)); err == nil {
@@ -230,17 +232,17 @@
 	f.Add(good.Bytes())
 	f.Add([]byte{0, 0, 0, 1, 0xa0})
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var q Request
-		if readFrame(bytes.NewReader(text), &q) != nil {
+		var request Request
+		if readFrame(bytes.NewReader(text), &request) != nil {
 			return
 		}
-		var repeated bytes.Buffer
-		if err := writeFrame(&repeated, q); err != nil {
+		var encoded bytes.Buffer
+		if err := writeFrame(&encoded, request); err != nil {
 			t.Fatal(err)
 		}
 		var decoded Request
-		if err := readFrame(&repeated, &decoded); err != nil || decoded.Op != q.Op || decoded.Order.Brick != q.Order.Brick {
-			t.Fatalf("%+v is decoded as %+v, %v", q, decoded, err)
+		if err := readFrame(&encoded, &decoded); err != nil || decoded.Op != request.Op || decoded.Order.Brick != request.Order.Brick {
+			t.Fatalf("%+v is decoded as %+v, %v", request, decoded, err)
 		}
 	})
 }
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -17,7 +17,7 @@
 	Stats   *trafficstats.Collector
 	OnStage func(string) // called with "recorded" and "applied" at these stages of an order; may be nil
 
-	mu        sync.Mutex
+	mu        sync.Mutex // guards the fields below
 	registry  *drains.Registry
 	orderLog  *orderlog.Log // nil if orders are not persisted
 	apply     func()        // notifies the host of changed states and returns once they are in effect
@@ -220,6 +220,7 @@
 	c.mu.Unlock()
 }
 
+// signal marks the feed as ready without blocking.
 func (f *feed) signal() {
 	select {
 	case f.ready <- struct{}{}:
@@ -227,6 +228,7 @@
 	}
 }
 
+// addEvent appends an event, or marks the feed as overflowed.
 func (f *feed) addEvent(e Event) {
 	f.mu.Lock()
 	if len(f.events) >= maxFeedEvents {
@@ -238,6 +240,7 @@
 	f.signal()
 }
 
+// setSnapshot replaces a snapshot that was not sent yet.
 func (f *feed) setSnapshot(s *Snapshot) {
 	f.mu.Lock()
 	if f.snapshot != nil {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -32,7 +32,7 @@
 	log        *slog.Logger
 	listener   *net.UnixListener
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards conns and closed
 	conns  map[net.Conn]struct{}
 	closed bool
 	wg     sync.WaitGroup
@@ -85,6 +85,8 @@
 	s.wg.Wait()
 }
 
+// accept serves connections until the listener is closed. Connections beyond
+// maxConns are closed at once.
 func (s *Server) accept() {
 	defer s.wg.Done()
 	for {
@@ -216,6 +218,7 @@
 	return written, nil
 }
 
+// handleRequest executes any request but OpWatch.
 func (s *Server) handleRequest(request *Request, uid uint32) *Response {
 	response := &Response{ID: request.ID}
 	switch request.Op {
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -61,17 +61,17 @@
 
 	// The fields below belong to the goroutine in run.
 	gate         *trust.Gate
-	cached       *cache.List
-	verifier     *trust.Verifier
+	cached       *cache.List                      // list to be saved; nil if there is none
+	verifier     *trust.Verifier                  // of the cached list; nil once a source has delivered a list
 	cachedStates map[string]string                // by brick name, of the cached list
 	members      map[arrowwalk.NodeID]host.Member // as the source or the cached list has them, without the overlay
 	reported     map[arrowwalk.NodeID]host.Member // as last reported to the host
-	listVersion  int64
-	hasLiveList  bool // a source has delivered a list since the start
-	ctx          context.Context
-	saveAt       time.Time
-	dirty        bool
-	lastFailure  string
+	listVersion  int64                            // of the last list
+	hasLiveList  bool                             // a source has delivered a list since the start
+	ctx          context.Context                  // done when run returns; cancels probes
+	saveAt       time.Time                        // when to save a dirty list
+	dirty        bool                             // cached differs from the file
+	lastFailure  string                           // last logged failure of a source
 }
 
 const (
@@ -81,7 +81,8 @@
 	emptyRepeats = 3
 	// confirmSaveDelay limits how often the list is rewritten when only its
 	// confirmation times changed.
-	confirmSaveDelay    = 30 * time.Second
+	confirmSaveDelay = 30 * time.Second
+	// tickInterval is the time between checks for due probes and saves.
 	tickInterval        = 50 * time.Millisecond
 	maxConcurrentProbes = 16
 	probeTimeout        = 2 * time.Second
