--- a/cmd/arrowwalk/command_test.go
+++ b/cmd/arrowwalk/command_test.go
@@ -16,7 +16,7 @@
 	"arrowwalk/internal/front/s3/sigv4"
 	"arrowwalk/internal/placement"
 	"arrowwalk/internal/standin/clients"
-	"arrowwalk/internal/store/filedir"
+	"arrowwalk/internal/store/filestore"
 )
 
 // command returns a run of arrowwalk as a process.
@@ -85,7 +85,7 @@
 		var r ready
 		awaitFile(ctx, t, file, &r)
 		c := &clients.Client{Name: "test", Log: &clients.Log{}, Target: &clients.Target{Addr: strings.TrimPrefix(r.Endpoint, "http://"),
-			Signer: sigv4.Signer{Access: r.Access, Secret: r.Secret, Region: r.Region}}}
+			Signer: sigv4.Signer{AccessKey: r.Access, SecretKey: r.Secret, Region: r.Region}}}
 		for _, q := range []clients.Request{{Method: "PUT", Path: "/papers"}, {Method: "PUT", Path: "/papers/k", Body: []byte("body")},
 			{Method: "GET", Path: "/papers/k", Want: []byte("body")}} {
 			if a := c.Do(&q); a.Call.Status != 200 || a.Call.Wrong {
@@ -150,7 +150,7 @@
 		var r ready
 		awaitFile(ctx, t, file, &r)
 		return c, out, &clients.Client{Name: "test", Log: &clients.Log{}, Target: &clients.Target{Addr: strings.TrimPrefix(r.Endpoint, "http://"),
-			Signer: sigv4.Signer{Access: r.Access, Secret: r.Secret, Region: r.Region}}}
+			Signer: sigv4.Signer{AccessKey: r.Access, SecretKey: r.Secret, Region: r.Region}}}
 	}
 	run := func(args ...string) string {
 		out, err := command(ctx, append(args, "--socket", filepath.Join(data, "control.sock"))...).CombinedOutput()
@@ -159,7 +159,7 @@
 		}
 		return string(out)
 	}
-	slots, err := placement.Even(6)
+	slots, err := placement.NewEven(6)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -217,13 +217,13 @@
 	defer cancel()
 	at := t.TempDir()
 	dir, other, file := filepath.Join(at, "brick"), filepath.Join(at, "other"), filepath.Join(at, "export")
-	old, err := filedir.Open(dir, filedir.Options{NoSync: true})
+	old, err := filestore.Open(dir, filestore.Options{NoSync: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 50 {
 		body := strings.Repeat("body ", 10+i)
-		if _, _, err := old.Put(ctx, "o", filedir.Info{Name: fmt.Sprint("k", i), Size: int64(len(body))}, strings.NewReader(body), filedir.Condition{}); err != nil {
+		if _, _, err := old.Put(ctx, "o", filestore.Info{Name: fmt.Sprint("k", i), Size: int64(len(body))}, strings.NewReader(body), filestore.Condition{}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/example_test.go
+++ b/example_test.go
@@ -6,7 +6,8 @@
 	"arrowwalk"
 )
 
-// A host hears of one node, takes a request, sends it and learns its outcome.
+// A scheduler learns of a node, accepts a request, sends it and receives its
+// outcome.
 func Example() {
 	s, err := arrowwalk.New(arrowwalk.Settings{
 		Hosts: 1, MaxAttempts: 3, Tick: 1000, MeanUnits: 2, MostUnits: 6,
@@ -22,7 +23,7 @@
 	s.Step(now, &arrowwalk.NodeList{Kind: arrowwalk.ListStored, Nodes: []arrowwalk.Node{node}})
 
 	request := &arrowwalk.Request{
-		ID: 7, Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Left: 2_500_000, Units: 2,
+		ID: 7, Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, TimeLeft: 2_500_000, Units: 2,
 	}
 	for _, a := range s.Step(now, request) {
 		switch a.Kind {
--- a/internal/control/protocol.go
+++ b/internal/control/protocol.go
@@ -69,7 +69,7 @@
 
 // VolumeInfo describes a block volume.
 type VolumeInfo struct {
-	extent.Record
+	extent.VolumeRecord
 	Socket     string `json:"socket,omitempty"` // socket at which this host exports it
 	Requests   int64  `json:"requests,omitempty"`
 	Errors     int64  `json:"errors,omitempty"`
--- a/internal/prove/nodiscovery.go
+++ b/internal/prove/nodiscovery.go
@@ -123,7 +123,7 @@
 		all = append(all, b)
 	}
 	n.stays, n.shard = shards[0], shards[3]
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // kept closed until discovery returns
+	ln, err := net.Listen("tcp", reopenedListen) // kept closed until discovery returns
 	if err != nil {
 		return err
 	}
@@ -357,7 +357,7 @@
 // writers' names alone would not do: half of them lie on bricks that are gone
 // or drain, and a writer that met one waits for most of the time.
 func (n *quietNight) look(ctx context.Context, by time.Duration) error {
-	slots, err := placement.Even(n.shape.Shards)
+	slots, err := placement.NewEven(n.shape.Shards)
 	if err != nil {
 		return err
 	}
--- a/internal/volume/volume.go
+++ b/internal/volume/volume.go
@@ -36,7 +36,7 @@
 
 // again runs do until it is served, package retry gives it up or ctx ends.
 func again(ctx context.Context, kind retry.Kind, do func() (time.Duration, error)) error {
-	began, r := time.Now(), &retry.Request{}
+	began, r := time.Now(), &retry.State{}
 	for {
 		after, err := do()
 		end := retry.Refused
@@ -47,7 +47,7 @@
 		default:
 			return err
 		}
-		wait, why := retry.Default.Next(r, kind, end, time.Since(began), after)
+		wait, why := retry.DefaultPolicy.NextWait(r, kind, end, time.Since(began), after)
 		switch {
 		case why != "" && end == retry.Failed:
 			return err
@@ -64,36 +64,36 @@
 	}
 }
 
-// Find reads a volume's record, and the version that a change must meet.
-func (s *Store) Find(ctx context.Context, name string) (rec *extent.Record, version uint64, err error) {
+// ReadRecord reads a volume's record, and the version that a change must meet.
+func (s *Store) ReadRecord(ctx context.Context, name string) (rec *extent.VolumeRecord, version uint64, err error) {
 	err = again(ctx, retry.Read, func() (time.Duration, error) {
-		c := s.newCall(recordVolume, recordPlan, config.ClassRead, s.home(name), 0, brick.Call{Method: "GET", Space: brick.SpaceVolumes, Name: name})
-		c.Take = c.takeRecord(s)
+		c := s.newCall(recordVolume, recordPlan, config.ClassRead, s.home(name), 0, brick.Request{Method: "GET", Space: brick.SpaceVolumes, Name: name})
+		c.HandleResponse = c.takeRecord(s)
 		after, err := s.do(c, name)
 		if err != nil {
 			return after, err
 		}
-		if c.Answer.Status == 404 {
+		if c.Response.Status == 404 {
 			return 0, fmt.Errorf("volume %s: %w", name, ErrNotFound)
 		}
 		rec, err = extent.Decode(c.text)
-		version = c.Answer.Version
+		version = c.Response.Version
 		return 0, err
 	})
 	return rec, version, err
 }
 
 // keep writes a record over the version that it comes from; 0: there is none.
-func (s *Store) keep(ctx context.Context, rec *extent.Record, version uint64) error {
+func (s *Store) keep(ctx context.Context, rec *extent.VolumeRecord, version uint64) error {
 	return again(ctx, retry.Write, func() (time.Duration, error) {
 		text := rec.Encode()
 		c := s.newCall(recordVolume, recordPlan, config.ClassWrite, s.home(rec.Name), int64(len(text)),
-			brick.Call{Method: "PUT", Space: brick.SpaceVolumes, Name: rec.Name, Body: brick.Bytes(text), IfVersion: version, IfAbsent: version == 0})
+			brick.Request{Method: "PUT", Space: brick.SpaceVolumes, Name: rec.Name, Body: brick.Bytes(text), IfVersion: version, IfAbsent: version == 0})
 		after, err := s.do(c, rec.Name)
-		if err == nil && c.Answer.Status == 412 {
+		if err == nil && c.Response.Status == 412 {
 			err = fmt.Errorf("volume %s: %w", rec.Name, errChanged)
 		}
-		if err == nil && c.Answer.Status == 507 {
+		if err == nil && c.Response.Status == 507 {
 			err = fmt.Errorf("volume %s: its brick has no room", rec.Name)
 		}
 		return after, err
@@ -101,7 +101,7 @@
 }
 
 // Create makes a volume. Thin: nothing is stored of what was never written.
-func (s *Store) Create(ctx context.Context, name string, bytes, block int64, plan string) (*extent.Record, error) {
+func (s *Store) Create(ctx context.Context, name string, bytes, block int64, plan string) (*extent.VolumeRecord, error) {
 	if _, err := s.planOf(plan); err != nil {
 		return nil, err
 	}
@@ -118,9 +118,9 @@
 }
 
 // change reads a record, changes it and writes it, until nobody came between.
-func (s *Store) change(ctx context.Context, name string, do func(*extent.Record) (*extent.Record, error)) (*extent.Record, error) {
+func (s *Store) change(ctx context.Context, name string, do func(*extent.VolumeRecord) (*extent.VolumeRecord, error)) (*extent.VolumeRecord, error) {
 	for range 8 {
-		rec, version, err := s.Find(ctx, name)
+		rec, version, err := s.ReadRecord(ctx, name)
 		if err != nil {
 			return nil, err
 		}
@@ -136,21 +136,21 @@
 }
 
 // Resize changes a volume's size. What a smaller one loses is dropped.
-func (s *Store) Resize(ctx context.Context, name string, bytes int64) (*extent.Record, error) {
+func (s *Store) Resize(ctx context.Context, name string, bytes int64) (*extent.VolumeRecord, error) {
 	var before int64
-	rec, err := s.change(ctx, name, func(r *extent.Record) (*extent.Record, error) {
-		before = r.Extents()
+	rec, err := s.change(ctx, name, func(r *extent.VolumeRecord) (*extent.VolumeRecord, error) {
+		before = r.ExtentCount()
 		return r.Resize(bytes)
 	})
-	if err != nil || rec.Extents() >= before {
+	if err != nil || rec.ExtentCount() >= before {
 		return rec, err
 	}
-	return rec, s.drop(ctx, rec, rec.Extents())
+	return rec, s.drop(ctx, rec, rec.ExtentCount())
 }
 
 // Delete removes a volume that nobody has, and its extents.
 func (s *Store) Delete(ctx context.Context, name string) error {
-	rec, err := s.change(ctx, name, func(r *extent.Record) (*extent.Record, error) {
+	rec, err := s.change(ctx, name, func(r *extent.VolumeRecord) (*extent.VolumeRecord, error) {
 		return r.Attach("deleted", false, time.Now().UnixMicro())
 	})
 	if err != nil {
@@ -160,7 +160,7 @@
 		return err
 	}
 	return again(ctx, retry.Write, func() (time.Duration, error) {
-		c := s.newCall(recordVolume, recordPlan, config.ClassWrite, s.home(name), 0, brick.Call{Method: "DELETE", Space: brick.SpaceVolumes, Name: name})
+		c := s.newCall(recordVolume, recordPlan, config.ClassWrite, s.home(name), 0, brick.Request{Method: "DELETE", Space: brick.SpaceVolumes, Name: name})
 		return s.do(c, name)
 	})
 }
@@ -170,15 +170,15 @@
 	var out []string
 	after := ""
 	for {
-		var p brick.ListAnswer
+		var p brick.ListResponse
 		err := again(ctx, retry.Read, func() (time.Duration, error) {
-			c := s.newCall(recordVolume, recordPlan, config.ClassRead, shard, 0, brick.Call{Method: "GET", Space: space, List: &brick.List{Prefix: prefix, After: after, Most: 100}})
-			c.Take = c.takeRecord(s)
+			c := s.newCall(recordVolume, recordPlan, config.ClassRead, shard, 0, brick.Request{Method: "GET", Space: space, List: &brick.ListQuery{Prefix: prefix, After: after, MaxItems: 100}})
+			c.HandleResponse = c.takeRecord(s)
 			wait, err := s.do(c, prefix)
 			if err != nil {
 				return wait, err
 			}
-			p = brick.ListAnswer{}
+			p = brick.ListResponse{}
 			return 0, json.Unmarshal(c.text, &p)
 		})
 		if err != nil {
@@ -195,19 +195,19 @@
 }
 
 // drop deletes the extents from one on.
-func (s *Store) drop(ctx context.Context, rec *extent.Record, from int64) error {
+func (s *Store) drop(ctx context.Context, rec *extent.VolumeRecord, from int64) error {
 	for shard := range s.slots.Shards() {
-		names, err := s.names(ctx, brick.SpaceExtents, rec.Prefix(), shard)
+		names, err := s.names(ctx, brick.SpaceExtents, rec.ExtentPrefix(), shard)
 		if err != nil {
 			return err
 		}
 		for _, name := range names {
 			var index int64
-			if _, err := fmt.Sscanf(strings.TrimPrefix(name, rec.Prefix()), "%d", &index); err != nil || index < from {
+			if _, err := fmt.Sscanf(strings.TrimPrefix(name, rec.ExtentPrefix()), "%d", &index); err != nil || index < from {
 				continue
 			}
 			err := again(ctx, retry.Write, func() (time.Duration, error) {
-				return s.do(s.newCall(recordVolume, recordPlan, config.ClassWrite, shard, 0, brick.Call{Method: "DELETE", Space: brick.SpaceExtents, Name: name}), rec.Name)
+				return s.do(s.newCall(recordVolume, recordPlan, config.ClassWrite, shard, 0, brick.Request{Method: "DELETE", Space: brick.SpaceExtents, Name: name}), rec.Name)
 			})
 			if err != nil {
 				return err
@@ -218,15 +218,15 @@
 }
 
 // List returns all volumes' records, by name.
-func (s *Store) List(ctx context.Context) ([]*extent.Record, error) {
-	var out []*extent.Record
+func (s *Store) List(ctx context.Context) ([]*extent.VolumeRecord, error) {
+	var out []*extent.VolumeRecord
 	for shard := range s.slots.Shards() {
 		names, err := s.names(ctx, brick.SpaceVolumes, "", shard)
 		if err != nil {
 			return nil, err
 		}
 		for _, name := range names {
-			rec, _, err := s.Find(ctx, name)
+			rec, _, err := s.ReadRecord(ctx, name)
 			if errors.Is(err, ErrNotFound) {
 				continue
 			}
@@ -236,7 +236,7 @@
 			out = append(out, rec)
 		}
 	}
-	slices.SortFunc(out, func(a, b *extent.Record) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b *extent.VolumeRecord) int { return strings.Compare(a.Name, b.Name) })
 	return out, nil
 }
 
@@ -244,7 +244,7 @@
 // extent must not run at once (package order sees to that).
 type Volume struct {
 	s      *Store
-	rec    *extent.Record
+	rec    *extent.VolumeRecord
 	plan   int
 	number atomic.Uint64 // of writes, over all extents
 	over   atomic.Bool   // it was attached anew elsewhere
@@ -257,7 +257,7 @@
 // Requests of an earlier attachment are refused by each brick from the first
 // request of this one there.
 func (s *Store) Attach(ctx context.Context, name, holder string, steal bool) (*Volume, error) {
-	rec, err := s.change(ctx, name, func(r *extent.Record) (*extent.Record, error) {
+	rec, err := s.change(ctx, name, func(r *extent.VolumeRecord) (*extent.VolumeRecord, error) {
 		return r.Attach(holder, steal, time.Now().UnixMicro())
 	})
 	if err != nil {
@@ -275,14 +275,14 @@
 }
 
 // Record returns the volume's record as it was attached.
-func (v *Volume) Record() *extent.Record { return v.rec }
+func (v *Volume) Record() *extent.VolumeRecord { return v.rec }
 
-// Over tells whether the volume was attached anew elsewhere.
-func (v *Volume) Over() bool { return v.over.Load() }
+// IsFenced tells whether the volume was attached anew elsewhere.
+func (v *Volume) IsFenced() bool { return v.over.Load() }
 
 // Detach gives the volume free.
 func (v *Volume) Detach(ctx context.Context) error {
-	_, err := v.s.change(ctx, v.rec.Name, func(r *extent.Record) (*extent.Record, error) { return r.Detach(v.rec.Epoch) })
+	_, err := v.s.change(ctx, v.rec.Name, func(r *extent.VolumeRecord) (*extent.VolumeRecord, error) { return r.Detach(v.rec.Epoch) })
 	return err
 }
 
@@ -310,14 +310,14 @@
 			}
 			continue // it failed: try it ourselves
 		}
-		if v.s.opt.NoFence {
+		if v.s.opt.DisableFencing {
 			close(wait)
 			return nil
 		}
-		c := v.s.newCall(v.rec.Name, v.plan, config.ClassWrite, shard, 0, brick.Call{Method: "PUT", Space: brick.SpaceFences, Name: v.rec.Name, Epoch: v.rec.Epoch, Body: brick.Bytes(nil)})
+		c := v.s.newCall(v.rec.Name, v.plan, config.ClassWrite, shard, 0, brick.Request{Method: "PUT", Space: brick.SpaceFences, Name: v.rec.Name, Epoch: v.rec.Epoch, Body: brick.Bytes(nil)})
 		_, err := v.s.do(c, v.rec.Name)
-		if err == nil && c.Answer.Status != 200 {
-			err = fmt.Errorf("%w: fence: status %d", ErrIO, c.Answer.Status)
+		if err == nil && c.Response.Status != 200 {
+			err = fmt.Errorf("%w: fence: status %d", ErrIO, c.Response.Status)
 		}
 		if err != nil {
 			v.mu.Lock()
@@ -377,7 +377,7 @@
 		total += int64(len(b))
 	}
 	at := int64(0)
-	for _, p := range v.rec.Split(from, total, nil) {
+	for _, p := range v.rec.SplitRange(from, total, nil) {
 		if err := v.readPiece(ctx, p, cut(bufs, at, p.Bytes, nil)); err != nil {
 			return err
 		}
@@ -387,22 +387,22 @@
 }
 
 func (v *Volume) readPiece(ctx context.Context, p extent.Piece, into [][]byte) error {
-	name := v.rec.ExtentName(p.Index)
+	name := v.rec.ExtentName(p.ExtentIndex)
 	shard := v.s.slots.Shard(name)
 	if err := v.ready(ctx, shard); err != nil {
 		return err
 	}
 	return again(ctx, retry.Read, func() (time.Duration, error) {
 		c := v.s.newCall(v.rec.Name, v.plan, config.ClassRead, shard, p.Bytes,
-			brick.Call{Method: "GET", Space: brick.SpaceExtents, Name: name, Epoch: v.rec.Epoch, Range: fmt.Sprintf("bytes=%d-%d", p.Offset, p.Offset+p.Bytes-1)})
+			brick.Request{Method: "GET", Space: brick.SpaceExtents, Name: name, Epoch: v.rec.Epoch, Range: fmt.Sprintf("bytes=%d-%d", p.Offset, p.Offset+p.Bytes-1)})
 		c.into = into
-		c.Take = c.takeInto(v.s)
+		c.HandleResponse = c.takeInto(v.s)
 		after, err := v.s.do(c, v.rec.Name)
 		v.note(err)
 		if err != nil {
 			return after, err
 		}
-		status := c.Answer.Status
+		status := c.Response.Status
 		switch status {
 		case 200, 206:
 			return 0, nil
@@ -440,7 +440,7 @@
 		total += int64(len(b))
 	}
 	at := int64(0)
-	for _, p := range v.rec.Split(from, total, nil) {
+	for _, p := range v.rec.SplitRange(from, total, nil) {
 		b := &body{cut(bufs, at, p.Bytes, nil), p.Bytes}
 		if err := v.patch(ctx, p, b, false); err != nil {
 			return err
@@ -451,21 +451,21 @@
 }
 
 func (v *Volume) patch(ctx context.Context, p extent.Piece, b brick.Body, truncate bool) error {
-	name := v.rec.ExtentName(p.Index)
+	name := v.rec.ExtentName(p.ExtentIndex)
 	shard := v.s.slots.Shard(name)
 	if err := v.ready(ctx, shard); err != nil {
 		return err
 	}
 	number := v.number.Add(1)
 	return again(ctx, retry.Write, func() (time.Duration, error) {
-		c := v.s.newCall(v.rec.Name, v.plan, config.ClassWrite, shard, b.Len(), brick.Call{Method: "PATCH", Space: brick.SpaceExtents, Name: name,
+		c := v.s.newCall(v.rec.Name, v.plan, config.ClassWrite, shard, b.Len(), brick.Request{Method: "PATCH", Space: brick.SpaceExtents, Name: name,
 			Epoch: v.rec.Epoch, Offset: p.Offset, Number: number, Truncate: truncate, Body: b})
 		after, err := v.s.do(c, v.rec.Name)
 		v.note(err)
 		if err != nil {
 			return after, err
 		}
-		status := c.Answer.Status
+		status := c.Response.Status
 		if status != 200 {
 			return 0, fmt.Errorf("%w: status %d", ErrIO, status)
 		}
@@ -474,12 +474,12 @@
 }
 
 // zeros is what parts of extents are overwritten with.
-var zeros [extent.ExtentBytes]byte
+var zeros [extent.DefaultExtentBytes]byte
 
 // Zero makes a range of the volume read as zeros. Whole extents are emptied.
 func (v *Volume) Zero(ctx context.Context, from, bytes int64) error {
-	for _, p := range v.rec.Split(from, bytes, nil) {
-		whole := p.Offset == 0 && (p.Bytes == v.rec.Extent || p.Index*v.rec.Extent+p.Bytes == v.rec.Bytes)
+	for _, p := range v.rec.SplitRange(from, bytes, nil) {
+		whole := p.Offset == 0 && (p.Bytes == v.rec.ExtentBytes || p.ExtentIndex*v.rec.ExtentBytes+p.Bytes == v.rec.SizeBytes)
 		b := brick.Bytes(nil)
 		if !whole {
 			b = brick.Bytes(zeros[:min(p.Bytes, int64(len(zeros)))])
