--- a/internal/timers/wheel.go
+++ b/internal/timers/wheel.go
@@ -1,36 +1,36 @@
-// Package timers keeps a host's timers: a hierarchical timing wheel (Varghese
-// and Lauck, "Hashed and hierarchical timing wheels", 1987). Timers are never
-// taken back, nearly all are a request's deadline seconds away, and most are
-// of no interest any more when they run out, which is what a wheel is good at.
+// Package timers implements a hierarchical timing wheel (Varghese and Lauck,
+// "Hashed and hierarchical timing wheels", 1987). It suits a host's timers:
+// they are never cancelled, most are request deadlines seconds away, and most
+// are no longer of interest when they expire.
 package timers
 
 import "math/bits"
 
 const (
-	slotBits = 8
-	slots    = 1 << slotBits
-	levels   = 4
+	slotBits  = 8
+	numSlots  = 1 << slotBits
+	numLevels = 4
 )
 
-// Wheel holds tokens by the time at which they run out. Times are in ticks of
-// the caller's choice and only advance. Not safe for concurrent use.
+// Wheel holds tokens by their expiry time. The caller chooses the unit of time;
+// time only advances. A Wheel is not safe for concurrent use.
 type Wheel struct {
-	tick  int64 // span of a tick
-	now   int64 // ticks; all before it ran out
-	count int
-	slot  [levels][slots][]item
-	full  [levels][slots / 64]uint64 // which slots hold something
-	far   []item                     // beyond the last level
-	due   []item                     // already past when added
+	tick     int64 // length of a tick in the caller's unit
+	now      int64 // in ticks; all earlier timers have expired
+	count    int
+	slots    [numLevels][numSlots][]timer
+	occupied [numLevels][numSlots / 64]uint64 // bitmap of the slots that are not empty
+	overflow []timer                          // beyond the last level
+	expired  []timer                          // already expired when they were added
 }
 
-type item struct {
-	at    int64 // ticks
+type timer struct {
+	at    int64 // expiry in ticks
 	token uint64
 }
 
-// NewWheel returns an empty wheel whose ticks span tick of the caller's time,
-// standing at now.
+// NewWheel returns an empty wheel at time now. tick is the length of a tick in
+// the caller's unit of time.
 func NewWheel(tick, now int64) *Wheel {
 	return &Wheel{tick: tick, now: now / tick}
 }
@@ -38,105 +38,106 @@
 // Len returns the number of tokens held.
 func (w *Wheel) Len() int { return w.count }
 
-// Add holds token until at. It runs out in the first tick that begins at or
-// after at, never before it.
+// Add holds token until time at. The token expires in the first tick that
+// begins at or after at, never earlier.
 func (w *Wheel) Add(at int64, token uint64) {
 	w.count++
-	w.place(item{(at + w.tick - 1) / w.tick, token})
+	w.insert(timer{(at + w.tick - 1) / w.tick, token})
 }
 
-func (w *Wheel) place(it item) {
-	if it.at <= w.now {
-		w.due = append(w.due, it)
+func (w *Wheel) insert(t timer) {
+	if t.at <= w.now {
+		w.expired = append(w.expired, t)
 		return
 	}
-	// The level is that of the highest digit in which the time differs from now.
-	level := (63 - bits.LeadingZeros64(uint64(it.at^w.now))) / slotBits
-	if level >= levels {
-		w.far = append(w.far, it)
+	// The level is that of the highest digit in which the expiry differs from now.
+	level := (63 - bits.LeadingZeros64(uint64(t.at^w.now))) / slotBits
+	if level >= numLevels {
+		w.overflow = append(w.overflow, t)
 		return
 	}
-	i := it.at >> (level * slotBits) & (slots - 1)
-	w.slot[level][i] = append(w.slot[level][i], it)
-	w.full[level][i/64] |= 1 << (i % 64)
+	i := t.at >> (level * slotBits) & (numSlots - 1)
+	w.slots[level][i] = append(w.slots[level][i], t)
+	w.occupied[level][i/64] |= 1 << (i % 64)
 }
 
-// Advance moves the wheel to now and appends the tokens that ran out to out,
-// in the order of their ticks.
+// Advance moves the wheel to time now and appends the tokens that expired to
+// out, in the order of their ticks.
 func (w *Wheel) Advance(now int64, out []uint64) []uint64 {
-	to := now / w.tick
-	out = w.flushDue(out)
-	for w.now < to {
+	target := now / w.tick
+	out = w.flushExpired(out)
+	for w.now < target {
 		if w.count == 0 {
-			w.now = to
+			w.now = target
 			break
 		}
 		next := w.nextStop()
-		if next > to {
-			w.jump(to)
+		if next > target {
+			w.moveTo(target)
 			break
 		}
-		w.jump(next)
-		out = w.flushDue(out)
+		w.moveTo(next)
+		out = w.flushExpired(out)
 	}
 	return out
 }
 
-// jump moves to a tick up to which nothing runs out, and spreads the slots of
-// higher levels that begin there.
-func (w *Wheel) jump(to int64) {
+// moveTo moves the wheel to a tick before which no timer expires, and
+// redistributes the slots of higher levels that begin at that tick.
+func (w *Wheel) moveTo(tick int64) {
 	before := w.now
-	w.now = to
-	if before>>(levels*slotBits) != to>>(levels*slotBits) {
-		far := w.far
-		w.far = nil
-		for _, it := range far {
-			w.place(it)
+	w.now = tick
+	if before>>(numLevels*slotBits) != tick>>(numLevels*slotBits) {
+		overflow := w.overflow
+		w.overflow = nil
+		for _, t := range overflow {
+			w.insert(t)
 		}
 	}
-	for level := levels - 1; level >= 0; level-- {
-		if before>>(level*slotBits) == to>>(level*slotBits) {
+	for level := numLevels - 1; level >= 0; level-- {
+		if before>>(level*slotBits) == tick>>(level*slotBits) {
 			continue
 		}
-		i := to >> (level * slotBits) & (slots - 1)
-		if w.full[level][i/64]&(1<<(i%64)) == 0 {
+		i := tick >> (level * slotBits) & (numSlots - 1)
+		if w.occupied[level][i/64]&(1<<(i%64)) == 0 {
 			continue
 		}
-		items := w.slot[level][i]
-		w.slot[level][i] = items[:0]
-		w.full[level][i/64] &^= 1 << (i % 64)
-		for _, it := range items {
-			w.place(it) // always at a lower level, or due
+		timers := w.slots[level][i]
+		w.slots[level][i] = timers[:0]
+		w.occupied[level][i/64] &^= 1 << (i % 64)
+		for _, t := range timers {
+			w.insert(t) // always at a lower level, or expired
 		}
 	}
 }
 
-func (w *Wheel) flushDue(out []uint64) []uint64 {
-	for _, it := range w.due {
-		out = append(out, it.token)
+// flushExpired appends the tokens of the expired timers to out.
+func (w *Wheel) flushExpired(out []uint64) []uint64 {
+	for _, t := range w.expired {
+		out = append(out, t.token)
 	}
-	w.count -= len(w.due)
-	w.due = w.due[:0]
+	w.count -= len(w.expired)
+	w.expired = w.expired[:0]
 	return out
 }
 
-// nextStop returns the next tick at which something runs out or a slot of a
-// higher level must be spread.
+// nextStop returns the next tick at which a timer expires or a slot of a higher
+// level must be redistributed.
 func (w *Wheel) nextStop() int64 {
-	for level := range levels {
+	for level := range numLevels {
 		shift := level * slotBits
 		at := w.now >> shift
-		if i := nextFull(&w.full[level], int(at&(slots-1))+1); i >= 0 {
-			return (at&^(slots-1) | int64(i)) << shift
+		if i := nextOccupied(&w.occupied[level], int(at&(numSlots-1))+1); i >= 0 {
+			return (at&^(numSlots-1) | int64(i)) << shift
 		}
 	}
-	return (w.now>>(levels*slotBits) + 1) << (levels * slotBits)
+	return (w.now>>(numLevels*slotBits) + 1) << (numLevels * slotBits)
 }
 
-// nextFull returns the first marked slot from i on, or -1.
-func nextFull(full *[slots / 64]uint64, i int) int {
-	for word := i / 64; word < len(full); word++ {
-		m := full[word]
+// nextOccupied returns the first occupied slot at or after i, or -1.
+func nextOccupied(occupied *[numSlots / 64]uint64, i int) int {
+	for word := i / 64; word < len(occupied); word++ {
+		m := occupied[word]
 		if word == i/64 {
 			m &= ^uint64(0) << (i % 64)
 		}
@@ -147,13 +148,14 @@
 	return -1
 }
 
-// Next returns a time before which nothing runs out, at which it is worth to
-// call Advance; false where the wheel is empty.
+// Next returns the time at which Advance should be called next. No timer expires
+// before it, but none may expire at it either. It returns false if the wheel is
+// empty.
 func (w *Wheel) Next() (int64, bool) {
 	if w.count == 0 {
 		return 0, false
 	}
-	if len(w.due) > 0 {
+	if len(w.expired) > 0 {
 		return w.now * w.tick, true
 	}
 	return w.nextStop() * w.tick, true
