--- a/cmd/arrowwalk/serve.go
+++ b/cmd/arrowwalk/serve.go
@@ -21,7 +21,7 @@
 	"arrowwalk/internal/gateway"
 	"arrowwalk/internal/membership"
 	"arrowwalk/internal/store"
-	"arrowwalk/internal/store/keeper"
+	"arrowwalk/internal/store/maintenance"
 )
 
 type serveCmd struct {
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	g.log.Info("serving", "endpoint", gw.Endpoint(), "host", gw.Host().Label(), "bricks", len(cfg.Bricks), "data", s.Data)
+	g.log.Info("serving", "endpoint", gw.Endpoint(), "host", gw.Host().RunID(), "bricks", len(cfg.Bricks), "data", s.Data)
 	if err := s.writeReady(gw, cfg); err != nil {
 		gw.Stop(stop)
 		return err
@@ -187,7 +187,7 @@
 	zone.Name = b.Zone
 	server := brickd.Start(ln, dir, brickd.Options{ID: b.Name, Zone: zone, Log: g.log})
 	defer server.Close()
-	tender := keeper.Start(keeper.Options{Store: dir, Load: server.Load, Pass: b.Scrub, Log: g.log})
+	tender := maintenance.Start(maintenance.Options{Store: dir, Load: server.Load, ScrubPeriod: b.Scrub, Log: g.log})
 	defer tender.Close()
 	g.log.Info("brick serves", "name", b.Name, "address", server.Addr())
 	if len(b.Coord) > 0 {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -31,7 +31,7 @@
 	"arrowwalk/internal/membership/trust"
 	"arrowwalk/internal/spool"
 	"arrowwalk/internal/store"
-	"arrowwalk/internal/store/keeper"
+	"arrowwalk/internal/store/maintenance"
 )
 
 // Options of a Gateway.
@@ -78,7 +78,7 @@
 	name   string
 	server *brickd.Server
 	dir    *store.Store
-	keeper *keeper.Keeper
+	keeper *maintenance.Runner
 }
 
 // Start opens the sockets and serves. Nothing is left open after an error.
@@ -121,8 +121,8 @@
 	if g.host, err = host.New(host.Options{Settings: cfg.Module(), Log: g.opt.Log}); err != nil {
 		return err
 	}
-	g.pool = brick.NewPool(brick.PoolOptions{IdlePerBrick: cfg.Bounds.BrickIdle, DialTimeout: config.MS(cfg.Timeouts.DialMS),
-		Stall: config.MS(cfg.Classes.Read.DeadlineMS)})
+	g.pool = brick.NewPool(brick.PoolOptions{MaxIdlePerBrick: cfg.Bounds.BrickIdle, DialTimeout: config.MS(cfg.Timeouts.DialMS),
+		StallTimeout: config.MS(cfg.Classes.Read.DeadlineMS)})
 	g.spool = spool.NewPool(cfg.Bounds.MemoryBytes, cfg.Bounds.SpoolBytes, cfg.Bounds.SpoolDir)
 	if err := g.follow(list); err != nil {
 		return err
@@ -205,7 +205,7 @@
 		return nil, fmt.Errorf("brick %s: %w", b.Name, err)
 	}
 	e := &embedded{name: b.Name, server: brickd.Start(ln, dir, brickd.Options{ID: b.Name, Zone: zone, Meter: meter, Log: g.opt.Log}), dir: dir}
-	e.keeper = keeper.Start(keeper.Options{Store: dir, Load: e.server.Load, Log: g.opt.Log.With("brick", b.Name)})
+	e.keeper = maintenance.Start(maintenance.Options{Store: dir, Load: e.server.Load, Log: g.opt.Log.With("brick", b.Name)})
 	return e, nil
 }
 
@@ -215,7 +215,7 @@
 	cfg := g.opt.Config
 	shape := membership.Topology{Zones: cfg.Zones, Shards: cfg.Shards}
 	keeper, err := membership.StartTracker(membership.TrackerOptions{Topology: shape, Host: g.host, Prober: asker{g.pool}, CacheDir: cfg.CacheDir,
-		Log: g.opt.Log, OnAddresses: g.pool.Keep, TrustCache: g.opt.DropGuard == "expect", OnList: g.listed, Overlay: g.overlay})
+		Log: g.opt.Log, OnAddresses: g.pool.CloseIdleExcept, TrustCache: g.opt.DropGuard == "expect", OnList: g.listed, Overlay: g.overlay})
 	if err != nil {
 		return err
 	}
@@ -256,7 +256,7 @@
 	if !ok {
 		deadline = time.Now().Add(time.Second)
 	}
-	id, err := a.pool.Ask(at, address, name, deadline)
+	id, err := a.pool.Identify(at, address, name, deadline)
 	return evidence(err), id.Started
 }
 
@@ -275,7 +275,7 @@
 }
 
 // seen passes on what an attempt showed.
-func (g *Gateway) seen(s attempts.Seen) {
+func (g *Gateway) seen(s attempts.Observation) {
 	full := s.Reason == brick.ReasonDiskFull
 	turned := g.desk.Stats.RecordAttempt(trafficstats.Attempt{Brick: s.Brick, Volume: s.Volume, Units: s.Units, Latency: s.Latency,
 		OK: s.Reason == "", Reason: string(s.Reason), Util: s.Util, Write: s.Write, Full: full}, time.Now())
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -66,14 +66,14 @@
 	sums  []uint32 // of each block of what was written
 }
 
-// Buffer returns an empty buffer; the caller Releases it.
-func (p *Pool) Buffer() *Buffer { return &Buffer{pool: p} }
+// NewBuffer returns an empty buffer; the caller Releases it.
+func (p *Pool) NewBuffer() *Buffer { return &Buffer{pool: p} }
 
 // Len returns the number of bytes written.
 func (b *Buffer) Len() int64 { return b.size }
 
-// Spilled tells whether the body is in a file.
-func (b *Buffer) Spilled() bool { return b.file != nil }
+// IsSpilled tells whether the body is in a file.
+func (b *Buffer) IsSpilled() bool { return b.file != nil }
 
 // Fill reads r to its end, or for most bytes, and returns how many came. The
 // errors of r come back as they are; ErrFull leaves what was written.
@@ -168,12 +168,12 @@
 // sum takes what is written into the checksums.
 func (b *Buffer) sum(p []byte) {
 	for at := b.size; len(p) > 0; {
-		n := min(record.Block-at%record.Block, int64(len(p)))
-		if at%record.Block == 0 {
+		n := min(record.BlockSize-at%record.BlockSize, int64(len(p)))
+		if at%record.BlockSize == 0 {
 			b.sums = append(b.sums, 0)
 		}
 		last := &b.sums[len(b.sums)-1]
-		*last = record.AddSum(*last, p[:n])
+		*last = record.UpdateChecksum(*last, p[:n])
 		p = p[n:]
 		at += n
 	}
