--- a/internal/host/engine.go
+++ b/internal/host/engine.go
@@ -1,7 +1,9 @@
-// Package host runs the module for one host. Its Engine is the module with its
-// timers, free of I/O and clock; its Host steps an Engine in one goroutine at a
-// time, takes tasks from any number of others and has the module's actions
-// carried out. It knows neither clients' protocols nor bricks'.
+// Package host runs the scheduler module on a real host. An Engine combines the
+// module with its timers and uses neither I/O nor a clock. A Host drives an
+// Engine: it accepts tasks from any number of goroutines, steps the Engine from
+// one goroutine at a time and executes the actions that the module returns. The
+// package knows nothing of the protocols of clients and bricks; a Runner makes
+// the attempts.
 package host
 
 import (
@@ -11,8 +13,9 @@
 	"arrowwalk/internal/timers"
 )
 
-// Engine is a Scheduler with its timers. It is free of I/O and clock; the
-// emulator and the running host drive the same one.
+// Engine is a Scheduler with its timers. It does no I/O and reads no clock, so
+// the emulator and a running host use the same one. It is not safe for
+// concurrent use.
 type Engine struct {
 	scheduler *arrowwalk.Scheduler
 	wheel     *timers.Wheel
@@ -20,20 +23,23 @@
 	events    []arrowwalk.Event
 }
 
-// NewEngine returns an Engine at the given time, or an error that names the
-// setting at fault.
+// minTickMicros is the shortest tick of the timing wheel.
+const minTickMicros = 100
+
+// NewEngine returns an Engine whose time starts at now. The error names the
+// invalid setting.
 func NewEngine(set arrowwalk.Settings, now arrowwalk.Micros) (*Engine, error) {
 	s, err := arrowwalk.New(set)
 	if err != nil {
 		return nil, fmt.Errorf("scheduler: %w", err)
 	}
-	tick := max(int64(set.Tick), 100)
+	tick := max(int64(set.Tick), minTickMicros)
 	return &Engine{scheduler: s, wheel: timers.NewWheel(tick, int64(now))}, nil
 }
 
-// Step hands the timers that ran out and then events to the module, and
-// returns what is to be done but for SetTimer, which the Engine does itself.
-// The result is valid until the next call.
+// Step passes the expired timers and then events to the module. It returns the
+// module's actions except SetTimer, which the Engine handles itself. The result
+// is valid until the next call.
 func (e *Engine) Step(now arrowwalk.Micros, events []arrowwalk.Event) []arrowwalk.Action {
 	e.tokens = e.wheel.Advance(int64(now), e.tokens[:0])
 	e.events = e.events[:0]
@@ -43,22 +49,23 @@
 	e.events = append(e.events, events...)
 	actions := e.scheduler.Step(now, e.events...)
 	clear(e.events)
-	rest := actions[:0]
+	external := actions[:0]
 	for _, a := range actions {
 		if a.Kind == arrowwalk.SetTimer {
 			e.wheel.Add(int64(now+a.Delay), a.Token)
 		} else {
-			rest = append(rest, a)
+			external = append(external, a)
 		}
 	}
-	return rest
+	return external
 }
 
-// Next returns the time by which Step should be called even without events.
+// Next returns the time by which Step should be called even if there are no
+// events. It returns false if no timer is set.
 func (e *Engine) Next() (arrowwalk.Micros, bool) {
 	at, ok := e.wheel.Next()
 	return arrowwalk.Micros(at), ok
 }
 
-// View copies what the module knows of its nodes and volumes.
+// View returns a copy of the module's state of its nodes and volumes.
 func (e *Engine) View() ([]arrowwalk.NodeView, []arrowwalk.VolumeView) { return e.scheduler.View() }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -11,19 +11,20 @@
 	"arrowwalk"
 )
 
-// Options of a Host.
+// Options configures a Host.
 type Options struct {
 	Settings arrowwalk.Settings
-	Log      *slog.Logger
+	Log      *slog.Logger // nil discards all records
 }
 
-// Host runs the module. Its methods may be called from any goroutine.
+// Host runs the scheduler module in real time. Its methods are safe for
+// concurrent use. Close stops its goroutines.
 type Host struct {
-	opt   Options
-	log   *slog.Logger
-	base  time.Time // times of the module are counted from it
-	wall  int64     // wall clock at base, microseconds since 1970
-	label string
+	opt         Options
+	log         *slog.Logger
+	epoch       time.Time // start of the host; monotonic origin of the module's time
+	epochMicros int64     // wall clock at epoch, microseconds since 1970
+	runID       string
 
 	mu     sync.Mutex
 	inbox  []message
@@ -33,81 +34,83 @@
 	quit   chan struct{}
 	timer  *time.Timer
 
-	still    *still
-	watched  sync.WaitGroup
-	catching bool // the owner steps a module that stood still
+	stalls        *stallGuard
+	heartbeatDone sync.WaitGroup
+	afterStall    bool // the current step is the first one after a stall
 
-	own   sync.Mutex    // who holds it owns loop
-	last  atomic.Uint64 // the last request number
-	stats counters
-	loop  loop
+	loopMu        sync.Mutex    // the goroutine that holds it owns loop
+	lastRequestID atomic.Uint64 // the highest request ID given out
+	stats         counters
+	loop          loop
 }
 
-// message is what others hand to the loop.
+// message is an input of the loop.
 type message struct {
 	event   arrowwalk.Event
-	task    *Task             // of a Request or Outcome
-	members []Member          // of a NodeList
-	ask     func(s *Snapshot) // answered by the loop between two steps
+	task    *Task                 // for a Request, Outcome or Abandoned event
+	members []Member              // for a NodeList event
+	inspect func(state *Snapshot) // called by the loop between two steps
 }
 
-// loop is what only the owner touches: one goroutine at a time, the host's own
-// or that of a caller.
+// loop is the state that only the holder of Host.loopMu may touch. The holder is
+// the host's own goroutine or that of a caller.
 type loop struct {
-	engine  *Engine
-	tasks   map[arrowwalk.RequestID]*Task
-	members map[arrowwalk.NodeID]Member
-	events  []arrowwalk.Event
-	swap    []message
-	armed   arrowwalk.Micros // when the timer runs out; 0: it is not set
-	end     time.Time        // by then all tasks are over; zero: the host goes on
+	engine     *Engine
+	tasks      map[arrowwalk.RequestID]*Task
+	members    map[arrowwalk.NodeID]Member
+	events     []arrowwalk.Event
+	spareInbox []message
+	timerAt    arrowwalk.Micros // when Host.timer expires; 0 if it is not set
+	shutdownAt time.Time        // all tasks end by then; zero if no shutdown was requested
 }
 
-// until returns the sooner of a time and the host's end.
-func (l *loop) until(t time.Time) time.Time {
-	if !l.end.IsZero() && l.end.Before(t) {
-		return l.end
+// capDeadline returns the earlier of t and the shutdown time.
+func (l *loop) capDeadline(t time.Time) time.Time {
+	if !l.shutdownAt.IsZero() && l.shutdownAt.Before(t) {
+		return l.shutdownAt
 	}
 	return t
 }
 
-// New starts a Host; Close ends it.
+// New starts a Host. The caller must Close it.
 func New(opt Options) (*Host, error) {
 	if opt.Log == nil {
 		opt.Log = slog.New(slog.DiscardHandler)
 	}
-	h := &Host{opt: opt, log: opt.Log, base: time.Now(), wake: make(chan struct{}, 1),
+	h := &Host{opt: opt, log: opt.Log, epoch: time.Now(), wake: make(chan struct{}, 1),
 		done: make(chan struct{}), quit: make(chan struct{})}
-	h.wall = h.base.UnixMicro()
-	h.label = fmt.Sprintf("%d-%s", opt.Settings.Host, strconv.FormatInt(h.wall, 36))
-	engine, err := NewEngine(opt.Settings, h.now())
+	h.epochMicros = h.epoch.UnixMicro()
+	h.runID = fmt.Sprintf("%d-%s", opt.Settings.Host, strconv.FormatInt(h.epochMicros, 36))
+	engine, err := NewEngine(opt.Settings, h.moduleTime())
 	if err != nil {
 		return nil, err
 	}
 	h.timer = time.NewTimer(0)
 	h.loop = loop{engine: engine, tasks: map[arrowwalk.RequestID]*Task{}, members: map[arrowwalk.NodeID]Member{}}
-	h.still = newStill(h.now())
-	h.watched.Add(1)
-	go h.run()
-	go h.watch()
+	h.stalls = newStallGuard(h.moduleTime())
+	h.heartbeatDone.Add(1)
+	go h.runLoop()
+	go h.runHeartbeat()
 	return h, nil
 }
 
-// RunID names this run of this host: NUMBER-START. Request ids begin with it.
-func (h *Host) RunID() string { return h.label }
+// RunID identifies this run of this host as NUMBER-START, where START is the
+// start time in base 36. Request IDs begin with it.
+func (h *Host) RunID() string { return h.runID }
 
-// Settings returns what the module was told at its start.
+// Settings returns the settings that the module was created with.
 func (h *Host) Settings() arrowwalk.Settings { return h.opt.Settings }
 
-// now returns the module's time: the wall clock at the start, advanced by the
-// monotonic clock alone, so that a node's told start is on the same scale and
-// a clock that jumps moves nothing.
-func (h *Host) now() arrowwalk.Micros {
-	return arrowwalk.Micros(h.wall + time.Since(h.base).Microseconds())
+// moduleTime returns the current time on the module's scale: the wall clock at
+// the host's start, advanced by the monotonic clock only. It is therefore
+// comparable with the start times in node lists, and a step of the wall clock
+// does not affect it.
+func (h *Host) moduleTime() arrowwalk.Micros {
+	return arrowwalk.Micros(h.epochMicros + time.Since(h.epoch).Microseconds())
 }
 
-// Close stops the loop. Tasks still waiting end as Failed; call it after those
-// who use the host have stopped.
+// Close stops the host and waits for its goroutines. Tasks that still wait end
+// with Failed. Call it after all users of the host have stopped.
 func (h *Host) Close() {
 	h.mu.Lock()
 	if !h.closed {
@@ -116,13 +119,13 @@
 	}
 	h.mu.Unlock()
 	<-h.done
-	h.watched.Wait()
+	h.heartbeatDone.Wait()
 }
 
-// post hands messages to the module; false: the host has stopped. Where nobody
-// owns the Engine at the moment, the caller does the step itself: that saves
-// two changes of goroutine on a request's way. Else the owner takes the
-// messages along in its next step, in one batch with those of others.
+// post queues messages for the module and returns false if the host is closed.
+// If no other goroutine owns the loop, the caller executes the step itself,
+// which saves two goroutine switches on a request's path. Otherwise the owner
+// includes the messages in its next step, batched with those of other callers.
 func (h *Host) post(messages ...message) bool {
 	h.mu.Lock()
 	if h.closed {
@@ -131,58 +134,59 @@
 	}
 	h.inbox = append(h.inbox, messages...)
 	h.mu.Unlock()
-	h.drive()
+	h.stepPending()
 	return true
 }
 
-// turnsMost is how many steps a caller does for others before it leaves them
-// to the host's own goroutine.
-const turnsMost = 4
-
-// drive steps the module while there is something to step for and nobody else
-// does. A message left behind is impossible: who fails to own the Engine has
-// put its message in before, and the owner looks again after it let go.
-func (h *Host) drive() {
-	for turns := 0; h.pending(); turns++ {
-		if turns == turnsMost {
-			h.nudge()
+// maxCallerSteps is the number of steps that a caller executes on behalf of
+// others before it hands over to the host's own goroutine.
+const maxCallerSteps = 4
+
+// stepPending steps the module while messages are queued and no other goroutine
+// owns the loop. No message is left behind: a goroutine that fails to take
+// loopMu has queued its message before, and the owner checks the inbox again
+// after it released loopMu.
+func (h *Host) stepPending() {
+	for steps := 0; h.hasMessages(); steps++ {
+		if steps == maxCallerSteps {
+			h.wakeLoop()
 			return
 		}
-		if !h.own.TryLock() {
+		if !h.loopMu.TryLock() {
 			return
 		}
-		h.stepNow()
-		h.arm()
-		h.own.Unlock()
+		h.stepLocked()
+		h.armTimer()
+		h.loopMu.Unlock()
 	}
 }
 
-func (h *Host) pending() bool {
+func (h *Host) hasMessages() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.inbox) > 0 && !h.closed
 }
 
-// nudge wakes the host's own goroutine.
-func (h *Host) nudge() {
+// wakeLoop wakes the host's own goroutine.
+func (h *Host) wakeLoop() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
 	}
 }
 
-// arm sets the timer to the Engine's next, where that is sooner than what it
-// is set to.
-func (h *Host) arm() {
+// armTimer sets the timer to the Engine's next expiry unless it already expires
+// by then. The caller holds h.loopMu.
+func (h *Host) armTimer() {
 	next, ok := h.loop.engine.Next()
-	if !ok || h.loop.armed != 0 && h.loop.armed <= next {
+	if !ok || h.loop.timerAt != 0 && h.loop.timerAt <= next {
 		return
 	}
-	h.loop.armed = next
-	h.timer.Reset(time.Duration(next-h.now()) * time.Microsecond)
+	h.loop.timerAt = next
+	h.timer.Reset(time.Duration(next-h.moduleTime()) * time.Microsecond)
 }
 
-// Nodes tells the module of the node list, or of changes to it.
+// Nodes passes a snapshot of the node list, or a delta to it, to the module.
 func (h *Host) Nodes(kind arrowwalk.ListKind, version int64, members []Member) {
 	list := &arrowwalk.NodeList{Kind: kind, Version: version, Nodes: make([]arrowwalk.Node, 0, len(members))}
 	for _, m := range members {
@@ -191,168 +195,174 @@
 	h.post(message{event: list, members: members})
 }
 
-// Do has the module decide on a task until it has its one final word, and runs
-// its attempts on the caller's goroutine. It returns before Until, give or
-// take a tick, unless an attempt streams its answer.
+// Do submits a task to the module, runs its attempts on the caller's goroutine
+// and returns the task's final result. It returns by t.Deadline, within about a
+// tick, unless an attempt streams its response.
 func (h *Host) Do(t *Task) TaskResult {
-	t.taken = time.Now()
-	t.running = -1
+	t.acceptedAt = time.Now()
+	t.runningAttempt = -1
 	t.signals = make(chan signal, 4)
 	t.request = arrowwalk.Request{
-		ID: arrowwalk.RequestID(h.last.Add(1)), Class: t.Class, Volume: t.Volume, HasKey: t.HasKey, Key: t.Key,
+		ID: arrowwalk.RequestID(h.lastRequestID.Add(1)), Class: t.Class, Volume: t.Volume, HasKey: t.HasKey, Key: t.Key,
 		Units: t.Units, Shard: t.Shard, Again: t.IsRetry,
 	}
-	h.stats.taken.Add(1)
-	v := TaskResult{Status: Failed}
+	h.stats.accepted.Add(1)
+	result := TaskResult{Status: Failed}
 	if h.post(message{event: &t.request, task: t}) {
-		t.begun.Store(true)
-		v = h.follow(t)
+		t.submitted.Store(true)
+		result = h.runAttempts(t)
 	}
-	h.stats.ended[v.Status].Add(1)
-	return v
+	h.stats.ended[result.Status].Add(1)
+	return result
 }
 
-// follow carries out what the module says of t until it is over.
-func (h *Host) follow(t *Task) TaskResult {
-	tries := 0
+// runAttempts executes the module's decisions on t until t has ended.
+func (h *Host) runAttempts(t *Task) TaskResult {
+	attempts := 0
 	for s := range t.signals {
 		switch s.kind {
 		case signalRefuse:
-			return TaskResult{Status: Refused, RetryAfter: s.after, Attempts: tries}
-		case signalFail, signalStop:
-			return TaskResult{Status: Failed, Attempts: tries}
-		case signalGone:
-			return TaskResult{Status: ClientGone, Attempts: tries}
+			return TaskResult{Status: Refused, RetryAfter: s.retryAfter, Attempts: attempts}
+		case signalFail, signalHostClosed:
+			return TaskResult{Status: Failed, Attempts: attempts}
+		case signalClientGone:
+			return TaskResult{Status: ClientGone, Attempts: attempts}
 		}
-		tries++
-		h.alive(t)
-		began := time.Now()
-		r := h.try(t, s)
+		attempts++
+		h.heartbeat(t)
+		start := time.Now()
+		r := h.runAttempt(t, s)
 		if r.Final {
-			t.over.Store(true)
+			t.ended.Store(true)
 		}
 		h.stats.statuses[r.Status].Add(1)
 		if r.Status != arrowwalk.OK {
-			r.SocketDelay = h.unseen(began)
+			r.SocketDelay = h.stalledSince(start)
 		}
-		latency := time.Since(began) - r.SocketDelay
+		latency := time.Since(start) - r.SocketDelay
 		h.post(message{task: t, event: &arrowwalk.Outcome{
 			Attempt: arrowwalk.Attempt{Request: t.request.ID, Number: s.number, Node: s.member.ID},
 			Status:  r.Status, Latency: arrowwalk.Micros(latency.Microseconds()), Closed: r.Final,
 			FleetUse: r.FleetUse, OthersUnits: r.OtherHostsUnits, Load: r.Load,
 		}})
 		if r.Final {
-			return TaskResult{Status: Served, Attempts: tries}
+			return TaskResult{Status: Served, Attempts: attempts}
 		}
 	}
-	return TaskResult{Status: Failed, Attempts: tries}
+	return TaskResult{Status: Failed, Attempts: attempts}
 }
 
-func (h *Host) try(t *Task, s signal) AttemptResult {
-	if t.over.Load() || !time.Now().Before(s.until) { // the final word came before the attempt began, or comes now
+func (h *Host) runAttempt(t *Task, s signal) AttemptResult {
+	if t.ended.Load() || !time.Now().Before(s.deadline) { // the task ended before the attempt began, or ends now
 		return AttemptResult{Status: arrowwalk.NotSent}
 	}
-	return t.Runner.Try(&Attempt{Request: t.request.ID, Number: s.number, Member: s.member, Deadline: s.until})
+	return t.Runner.Try(&Attempt{Request: t.request.ID, Number: s.number, Member: s.member, Deadline: s.deadline})
 }
 
-// BeginStream tells that the answer to t has begun: its deadline no longer counts.
-func (h *Host) BeginStream(t *Task, number int, node arrowwalk.NodeID) {
-	h.post(message{event: &arrowwalk.StreamStarted{Request: t.request.ID, Attempt: number, Node: node}})
+// BeginStream reports that the response to t has begun in the given attempt:
+// the task's deadline no longer applies.
+func (h *Host) BeginStream(t *Task, attempt int, node arrowwalk.NodeID) {
+	h.post(message{event: &arrowwalk.StreamStarted{Request: t.request.ID, Attempt: attempt, Node: node}})
 }
 
-// Abandon tells that t's client has gone; false: Do has not begun with t, and
-// the caller may try again.
+// Abandon reports that t's client has disconnected. It returns false if Do has
+// not submitted t yet, in which case the caller may call it again, or if the
+// host is closed.
 func (h *Host) Abandon(t *Task) bool {
-	if !t.begun.Load() {
+	if !t.submitted.Load() {
 		return false
 	}
 	return h.post(message{event: &arrowwalk.Abandoned{Request: t.request.ID}, task: t})
 }
 
-// Shutdown has every task end by a time, those that are taken from now on too.
+// Shutdown makes every task end by a time, including tasks that are submitted
+// later.
 func (h *Host) Shutdown(by time.Time) {
-	h.post(message{event: &arrowwalk.Shutdown{At: arrowwalk.Micros(h.wall + h.micros(by))}})
+	h.post(message{event: &arrowwalk.Shutdown{At: arrowwalk.Micros(h.epochMicros + h.microsSinceEpoch(by))}})
 }
 
-// run steps the module when a timer runs out, and ends the host.
-func (h *Host) run() {
+// runLoop steps the module when a timer expires or callers hand over their
+// messages, and ends the remaining tasks when the host is closed.
+func (h *Host) runLoop() {
 	defer close(h.done)
 	defer h.timer.Stop()
 	for {
 		select {
 		case <-h.quit:
-			h.own.Lock()
-			h.endAll()
-			h.own.Unlock()
+			h.loopMu.Lock()
+			h.endRemaining()
+			h.loopMu.Unlock()
 			return
 		case <-h.wake:
 		case <-h.timer.C:
 		}
-		h.own.Lock()
-		h.loop.armed = 0
-		h.stepNow()
-		h.arm()
-		h.own.Unlock()
-		h.drive()
+		h.loopMu.Lock()
+		h.loop.timerAt = 0
+		h.stepLocked()
+		h.armTimer()
+		h.loopMu.Unlock()
+		h.stepPending()
 	}
 }
 
-// step takes what has come, steps the module and carries out its actions.
+// step applies the queued messages, steps the module and executes its actions.
+// The caller holds h.loopMu.
 func (h *Host) step() {
 	h.mu.Lock()
 	in := h.inbox
-	h.inbox = h.loop.swap[:0]
+	h.inbox = h.loop.spareInbox[:0]
 	h.mu.Unlock()
 	l := &h.loop
 	l.events = l.events[:0]
-	began, now := time.Now(), h.now()
+	start, now := time.Now(), h.moduleTime()
 	for _, m := range in {
-		if m.ask != nil {
-			m.ask(h.state())
+		if m.inspect != nil {
+			m.inspect(h.snapshotLocked())
 			continue
 		}
-		h.take(m, now)
+		h.applyEvent(m, now)
 		l.events = append(l.events, m.event)
 	}
 	for _, a := range l.engine.Step(now, l.events) {
-		h.carryOut(a)
+		h.execute(a)
 	}
-	h.stats.step(time.Since(began), len(l.events))
-	for _, m := range in { // what is over after its outcome is forgotten
-		if m.task != nil && m.task.over.Load() && m.task.running < 0 {
+	h.stats.recordStep(time.Since(start), len(l.events))
+	for _, m := range in { // forget tasks that have ended and have no attempt running
+		if m.task != nil && m.task.ended.Load() && m.task.runningAttempt < 0 {
 			delete(l.tasks, m.task.request.ID)
 		}
 	}
 	clear(l.events)
 	clear(in)
-	l.swap = in
+	l.spareInbox = in
 }
 
-// take keeps the host's own account of an event.
-func (h *Host) take(m message, now arrowwalk.Micros) {
+// applyEvent updates the host's own state for an event that the module is about
+// to receive.
+func (h *Host) applyEvent(m message, now arrowwalk.Micros) {
 	l := &h.loop
 	switch e := m.event.(type) {
 	case *arrowwalk.Request:
-		// Left counts from this step: the host may have stood still since Do.
-		e.Left = arrowwalk.Micros(h.wall+h.micros(m.task.Deadline)) - now
+		// Left is relative to this step: the process may have stalled since Do.
+		e.Left = arrowwalk.Micros(h.epochMicros+h.microsSinceEpoch(m.task.Deadline)) - now
 		l.tasks[e.ID] = m.task
-		m.task.until = l.until(m.task.Deadline)
+		m.task.cappedDeadline = l.capDeadline(m.task.Deadline)
 	case *arrowwalk.Outcome:
-		m.task.running = -1
+		m.task.runningAttempt = -1
 		if e.Closed {
-			m.task.over.Store(true)
+			m.task.ended.Store(true)
 		}
 	case *arrowwalk.Abandoned:
-		if t := m.task; !t.over.Swap(true) {
-			t.signals <- signal{kind: signalGone}
-			if t.running >= 0 && !t.OutlivesClient {
-				t.Runner.Abort(t.running)
+		if t := m.task; !t.ended.Swap(true) {
+			t.signals <- signal{kind: signalClientGone}
+			if t.runningAttempt >= 0 && !t.OutlivesClient {
+				t.Runner.Abort(t.runningAttempt)
 			}
 		}
 	case *arrowwalk.Shutdown:
-		l.end = h.base.Add(time.Duration(int64(e.At)-h.wall) * time.Microsecond)
+		l.shutdownAt = h.epoch.Add(time.Duration(int64(e.At)-h.epochMicros) * time.Microsecond)
 		for _, t := range l.tasks {
-			t.until = l.until(t.until)
+			t.cappedDeadline = l.capDeadline(t.cappedDeadline)
 		}
 	case *arrowwalk.NodeList:
 		if e.Kind == arrowwalk.ListSnapshot || e.Kind == arrowwalk.ListStored {
@@ -368,26 +378,26 @@
 	}
 }
 
-// carryOut does one action. It never waits: a task's channel has room for all
-// that can be said of it.
-func (h *Host) carryOut(a arrowwalk.Action) {
+// execute performs one action of the module. It never blocks: a task's channel
+// has capacity for every signal that the task can get.
+func (h *Host) execute(a arrowwalk.Action) {
 	l := &h.loop
 	switch a.Kind {
 	case arrowwalk.Send:
 		t := l.tasks[a.Request]
 		if t == nil {
-			h.log.Error("send for an unknown request", "request", a.Request)
+			h.log.Error("scheduler asked to send an unknown request", "request", a.Request)
 			return
 		}
-		t.member = l.members[a.Node]
-		t.member.ID = a.Node
-		t.running = t.sent
-		t.sent++
-		t.signals <- signal{kind: signalSend, number: t.running, member: t.member, until: t.until}
+		t.lastMember = l.members[a.Node]
+		t.lastMember.ID = a.Node
+		t.runningAttempt = t.attempts
+		t.attempts++
+		t.signals <- signal{kind: signalSend, number: t.runningAttempt, member: t.lastMember, deadline: t.cappedDeadline}
 	case arrowwalk.Refuse, arrowwalk.Fail:
-		h.final(a)
+		h.endTask(a)
 	case arrowwalk.Cancel:
-		if t := l.tasks[a.Request]; t != nil && t.running == a.Attempt {
+		if t := l.tasks[a.Request]; t != nil && t.runningAttempt == a.Attempt {
 			t.Runner.Abort(a.Attempt)
 		}
 	case arrowwalk.Log:
@@ -395,20 +405,21 @@
 	}
 }
 
-// final passes on the module's one final answer.
-func (h *Host) final(a arrowwalk.Action) {
+// endTask ends a task with the module's refusal or failure, unless a response
+// has ended it already.
+func (h *Host) endTask(a arrowwalk.Action) {
 	t := h.loop.tasks[a.Request]
-	if t == nil || t.over.Load() {
+	if t == nil || t.ended.Load() {
 		return
 	}
-	owed := h.catching && t.ReportsResponse
-	if owed { // before it is over: who sees that sees this too
-		h.still.owe(t)
-		t.late.Store(true)
+	replyPending := h.afterStall && t.ReportsResponse
+	if replyPending { // before ended is set: a goroutine that sees ended must also see this
+		h.stalls.addPendingReply(t)
+		t.endedAfterStall.Store(true)
 	}
-	if t.over.Swap(true) { // an answer came meanwhile
-		if owed {
-			h.still.paid(t)
+	if t.ended.Swap(true) { // a response arrived in the meantime
+		if replyPending {
+			h.stalls.markReplySent(t)
 		}
 		return
 	}
@@ -416,31 +427,33 @@
 	if a.Kind == arrowwalk.Refuse {
 		kind = signalRefuse
 	}
-	t.signals <- signal{kind: kind, after: time.Duration(a.Delay) * time.Microsecond}
-	if t.running >= 0 {
-		t.Runner.Abort(t.running)
+	t.signals <- signal{kind: kind, retryAfter: time.Duration(a.Delay) * time.Microsecond}
+	if t.runningAttempt >= 0 {
+		t.Runner.Abort(t.runningAttempt)
 	} else {
 		delete(h.loop.tasks, a.Request)
 	}
 }
 
-func (h *Host) endAll() {
+// endRemaining fails all tasks of a closed host and answers the queued
+// inspections. The caller holds h.loopMu.
+func (h *Host) endRemaining() {
 	for _, t := range h.loop.tasks {
-		if !t.over.Swap(true) {
-			t.signals <- signal{kind: signalStop}
-			if t.running >= 0 {
-				t.Runner.Abort(t.running)
+		if !t.ended.Swap(true) {
+			t.signals <- signal{kind: signalHostClosed}
+			if t.runningAttempt >= 0 {
+				t.Runner.Abort(t.runningAttempt)
 			}
 		}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, m := range h.inbox { // came after the last step
-		if _, ok := m.event.(*arrowwalk.Request); ok && !m.task.over.Swap(true) {
-			m.task.signals <- signal{kind: signalStop}
+	for _, m := range h.inbox { // queued after the last step
+		if _, ok := m.event.(*arrowwalk.Request); ok && !m.task.ended.Swap(true) {
+			m.task.signals <- signal{kind: signalHostClosed}
 		}
-		if m.ask != nil {
-			m.ask(h.state())
+		if m.inspect != nil {
+			m.inspect(h.snapshotLocked())
 		}
 	}
 	h.inbox = nil
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -22,7 +22,7 @@
 		Plans: []arrowwalk.Plan{{Name: "basic", Rate: 1000, Weight: 1, WorthFactor: 1}}}
 }
 
-// The same events give the same actions, on one Engine and on another.
+// Two Engines that get the same events return the same actions.
 func TestEngineIsDeterministic(t *testing.T) {
 	run := func() (log []string) {
 		now := arrowwalk.Micros(1_000_000)
@@ -30,7 +30,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		out := map[arrowwalk.RequestID]arrowwalk.Micros{}
+		sent := map[arrowwalk.RequestID]arrowwalk.Micros{}
 		for i := range 3000 {
 			now += arrowwalk.Micros(100 + i*37%900)
 			var events []arrowwalk.Event
@@ -40,37 +40,38 @@
 			if i < 2000 {
 				events = append(events, &arrowwalk.Request{ID: arrowwalk.RequestID(i), Class: i % 2, Units: 1, Shard: i % 2, Left: 400_000, Volume: arrowwalk.Volume{ID: 1, Hosts: 1}})
 			}
-			for id, at := range out {
+			for id, at := range sent {
 				if now-at > 2000 && id%50 != 7 {
-					delete(out, id)
+					delete(sent, id)
 					events = append(events, &arrowwalk.Outcome{Attempt: arrowwalk.Attempt{Request: id, Node: "a"}, Status: arrowwalk.OK, Latency: now - at, Closed: true})
 				}
 			}
 			slices.SortFunc(events, func(a, b arrowwalk.Event) int {
-				return int(order(a)) - int(order(b))
+				return int(sortKey(a)) - int(sortKey(b))
 			})
 			for _, a := range e.Step(now, events) {
 				if a.Kind == arrowwalk.SetTimer {
-					t.Fatal("a timer came out")
+					t.Fatal("Step returned a SetTimer action")
 				}
 				if a.Kind == arrowwalk.Send {
-					out[a.Request] = now
+					sent[a.Request] = now
 				}
 				log = append(log, fmt.Sprint(now, a))
 			}
 			if next, ok := e.Next(); !ok || next > now+200_000 {
-				t.Fatalf("next step at %d, %v: the module's beat is lost", next, ok)
+				t.Fatalf("next step at %d, %v: the module's periodic timer is lost", next, ok)
 			}
 		}
 		return log
 	}
 	first := run()
 	if second := run(); !slices.Equal(first, second) || len(first) < 2000 {
-		t.Errorf("two runs of %d and %d actions differ", len(first), len(second))
+		t.Errorf("two runs of %d and %d actions differ, or are too short", len(first), len(second))
 	}
 }
 
-func order(e arrowwalk.Event) arrowwalk.RequestID {
+// sortKey orders the events of a step, so that map iteration does not.
+func sortKey(e arrowwalk.Event) arrowwalk.RequestID {
 	switch e := e.(type) {
 	case *arrowwalk.Request:
 		return e.ID
@@ -80,17 +81,18 @@
 	return 0
 }
 
-// runner answers as it is told.
+// runner returns the given results one after the other. Further attempts block
+// until Abort.
 type runner struct {
-	results []AttemptResult
-	block   chan struct{} // closed by Abort
-	tries   atomic.Int32
-	aborts  atomic.Int32
-	once    sync.Once
+	results  []AttemptResult
+	block    chan struct{} // closed by Abort
+	attempts atomic.Int32
+	aborts   atomic.Int32
+	once     sync.Once
 }
 
-func (r *runner) Try(t *Attempt) AttemptResult {
-	n := int(r.tries.Add(1)) - 1
+func (r *runner) Try(a *Attempt) AttemptResult {
+	n := int(r.attempts.Add(1)) - 1
 	if n < len(r.results) {
 		return r.results[n]
 	}
@@ -106,21 +108,21 @@
 func TestVerdicts(t *testing.T) {
 	ok := AttemptResult{Status: arrowwalk.OK, Final: true}
 	for _, c := range []struct {
-		name    string
-		class   int
-		shard   int
-		results []AttemptResult
-		end     TaskStatus
-		tries   int
+		name     string
+		class    int
+		shard    int
+		results  []AttemptResult
+		status   TaskStatus
+		attempts int
 	}{
 		{"served", 0, 0, []AttemptResult{ok}, Served, 1},
-		{"served at the second try", 0, 0, []AttemptResult{{Status: arrowwalk.Reset}, ok}, Served, 2},
-		{"a write that never ran is tried again", 1, 0, []AttemptResult{{Status: arrowwalk.Unreachable}, ok}, Served, 2},
-		{"refused after the last try", 0, 0, []AttemptResult{{Status: arrowwalk.Failed}, {Status: arrowwalk.Failed}, {Status: arrowwalk.Failed}}, Refused, 3},
+		{"served by the second attempt", 0, 0, []AttemptResult{{Status: arrowwalk.Reset}, ok}, Served, 2},
+		{"a write that did not run is sent again", 1, 0, []AttemptResult{{Status: arrowwalk.Unreachable}, ok}, Served, 2},
+		{"refused after the last attempt", 0, 0, []AttemptResult{{Status: arrowwalk.Failed}, {Status: arrowwalk.Failed}, {Status: arrowwalk.Failed}}, Refused, 3},
 		{"a write that may have run fails", 1, 0, []AttemptResult{{Status: arrowwalk.Failed}, {Status: arrowwalk.Failed}, {Status: arrowwalk.Failed}}, Failed, 3},
-		{"an answer that began is the last", 0, 0, []AttemptResult{{Status: arrowwalk.Reset, Final: true}}, Served, 1},
-		{"a silent read is refused in time", 0, 0, nil, Refused, 1},
-		{"a silent write fails in time", 1, 0, nil, Failed, 1},
+		{"no attempt follows a response that has begun", 0, 0, []AttemptResult{{Status: arrowwalk.Reset, Final: true}}, Served, 1},
+		{"a read without a response is refused by its deadline", 0, 0, nil, Refused, 1},
+		{"a write without a response fails by its deadline", 1, 0, nil, Failed, 1},
 		{"no brick holds the shard", 0, 1, nil, Refused, 0},
 	} {
 		h, err := New(Options{Settings: settings()})
@@ -129,23 +131,23 @@
 		}
 		h.Nodes(arrowwalk.ListSnapshot, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
 		r := &runner{results: c.results, block: make(chan struct{})}
-		began := time.Now()
-		v := h.Do(&Task{Class: c.class, Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 1, Shard: c.shard, Deadline: began.Add(400 * time.Millisecond), Runner: r})
-		if v.Status != c.end || v.Attempts != c.tries || int(r.tries.Load()) != c.tries {
-			t.Errorf("%s: %+v after %d tries, want %s after %d", c.name, v, r.tries.Load(), c.end, c.tries)
+		start := time.Now()
+		result := h.Do(&Task{Class: c.class, Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 1, Shard: c.shard, Deadline: start.Add(400 * time.Millisecond), Runner: r})
+		if result.Status != c.status || result.Attempts != c.attempts || int(r.attempts.Load()) != c.attempts {
+			t.Errorf("%s: %+v after %d attempts, want %s after %d", c.name, result, r.attempts.Load(), c.status, c.attempts)
 		}
-		if took := time.Since(began); took > 600*time.Millisecond {
+		if took := time.Since(start); took > 600*time.Millisecond {
 			t.Errorf("%s: took %s", c.name, took)
 		}
-		if v.Status == Refused && v.RetryAfter != time.Second {
-			t.Errorf("%s: advice %s", c.name, v.RetryAfter)
+		if result.Status == Refused && result.RetryAfter != time.Second {
+			t.Errorf("%s: retry after %s", c.name, result.RetryAfter)
 		}
 		h.Close()
 	}
 }
 
-// Tasks of many goroutines each get one verdict, also when their clients go
-// and when the host stops under them; nothing is kept of them.
+// Each task of many goroutines gets one result, even if its client disconnects or
+// the host is closed, and the host forgets it afterwards.
 func TestManyTasksGoneAndStopped(t *testing.T) {
 	h, err := New(Options{Settings: settings()})
 	if err != nil {
@@ -153,53 +155,54 @@
 	}
 	h.Nodes(arrowwalk.ListSnapshot, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
 	var wg sync.WaitGroup
-	var ends [ClientGone + 1]atomic.Int32
-	task := func(results []AttemptResult, abandon bool, until time.Duration) {
+	var counts [ClientGone + 1]atomic.Int32
+	runTask := func(results []AttemptResult, abandon bool, timeout time.Duration) {
 		defer wg.Done()
 		r := &runner{results: results, block: make(chan struct{})}
-		tk := &Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 0.1, Deadline: time.Now().Add(until), Runner: r}
+		task := &Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 0.1, Deadline: time.Now().Add(timeout), Runner: r}
 		if abandon {
 			go func() {
-				for r.tries.Load() == 0 && !tk.over.Load() {
+				for r.attempts.Load() == 0 && !task.ended.Load() {
 					time.Sleep(time.Millisecond)
 				}
-				h.Abandon(tk)
+				h.Abandon(task)
 			}()
 		}
-		ends[h.Do(tk).Status].Add(1)
+		counts[h.Do(task).Status].Add(1)
 	}
 	for i := range 400 {
 		wg.Add(1)
-		go task([]AttemptResult{{Status: arrowwalk.OK, Final: true}}, false, time.Second)
+		go runTask([]AttemptResult{{Status: arrowwalk.OK, Final: true}}, false, time.Second)
 		if i%100 == 0 {
 			wg.Add(1)
-			go task(nil, true, 2*time.Second)
+			go runTask(nil, true, 2*time.Second)
 		}
 	}
 	wg.Wait()
-	if gone := ends[ClientGone].Load(); gone != 4 || ends[Served].Load() < 300 {
-		t.Errorf("gone %d, served %d, refused %d, failed %d", gone, ends[Served].Load(), ends[Refused].Load(), ends[Failed].Load())
+	if abandoned := counts[ClientGone].Load(); abandoned != 4 || counts[Served].Load() < 300 {
+		t.Errorf("client gone %d, served %d, refused %d, failed %d", abandoned, counts[Served].Load(), counts[Refused].Load(), counts[Failed].Load())
 	}
 	if s := h.Snapshot(); len(s.Running) != 0 {
 		t.Errorf("%d tasks are kept", len(s.Running))
 	}
 	wg.Add(1)
-	go task(nil, false, time.Minute)
+	go runTask(nil, false, time.Minute)
 	for len(h.Snapshot().Running) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	h.Close()
 	wg.Wait()
-	if v := h.Do(&Task{Runner: &runner{}}); v.Status != Failed {
-		t.Errorf("after the stop: %+v", v)
+	if result := h.Do(&Task{Runner: &runner{}}); result.Status != Failed {
+		t.Errorf("after Close: %+v", result)
 	}
 	if s := h.Stats(); s.Accepted != s.Ended["served"]+s.Ended["refused"]+s.Ended["failed"]+s.Ended["gone"] {
 		t.Errorf("%+v", s)
 	}
 }
 
-// A client that leaves before the module was handed its request is told of by
-// and by; an attempt that outlives its client is not aborted, and ends the task.
+// Abandon returns false until the request was submitted to the module. A running
+// attempt of a task with OutlivesClient is not aborted when its client
+// disconnects, and the task ends as ClientGone.
 func TestAbandonEarlyAndOutlive(t *testing.T) {
 	h, err := New(Options{Settings: settings()})
 	if err != nil {
@@ -208,29 +211,30 @@
 	defer h.Close()
 	h.Nodes(arrowwalk.ListSnapshot, 1, []Member{{Node: arrowwalk.Node{ID: "a"}, Address: "x"}})
 	r := &runner{block: make(chan struct{})}
-	tk := &Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 0.1, Deadline: time.Now().Add(time.Minute), Runner: r, OutlivesClient: true}
-	if h.Abandon(tk) {
-		t.Error("a task that was not begun is abandoned")
+	task := &Task{Volume: arrowwalk.Volume{ID: 1, Hosts: 1}, Units: 0.1, Deadline: time.Now().Add(time.Minute), Runner: r, OutlivesClient: true}
+	if h.Abandon(task) {
+		t.Error("Abandon succeeded before the task was submitted")
 	}
-	end := make(chan TaskStatus)
-	go func() { end <- h.Do(tk).Status }()
-	for r.tries.Load() == 0 || !h.Abandon(tk) {
+	done := make(chan TaskStatus)
+	go func() { done <- h.Do(task).Status }()
+	for r.attempts.Load() == 0 || !h.Abandon(task) {
 		time.Sleep(time.Millisecond)
 	}
-	h.Snapshot() // a step later
+	h.Snapshot() // returns after the step that handles Abandon
 	if r.aborts.Load() != 0 {
 		t.Error("the attempt was aborted")
 	}
 	close(r.block)
-	if got := <-end; got != ClientGone {
-		t.Errorf("ended as %s", got)
+	if status := <-done; status != ClientGone {
+		t.Errorf("ended as %s", status)
 	}
 	if s := h.Snapshot(); len(s.Running) != 0 {
 		t.Errorf("%d tasks are kept", len(s.Running))
 	}
 }
 
-// A step of the host under load: what the module and the hand-over cost.
+// The cost of a task under load: the module and passing messages between
+// goroutines.
 func BenchmarkDo(b *testing.B) {
 	h, err := New(Options{Settings: settings()})
 	if err != nil {
@@ -246,15 +250,15 @@
 	})
 }
 
-// 5,000 bricks: the whole list at a start, one change of it, and a request's
-// step while they are known.
+// With 5,000 bricks: a host's start with the whole list, a delta of one brick, and
+// a request.
 func BenchmarkNodes5000(b *testing.B) {
 	var members []Member
 	for i := range 5000 {
 		members = append(members, Member{Node: arrowwalk.Node{ID: arrowwalk.NodeID(fmt.Sprint("brick-", i)), Shard: i}, Address: "x"})
 	}
-	for _, what := range []string{"start", "change", "step"} {
-		b.Run(what, func(b *testing.B) {
+	for _, phase := range []string{"start", "change", "step"} {
+		b.Run(phase, func(b *testing.B) {
 			h, err := New(Options{Settings: settings()})
 			if err != nil {
 				b.Fatal(err)
@@ -263,7 +267,7 @@
 			h.Nodes(arrowwalk.ListSnapshot, 1, members)
 			ok := []AttemptResult{{Status: arrowwalk.OK, Final: true}}
 			for i := 0; b.Loop(); i++ {
-				switch what {
+				switch phase {
 				case "start":
 					h.Close()
 					if h, err = New(Options{Settings: settings()}); err != nil {
--- a/internal/host/stats.go
+++ b/internal/host/stats.go
@@ -7,52 +7,52 @@
 	"arrowwalk"
 )
 
-const statuses = int(arrowwalk.NotSent) + 1
+const numStatuses = int(arrowwalk.NotSent) + 1
 
-// counters are what the host counts; each has one writer or is atomic.
+// counters holds the host's counts. Each counter is atomic or has one writer.
 type counters struct {
-	taken    atomic.Uint64
-	ended    [ClientGone + 1]atomic.Uint64
-	statuses [statuses]atomic.Uint64
-	steps    atomic.Uint64
-	events   atomic.Uint64
-	stepNS   atomic.Int64
-	stepMost atomic.Int64
+	accepted  atomic.Uint64
+	ended     [ClientGone + 1]atomic.Uint64
+	statuses  [numStatuses]atomic.Uint64
+	steps     atomic.Uint64
+	events    atomic.Uint64
+	stepNS    atomic.Int64
+	maxStepNS atomic.Int64
 }
 
-func (c *counters) step(took time.Duration, events int) {
+func (c *counters) recordStep(took time.Duration, events int) {
 	c.steps.Add(1)
 	c.events.Add(uint64(events))
 	c.stepNS.Add(int64(took))
-	if int64(took) > c.stepMost.Load() {
-		c.stepMost.Store(int64(took))
+	if int64(took) > c.maxStepNS.Load() {
+		c.maxStepNS.Store(int64(took))
 	}
 }
 
-// Stats are counts since the host's start.
+// Stats holds counts since the host's start.
 type Stats struct {
-	Accepted     uint64
-	Ended        map[string]uint64 // by End
-	Attempts     map[string]uint64 // by how they ended
+	Accepted     uint64            // tasks passed to Do
+	Ended        map[string]uint64 // tasks by TaskStatus
+	Attempts     map[string]uint64 // finished attempts by status
 	Steps        uint64
 	Events       uint64
 	MeanStepTime time.Duration
 	MaxStepTime  time.Duration
-	Stalls       uint64 // times that this process stood still
+	Stalls       uint64 // number of stalls of this process
 	MaxStall     time.Duration
 }
 
-var statusNames = [statuses]string{
+var statusNames = [numStatuses]string{
 	"unknown", "ok", "failed", "full", "timed_out", "unreachable", "reset", "cancelled", "moot",
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counts.
 func (h *Host) Stats() Stats {
 	c := &h.stats
-	s := Stats{Accepted: c.taken.Load(), Steps: c.steps.Load(), Events: c.events.Load(),
-		Ended: map[string]uint64{}, Attempts: map[string]uint64{}, MaxStepTime: time.Duration(c.stepMost.Load())}
-	for end := range c.ended {
-		s.Ended[TaskStatus(end).String()] = c.ended[end].Load()
+	s := Stats{Accepted: c.accepted.Load(), Steps: c.steps.Load(), Events: c.events.Load(),
+		Ended: map[string]uint64{}, Attempts: map[string]uint64{}, MaxStepTime: time.Duration(c.maxStepNS.Load())}
+	for status := range c.ended {
+		s.Ended[TaskStatus(status).String()] = c.ended[status].Load()
 	}
 	for i := range c.statuses {
 		s.Attempts[statusNames[i]] = c.statuses[i].Load()
@@ -64,7 +64,8 @@
 	return s
 }
 
-// RunningTask is a request that the host owes an answer.
+// RunningTask describes a task that has not ended, or whose last attempt is
+// still running.
 type RunningTask struct {
 	ClientRequestID string
 	ID              arrowwalk.RequestID
@@ -72,12 +73,12 @@
 	Volume          arrowwalk.VolumeID
 	Units           float64
 	Age             time.Duration
-	Stage           string // queued or sent
-	Brick           string
-	Attempts        int
+	Stage           string // "queued" or "sent"
+	Brick           string // of the running attempt; empty if Stage is "queued"
+	Attempts        int    // attempts so far
 }
 
-// Snapshot is what the loop knows, seen between two steps.
+// Snapshot is the state of a host between two steps.
 type Snapshot struct {
 	Members []Member
 	Running []RunningTask
@@ -85,7 +86,8 @@
 	Volumes []arrowwalk.VolumeView
 }
 
-func (h *Host) state() *Snapshot {
+// snapshotLocked copies the loop's state. The caller holds h.loopMu.
+func (h *Host) snapshotLocked() *Snapshot {
 	s := &Snapshot{}
 	s.Nodes, s.Volumes = h.loop.engine.View()
 	for _, m := range h.loop.members {
@@ -93,20 +95,21 @@
 	}
 	for id, t := range h.loop.tasks {
 		r := RunningTask{ClientRequestID: t.ClientRequestID, ID: id, Class: t.Class, Volume: t.Volume.ID, Units: t.Units,
-			Age: time.Since(t.taken), Stage: "queued", Attempts: t.sent}
-		if t.running >= 0 {
-			r.Stage, r.Brick = "sent", string(t.member.ID)
+			Age: time.Since(t.acceptedAt), Stage: "queued", Attempts: t.attempts}
+		if t.runningAttempt >= 0 {
+			r.Stage, r.Brick = "sent", string(t.lastMember.ID)
 		}
 		s.Running = append(s.Running, r)
 	}
 	return s
 }
 
-// Snapshot asks the loop for what it knows; nil where the host has stopped.
+// Snapshot returns the state of the host, or nil if the host is closed. It waits
+// until the messages that were queued before it have been applied.
 func (h *Host) Snapshot() *Snapshot {
-	answer := make(chan *Snapshot, 1)
-	if !h.post(message{ask: func(s *Snapshot) { answer <- s }}) {
+	reply := make(chan *Snapshot, 1)
+	if !h.post(message{inspect: func(s *Snapshot) { reply <- s }}) {
 		return nil
 	}
-	return <-answer
+	return <-reply
 }
--- a/internal/host/task.go
+++ b/internal/host/task.go
@@ -7,71 +7,71 @@
 	"arrowwalk"
 )
 
-// Member is a node with where to reach it.
+// Member is a node of the node list with its address.
 type Member struct {
 	arrowwalk.Node
 	Address string
 	Zone    string
 }
 
-// Attempt is one attempt that a Runner is to make.
+// Attempt describes one attempt that a Runner makes.
 type Attempt struct {
 	Request  arrowwalk.RequestID
-	Number   int // from 0
+	Number   int // counted from 0
 	Member   Member
-	Deadline time.Time // no answer after it counts
+	Deadline time.Time // a response after it does not count
 }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult is the result of an attempt.
 type AttemptResult struct {
 	Status          arrowwalk.Status
-	Final           bool // the client has, or will have, its answer out of this attempt
-	FleetUse        float64
-	OtherHostsUnits float64
-	Load            []float64     // the values of the brick's load report, as Settings.Reports names them; nil: none
-	SocketDelay     time.Duration // how long the answer lay in its socket while the host stood still
+	Final           bool          // the client has got, or will get, its response from this attempt
+	FleetUse        float64       // 1 + percent of the plan's rate that all bricks served together; 0 if the brick did not report it
+	OtherHostsUnits float64       // units that the brick served for the volume through other hosts and had not reported yet
+	Load            []float64     // values of the brick's load report, in the order of Settings.Reports; nil if it sent none
+	SocketDelay     time.Duration // how long the response waited in its socket because the process was stalled
 }
 
-// Runner makes the attempts of a task. Try is called on Do's goroutine, one at
-// a time. Abort may come from any goroutine, before, during or after the try
-// of that number, and makes it end soon.
+// Runner makes the attempts of a task. Try is called on Do's goroutine,
+// one attempt at a time. Abort may be called from any goroutine before, during
+// or after the attempt of the given number and makes it end soon.
 type Runner interface {
-	Try(t *Attempt) AttemptResult
+	Try(a *Attempt) AttemptResult
 	Abort(number int)
 }
 
-// Task is one request of the module. It is used once: the host may hold it for
-// a moment longer than Do takes.
+// Task is one request to the module. It must not be reused: the host may refer
+// to it for a moment after Do has returned.
 type Task struct {
 	Class           int
 	Volume          arrowwalk.Volume
-	Key             uint64 // for classes that keep order
+	Key             uint64 // ordering key, for classes that keep order
 	HasKey          bool
 	Units           float64
 	Shard           int
-	Deadline        time.Time // when its client stops waiting
-	IsRetry         bool
+	Deadline        time.Time // when the client stops waiting
+	IsRetry         bool      // the client sends the request again
 	Runner          Runner
-	ClientRequestID string // of the client's request, for those who watch
-	OutlivesClient  bool   // an attempt that is out goes on when its client has gone: the module is told its true end
-	ReportsResponse bool   // its front calls Answered when its final word is written
+	ClientRequestID string // ID of the client's request, shown in Snapshot
+	OutlivesClient  bool   // a running attempt continues after the client has disconnected, so that the module learns its outcome
+	ReportsResponse bool   // the frontend calls ResponseSent once the response is written
 	request         arrowwalk.Request
 	signals         chan signal
-	begun           atomic.Bool // the module was handed the request
-	over            atomic.Bool // a final word was given; nothing more is sent
-	running         int         // number of the attempt that is out, -1: none; the loop's
-	sent            int         // attempts so far; the loop's
-	late            atomic.Bool // its final word came after a stall
-	taken           time.Time
-	member          Member    // of the last attempt; the loop's
-	until           time.Time // Until, or sooner where the host ends; the loop's
+	submitted       atomic.Bool // the request was queued for the module
+	ended           atomic.Bool // the task has its final result; no further attempt is made
+	runningAttempt  int         // number of the running attempt, -1 if none; owned by the loop
+	attempts        int         // attempts so far; owned by the loop
+	endedAfterStall atomic.Bool
+	acceptedAt      time.Time
+	lastMember      Member    // of the latest attempt; owned by the loop
+	cappedDeadline  time.Time // Deadline, or the host's shutdown time if that is earlier; owned by the loop
 }
 
-// EndedAfterStall tells whether the task's final word came right after a stall of the
-// host: then Answered is to be called.
-func (t *Task) EndedAfterStall() bool { return t.late.Load() }
+// EndedAfterStall reports whether the task was refused or failed in the first
+// step after a stall of the process. If so, the frontend calls ResponseSent.
+func (t *Task) EndedAfterStall() bool { return t.endedAfterStall.Load() }
 
-// ID returns the module's number of the request, after Do took it.
+// ID returns the module's ID of the request. It is valid once Do was called.
 func (t *Task) ID() arrowwalk.RequestID { return t.request.ID }
 
 type signalKind int
@@ -80,38 +80,41 @@
 	signalSend signalKind = iota
 	signalRefuse
 	signalFail
-	signalGone // the client has gone
-	signalStop // the host has stopped
+	signalClientGone
+	signalHostClosed
 )
 
+// signal tells the goroutine of Do what to do next with a task.
 type signal struct {
-	kind   signalKind
-	number int
-	member Member
-	after  time.Duration
-	until  time.Time // no answer after it counts
+	kind       signalKind
+	number     int // of the attempt
+	member     Member
+	retryAfter time.Duration
+	deadline   time.Time // a response after it does not count
 }
 
 // TaskStatus is how a task ended.
 type TaskStatus int
 
 const (
-	// Served means that an attempt brought the answer.
+	// Served means that an attempt brought a response.
 	Served TaskStatus = iota
-	// Refused means that trying again is harmless.
+	// Refused means that the request had no effect and may be sent again.
 	Refused
-	// Failed promises nothing.
+	// Failed means that the request may or may not have had an effect.
 	Failed
-	// ClientGone means that the client left before there was an answer.
+	// ClientGone means that the client disconnected before there was a response.
 	ClientGone
 )
 
-// String returns the end's name in logs and metrics.
-func (e TaskStatus) String() string { return [...]string{"served", "refused", "failed", "gone"}[e] }
+// String returns the status's name in logs and metrics.
+func (s TaskStatus) String() string {
+	return [...]string{"served", "refused", "failed", "gone"}[s]
+}
 
-// TaskResult is the one final word on a task.
+// TaskResult is the final result of a task.
 type TaskResult struct {
 	Status     TaskStatus
-	RetryAfter time.Duration // advice: how long to wait before another try
+	RetryAfter time.Duration // of a Refused task: how long the client should wait before it retries
 	Attempts   int
 }
