--- a/internal/attempts/attempts.go
+++ b/internal/attempts/attempts.go
@@ -1,6 +1,7 @@
-// Package attempts makes the attempts of tasks at bricks, for any front: what a
-// front wants of a brick is a Call, the module says to which brick it goes and
-// how often, and what each attempt showed is told to those who watch bricks.
+// Package attempts makes the attempts of tasks at bricks on behalf of any
+// frontend. A frontend describes its request to a brick as a Call. The scheduler
+// module decides which brick gets the request and how often it is sent, and each
+// attempt is reported to an observer of the bricks.
 package attempts
 
 import (
@@ -15,31 +16,33 @@
 	"arrowwalk/internal/host"
 )
 
-// Sender is what all attempts of a gateway share.
+// Sender holds what all attempts of a gateway share.
 type Sender struct {
 	Pool   *brick.Pool
 	Host   *host.Host
 	Config *config.Config
-	// Observe is told what attempts showed of bricks; nil: nobody is.
+	// Observe is called after each attempt that was sent; it may be nil.
 	Observe func(Observation)
-	// AcceptAnyBrick lets any brick answer for another; for proofs that must fail.
+	// AcceptAnyBrick accepts a response from any brick in place of the addressed
+	// one. It disables a guard, for tests that must then fail.
 	AcceptAnyBrick bool
 }
 
 // Observation is what an attempt showed of a brick.
 type Observation struct {
-	Brick    string
-	Identity string       // who answered (brick.HeaderBrick); "": nobody did
-	Reason   brick.Reason // why the attempt failed; "": it did not
+	Brick    string       // the brick that was addressed
+	Identity string       // the identity that answered (brick.HeaderBrick); empty if there was no response
+	Reason   brick.Reason // why the attempt failed; empty if it did not
 	Volume   uint64
 	Units    float64
 	Latency  time.Duration
-	Util     float64 // that the brick told; -1: none
-	Draining bool    // the brick asks for nothing new
+	Util     float64 // as the brick reported it; -1 if it did not
+	Draining bool    // the brick asks for no new requests
 	Write    bool
 }
 
-// MaxTimeout returns the longest that a client or guest may wait for an answer.
+// MaxTimeout returns the longest time that a client or guest may wait for a
+// response.
 func (s *Sender) MaxTimeout() time.Duration {
 	c := &s.Config.Classes
 	return config.MS(max(c.Read.DeadlineMS, c.Write.DeadlineMS))
@@ -53,36 +56,37 @@
 	return config.MS(s.Config.Classes.Read.DeadlineMS)
 }
 
-// Call is one request of the module: a request to a brick, made as often as
-// the module says. It is used once.
+// Call is one request of the module: a request to a brick, sent as often as the
+// module decides. It implements host.Runner and must not be reused.
 type Call struct {
-	ID      string // of the client's request, in every log
+	ID      string // ID of the client's request, in every log
 	Request brick.Request
-	// HandleResponse reads the answer's body; nil: nothing is wanted of it. Where it does
-	// not give the connection back itself, that is done for it.
-	HandleResponse func(c *Call, ans *brick.Response) error
-
-	Response      brick.Response // head of the answer that counted
-	ResponseBegun bool           // the client's answer has begun: it cannot begin again
-	Reason        brick.Reason   // why the last attempt failed; "": it did not
-	Node          host.Member    // of the last attempt
+	// HandleResponse reads the response's body; nil discards the body. If it does
+	// not release the response itself, that is done after it returns.
+	HandleResponse func(c *Call, resp *brick.Response) error
+
+	Response      brick.Response // head of the latest response
+	ResponseBegun bool           // the client's response has begun and cannot begin again
+	Reason        brick.Reason   // why the latest attempt failed; empty if it did not
+	Node          host.Member    // of the latest attempt
 	Task          host.Task
 
 	sender  *Sender
 	attempt connpool.NumberedAttempt
 }
 
-// Prepare makes the call, whose Task says what the module is to know, ready for Do.
+// Prepare prepares the call for Do. The caller has set Task to what the module
+// needs to know.
 func (c *Call) Prepare(s *Sender) {
 	c.sender = s
 	c.Task.Runner, c.Task.ClientRequestID = c, c.ID
 }
 
-// Do has the module decide on the call until its final word.
+// Do runs the call until the module has ended its task, and returns the result.
 func (c *Call) Do() host.TaskResult { return c.sender.Host.Do(&c.Task) }
 
-// BeginStream tells the host that the client's answer begins in this attempt: its
-// deadline no longer counts, and no further attempt is made.
+// BeginStream tells the host that the client's response begins in this attempt:
+// the deadline no longer applies and no further attempt is made.
 func (c *Call) BeginStream() {
 	if c.ResponseBegun {
 		return
@@ -91,52 +95,52 @@
 	c.sender.Host.BeginStream(&c.Task, c.attempt.Number(), c.Node.ID)
 }
 
-// Abort ends the attempt of that number (host.Runner).
+// Abort ends the attempt of the given number (host.Runner).
 func (c *Call) Abort(number int) { c.attempt.Abort(number) }
 
-// request returns what is sent in an attempt.
-func (c *Call) request(t *host.Attempt) brick.Request {
-	q := c.Request
-	task := c.ID + "-" + strconv.FormatUint(uint64(t.Request), 10)
-	q.RequestID = task + "." + strconv.Itoa(t.Number)
-	q.Host, q.Volume, q.Units = c.sender.Config.Host.Number, uint64(c.Task.Volume.ID), c.Task.Units
-	q.Deadline, q.Expect = t.Deadline, string(t.Member.ID)
+// requestFor returns the request that is sent in an attempt.
+func (c *Call) requestFor(a *host.Attempt) brick.Request {
+	req := c.Request
+	taskID := c.ID + "-" + strconv.FormatUint(uint64(a.Request), 10)
+	req.RequestID = taskID + "." + strconv.Itoa(a.Number)
+	req.Host, req.Volume, req.Units = c.sender.Config.Host.Number, uint64(c.Task.Volume.ID), c.Task.Units
+	req.Deadline, req.Expect = a.Deadline, string(a.Member.ID)
 	if c.Task.Class == config.ClassWrite {
-		q.Key = task
+		req.Key = taskID
 	}
 	if c.sender.AcceptAnyBrick {
-		q.Expect = ""
+		req.Expect = ""
 	}
-	return q
+	return req
 }
 
 // Try makes an attempt (host.Runner).
-func (c *Call) Try(t *host.Attempt) host.AttemptResult {
-	if !c.attempt.Begin(t.Number) {
+func (c *Call) Try(a *host.Attempt) host.AttemptResult {
+	if !c.attempt.Begin(a.Number) {
 		return host.AttemptResult{Status: arrowwalk.NotSent}
 	}
-	if t.Member.Address == "" {
+	if a.Member.Address == "" {
 		c.Reason = brick.ReasonUnknownBrick
 		return host.AttemptResult{Status: arrowwalk.NotSent}
 	}
-	c.Node = t.Member
-	q, s := c.request(t), c.sender
-	began, lay := time.Now(), time.Duration(0)
-	err := s.Pool.Do(&c.attempt.Attempt, t.Member.Address, &q, &c.Response)
+	c.Node = a.Member
+	req, s := c.requestFor(a), c.sender
+	start, socketDelay := time.Now(), time.Duration(0)
+	err := s.Pool.Do(&c.attempt.Attempt, a.Member.Address, &req, &c.Response)
 	if err == nil {
-		lay = s.Host.SocketDelay(c.Response.Raw, began, s.MaxTimeout())
-		err = c.taken()
+		socketDelay = s.Host.SocketDelay(c.Response.Raw, start, s.MaxTimeout())
+		err = c.readBody()
 	}
-	r := c.result(err)
-	r.SocketDelay = lay
+	r := c.attemptResult(err)
+	r.SocketDelay = socketDelay
 	if s.Observe != nil {
-		s.Observe(c.seen(&q, time.Since(began)-lay, err == nil))
+		s.Observe(c.observation(&req, time.Since(start)-socketDelay, err == nil))
 	}
 	return r
 }
 
-// taken reads the answer's body and gives the connection back.
-func (c *Call) taken() error {
+// readBody reads the response's body and releases the connection.
+func (c *Call) readBody() error {
 	pool := c.sender.Pool
 	if c.HandleResponse == nil {
 		c.Response.Release(pool, c.Response.Body.Drain(16<<10))
@@ -147,11 +151,12 @@
 	return err
 }
 
-// result tells the module how the attempt ended.
-func (c *Call) result(err error) host.AttemptResult {
+// attemptResult returns the attempt's result for the module. err is nil or the
+// attempt's error.
+func (c *Call) attemptResult(err error) host.AttemptResult {
 	r := host.AttemptResult{Status: arrowwalk.OK, Final: true}
 	if err != nil {
-		r.Final = c.ResponseBegun // an answer that has begun cannot be begun again
+		r.Final = c.ResponseBegun // a response that has begun cannot begin again
 		var f *brick.Failure
 		if errors.As(err, &f) {
 			r.Status, c.Reason = f.Status, f.Reason
@@ -169,14 +174,14 @@
 	return r
 }
 
-func (c *Call) seen(q *brick.Request, took time.Duration, good bool) Observation {
-	what := Observation{Brick: string(c.Node.ID), Reason: c.Reason, Volume: q.Volume, Units: q.Units, Latency: took, Util: -1,
-		Write: q.Method == "PUT" || q.Method == "PATCH"}
-	if good {
-		what.Identity, what.Util, what.Draining = c.Response.Brick, c.Response.Util, c.Response.Draining
+func (c *Call) observation(req *brick.Request, latency time.Duration, ok bool) Observation {
+	o := Observation{Brick: string(c.Node.ID), Reason: c.Reason, Volume: req.Volume, Units: req.Units, Latency: latency, Util: -1,
+		Write: req.Method == "PUT" || req.Method == "PATCH"}
+	if ok {
+		o.Identity, o.Util, o.Draining = c.Response.Brick, c.Response.Util, c.Response.Draining
 		if c.Response.Status == 507 {
-			what.Reason = brick.ReasonDiskFull
+			o.Reason = brick.ReasonDiskFull
 		}
 	}
-	return what
+	return o
 }
--- a/internal/sizing/sizing_test.go
+++ b/internal/sizing/sizing_test.go
@@ -4,26 +4,26 @@
 
 func TestGuessFollowsSizes(t *testing.T) {
 	e := NewEstimator(1000)
-	if g := e.Estimate(1, 1<<20); g != 1000 {
-		t.Errorf("first guess %d", g)
+	if size := e.Estimate(1, 1<<20); size != 1000 {
+		t.Errorf("initial estimate %d", size)
 	}
 	for range 100 {
 		e.Observe(1, 50_000)
 	}
 	e.Observe(2, 10)
-	if g := e.Estimate(1, 1<<20); g < 49_000 || g > 50_000 {
-		t.Errorf("guess after 100 reads of 50,000: %d", g)
+	if size := e.Estimate(1, 1<<20); size < 49_000 || size > 50_000 {
+		t.Errorf("estimate after 100 reads of 50,000 bytes: %d", size)
 	}
-	if g := e.Estimate(2, 1<<20); g != 10 {
-		t.Errorf("guess of another volume: %d", g)
+	if size := e.Estimate(2, 1<<20); size != 10 {
+		t.Errorf("estimate of another volume: %d", size)
 	}
-	if g := e.Estimate(1, 4096); g != 4096 {
-		t.Errorf("bounded guess: %d", g)
+	if size := e.Estimate(1, 4096); size != 4096 {
+		t.Errorf("capped estimate: %d", size)
 	}
-	for v := range uint64(2 * volumesMost) {
+	for v := range uint64(2 * maxVolumes) {
 		e.Observe(v+10, 5)
 	}
-	if len(e.means) > volumesMost {
+	if len(e.means) > maxVolumes {
 		t.Errorf("%d volumes kept", len(e.means))
 	}
 }
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -1,6 +1,7 @@
-// Package spool keeps the bodies that a host may have to send again: in memory
-// up to a bound that all share, then in unnamed files up to another, then not
-// at all.
+// Package spool buffers request and response bodies that may have to be sent
+// again. All buffers share a bound on memory. Beyond it bodies go to unnamed
+// temporary files, which have a bound of their own; beyond that, buffering fails
+// with ErrFull.
 package spool
 
 import (
@@ -14,80 +15,85 @@
 	"arrowwalk/internal/store/record"
 )
 
-// PageBytes is the unit in which memory is taken.
+// PageBytes is the size of a page, the unit in which a buffer acquires memory
+// and file space.
 const PageBytes = 32 << 10
 
-// ErrFull means that neither memory nor files have room.
-var ErrFull = errors.New("no room to keep the body: memory and spool are full")
+// ErrFull means that both the memory and the file bound are exhausted.
+var ErrFull = errors.New("body cannot be buffered: memory and spool files are full")
 
-var pages = sync.Pool{New: func() any { return new([PageBytes]byte) }}
+var pagePool = sync.Pool{New: func() any { return new([PageBytes]byte) }}
 
-// Pool bounds all Buffers together. It is safe for concurrent use.
+// Pool bounds the memory and file space of all its buffers together. It is safe
+// for concurrent use.
 type Pool struct {
-	memoryMost, fileMost int64
-	dir                  string
-	memory, file         atomic.Int64
-	spilled, refused     atomic.Uint64
+	maxMemory, maxFile int64
+	dir                string
+	memory, file       atomic.Int64
+	spilled, refused   atomic.Uint64
 }
 
-// NewPool bounds bodies by memory bytes, then by file bytes in dir (""; the
-// system's directory for temporary files).
+// NewPool returns a pool whose buffers use up to memory bytes of memory and then
+// up to file bytes of temporary files in dir. An empty dir means the system's
+// directory for temporary files.
 func NewPool(memory, file int64, dir string) *Pool {
-	return &Pool{memoryMost: memory, fileMost: file, dir: dir}
+	return &Pool{maxMemory: memory, maxFile: file, dir: dir}
 }
 
-// Usage is what a Pool holds and has done.
+// Usage is the usage of a Pool.
 type Usage struct {
-	Memory, File     int64 // bytes taken now
-	Spilled, Refused uint64
+	Memory, File     int64  // bytes in use
+	Spilled, Refused uint64 // bodies moved to a file, and requests for file space that failed
 }
 
-// Usage returns what the pool holds now.
+// Usage returns the pool's current usage.
 func (p *Pool) Usage() Usage {
 	return Usage{p.memory.Load(), p.file.Load(), p.spilled.Load(), p.refused.Load()}
 }
 
-func take(held *atomic.Int64, n, most int64) bool {
-	if held.Add(n) > most {
-		held.Add(-n)
+// acquire adds n to inUse unless that exceeds limit.
+func acquire(inUse *atomic.Int64, n, limit int64) bool {
+	if inUse.Add(n) > limit {
+		inUse.Add(-n)
 		return false
 	}
 	return true
 }
 
-// Buffer is one body. Its zero value is not ready: use Pool.Buffer. It is
-// written by one goroutine and then read, any number of times.
+// Buffer holds one body. Use Pool.NewBuffer to create one. It is written by one
+// goroutine and then read any number of times. Release frees its space.
 type Buffer struct {
-	pool  *Pool
-	pages []*[PageBytes]byte
-	size  int64
-	file  *os.File // where set, it holds the whole body
-	taken int64    // bytes of the file's bound
-	sums  []uint32 // of each block of what was written
+	pool      *Pool
+	pages     []*[PageBytes]byte
+	size      int64
+	file      *os.File // holds the whole body if it is not nil
+	fileBytes int64    // acquired from the pool's file bound
+	sums      []uint32 // checksum of each block that was written
 }
 
-// NewBuffer returns an empty buffer; the caller Releases it.
+// NewBuffer returns an empty buffer. The caller must Release it.
 func (p *Pool) NewBuffer() *Buffer { return &Buffer{pool: p} }
 
 // Len returns the number of bytes written.
 func (b *Buffer) Len() int64 { return b.size }
 
-// IsSpilled tells whether the body is in a file.
+// IsSpilled reports whether the body is in a file.
 func (b *Buffer) IsSpilled() bool { return b.file != nil }
 
-// Fill reads r to its end, or for most bytes, and returns how many came. The
-// errors of r come back as they are; ErrFull leaves what was written.
-func (b *Buffer) Fill(r io.Reader, most int64) (int64, error) {
+// Fill appends bytes from r until its end or until maxBytes were read, and
+// returns the number of bytes read. Errors of r are returned unchanged. If the
+// error is ErrFull, the buffer keeps what was written.
+func (b *Buffer) Fill(r io.Reader, maxBytes int64) (int64, error) {
 	var total int64
-	for total < most {
-		space, err := b.space()
-		if errors.Is(err, ErrFull) && atEnd(r) {
+	for total < maxBytes {
+		space, err := b.writeSpace()
+		if errors.Is(err, ErrFull) && atEOF(r) {
 			return total, nil
 		}
 		if err != nil {
 			return total, err
 		}
-		n, err := r.Read(space[:min(int64(len(space)), most-total)])
+		n, err := r.Read(space[:min(int64(len(space)), maxBytes-total)])
 		total += int64(n)
 		if e := b.commit(space[:n]); e != nil {
 			return total, e
@@ -102,32 +108,34 @@
 	return total, nil
 }
 
-// atEnd tells whether r has no more; a byte that it has is lost with the body.
-func atEnd(r io.Reader) bool {
-	var one [1]byte
-	n, err := io.ReadFull(r, one[:])
+// atEOF reports whether r is at its end. It may consume a byte, which does not
+// matter because the body is discarded then.
+func atEOF(r io.Reader) bool {
+	var b [1]byte
+	n, err := io.ReadFull(r, b[:])
 	return n == 0 && errors.Is(err, io.EOF)
 }
 
-// Write appends p, or returns ErrFull.
+// Write appends p. It returns ErrFull if the pool is exhausted.
 func (b *Buffer) Write(p []byte) (int, error) {
-	done := 0
-	for done < len(p) {
-		space, err := b.space()
+	written := 0
+	for written < len(p) {
+		space, err := b.writeSpace()
 		if err != nil {
-			return done, err
+			return written, err
 		}
-		n := copy(space, p[done:])
+		n := copy(space, p[written:])
 		if err := b.commit(space[:n]); err != nil {
-			return done, err
+			return written, err
 		}
-		done += n
+		written += n
 	}
-	return done, nil
+	return written, nil
 }
 
-// space returns where the next bytes may be put before they are committed.
-func (b *Buffer) space() ([]byte, error) {
+// writeSpace returns memory for the next bytes. They become part of the body
+// once they are committed.
+func (b *Buffer) writeSpace() ([]byte, error) {
 	if b.file == nil {
 		if at := int(b.size % PageBytes); at != 0 {
 			return b.pages[len(b.pages)-1][at:], nil
@@ -135,24 +143,25 @@
 		if int64(len(b.pages))*PageBytes > b.size {
 			return b.pages[len(b.pages)-1][:], nil
 		}
-		if take(&b.pool.memory, PageBytes, b.pool.memoryMost) {
-			b.pages = append(b.pages, pages.Get().(*[PageBytes]byte))
+		if acquire(&b.pool.memory, PageBytes, b.pool.maxMemory) {
+			b.pages = append(b.pages, pagePool.Get().(*[PageBytes]byte))
 			return b.pages[len(b.pages)-1][:], nil
 		}
 		if err := b.spill(); err != nil {
 			return nil, err
 		}
 	}
-	if b.size+PageBytes > b.taken {
-		if !take(&b.pool.file, PageBytes, b.pool.fileMost) {
+	if b.size+PageBytes > b.fileBytes {
+		if !acquire(&b.pool.file, PageBytes, b.pool.maxFile) {
 			b.pool.refused.Add(1)
 			return nil, ErrFull
 		}
-		b.taken += PageBytes
+		b.fileBytes += PageBytes
 	}
-	return b.pages[0][:], nil // of a spilled body the first page is its window
+	return b.pages[0][:], nil // a spilled body keeps its first page as a write buffer
 }
 
+// commit appends p, which is the start of the latest writeSpace, to the body.
 func (b *Buffer) commit(p []byte) error {
 	if b.file != nil {
 		if _, err := b.file.WriteAt(p, b.size); err != nil {
@@ -160,13 +169,13 @@
 			return fmt.Errorf("spool: %w: %w", ErrFull, err)
 		}
 	}
-	b.sum(p)
+	b.addToSums(p)
 	b.size += int64(len(p))
 	return nil
 }
 
-// sum takes what is written into the checksums.
-func (b *Buffer) sum(p []byte) {
+// addToSums updates the checksums for p, which is about to be appended.
+func (b *Buffer) addToSums(p []byte) {
 	for at := b.size; len(p) > 0; {
 		n := min(record.BlockSize-at%record.BlockSize, int64(len(p)))
 		if at%record.BlockSize == 0 {
@@ -179,15 +188,15 @@
 	}
 }
 
-// Sums returns the CRC-32C of each record.Block bytes, as they were when they
-// were written. It is good until the buffer is released.
+// Sums returns the CRC-32C of each block of record.BlockSize bytes, computed when
+// the bytes were written. The slice is valid until the buffer is released.
 func (b *Buffer) Sums() []uint32 { return b.sums }
 
-// spill moves the body into a file that has no name, and keeps one page. That
-// page is outside the bound where the body had none.
+// spill moves the body into an unnamed file and keeps one page as a write
+// buffer. If the body had no page yet, that page exceeds the memory bound.
 func (b *Buffer) spill() error {
 	need := b.size + PageBytes
-	if !take(&b.pool.file, need, b.pool.fileMost) {
+	if !acquire(&b.pool.file, need, b.pool.maxFile) {
 		b.pool.refused.Add(1)
 		return ErrFull
 	}
@@ -201,53 +210,54 @@
 		return fmt.Errorf("spool: %w: %w", ErrFull, err)
 	}
 	b.pool.spilled.Add(1)
-	for i, part := range b.slices() {
+	for i, part := range b.memoryParts() {
 		if _, err := f.WriteAt(part, int64(i)*PageBytes); err != nil {
 			f.Close()
 			b.pool.file.Add(-need)
 			return fmt.Errorf("spool: %w: %w", ErrFull, err)
 		}
 	}
-	b.file, b.taken = f, need
+	b.file, b.fileBytes = f, need
 	if len(b.pages) == 0 {
 		b.pool.memory.Add(PageBytes)
-		b.pages = append(b.pages, pages.Get().(*[PageBytes]byte))
+		b.pages = append(b.pages, pagePool.Get().(*[PageBytes]byte))
 	}
-	b.drop(1)
+	b.freePages(1)
 	return nil
 }
 
-// drop gives back all pages but the first keep.
-func (b *Buffer) drop(keep int) {
+// freePages releases all pages but the first keep.
+func (b *Buffer) freePages(keep int) {
 	for _, p := range b.pages[keep:] {
-		pages.Put(p)
+		pagePool.Put(p)
 	}
 	b.pool.memory.Add(-int64(len(b.pages)-keep) * PageBytes)
 	b.pages = b.pages[:keep]
 }
 
-func (b *Buffer) slices() [][]byte {
+// memoryParts returns the body that is held in pages.
+func (b *Buffer) memoryParts() [][]byte {
 	parts := make([][]byte, 0, len(b.pages))
-	left := b.size
+	remaining := b.size
 	for _, p := range b.pages {
-		if left <= 0 {
+		if remaining <= 0 {
 			break
 		}
-		parts = append(parts, p[:min(left, PageBytes)])
-		left -= PageBytes
+		parts = append(parts, p[:min(remaining, PageBytes)])
+		remaining -= PageBytes
 	}
 	return parts
 }
 
-// Parts returns the body: its pages, or a reader of its file.
+// Parts returns the body: slices in memory, or nil and a reader of its file.
 func (b *Buffer) Parts() ([][]byte, io.Reader) {
 	if b.file != nil {
 		return nil, io.NewSectionReader(b.file, 0, b.size)
 	}
-	return b.slices(), nil
+	return b.memoryParts(), nil
 }
 
-// Reader reads the body from its start.
+// Reader returns a reader that reads the body from its start.
 func (b *Buffer) Reader() io.Reader {
 	parts, r := b.Parts()
 	if r != nil {
@@ -256,6 +266,7 @@
 	return &partReader{parts}
 }
 
+// partReader reads slices one after the other.
 type partReader struct{ parts [][]byte }
 
 func (r *partReader) Read(p []byte) (int, error) {
@@ -269,12 +280,13 @@
 	return n, nil
 }
 
-// Release gives all room back; the buffer is empty and may be used again.
+// Release frees the buffer's memory and file. The buffer is empty afterwards and
+// may be used again.
 func (b *Buffer) Release() {
-	b.drop(0)
+	b.freePages(0)
 	if b.file != nil {
 		b.file.Close()
-		b.pool.file.Add(-b.taken)
+		b.pool.file.Add(-b.fileBytes)
 	}
-	b.file, b.taken, b.size, b.sums = nil, 0, 0, b.sums[:0]
+	b.file, b.fileBytes, b.size, b.sums = nil, 0, 0, b.sums[:0]
 }
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// Bodies of all sizes come back whole from memory, files and both, and every
-// byte of the bounds is given back.
+// Bodies of all sizes are read back whole from memory and files, and Release
+// frees everything that they used.
 func TestBodiesThroughBounds(t *testing.T) {
-	rnd := rand.New(rand.NewSource(1))
+	rng := rand.New(rand.NewSource(1))
 	for _, c := range []struct {
 		memory, file int64
 		size         int
@@ -30,7 +30,7 @@
 	} {
 		p := NewPool(c.memory, c.file, t.TempDir())
 		body := make([]byte, c.size)
-		rnd.Read(body)
+		rng.Read(body)
 		b := p.NewBuffer()
 		n, err := b.Fill(bytes.NewReader(body), 1<<30)
 		if c.full != errors.Is(err, ErrFull) || !c.full && (err != nil || n != int64(c.size)) {
@@ -39,14 +39,14 @@
 		if b.IsSpilled() != c.spilled {
 			t.Errorf("%+v: spilled %v", c, b.IsSpilled())
 		}
-		for range 2 { // a body is sent again
+		for range 2 { // a body may be sent more than once
 			if got, err := io.ReadAll(b.Reader()); err != nil || !bytes.Equal(got, body[:b.Len()]) {
 				t.Errorf("%+v: read %d bytes, %v", c, len(got), err)
 			}
 		}
 		b.Release()
 		if u := p.Usage(); u.Memory != 0 || u.File != 0 {
-			t.Errorf("%+v: %+v left after release", c, u)
+			t.Errorf("%+v: still in use after release: %+v", c, u)
 		}
 		if _, err := b.Write(body[:min(c.size, 10)]); c.size == 0 && err != nil {
 			t.Errorf("%+v: write after release: %v", c, err)
