--- a/internal/brick/checksums.go
+++ b/internal/brick/checksums.go
@@ -9,7 +9,7 @@
 	"arrowwalk/internal/store/record"
 )
 
-// AppendSums appends checksums as HeaderSums has them.
+// AppendSums appends checksums in the format of HeaderSums.
 func AppendSums(b []byte, sums []uint32) []byte {
 	raw := make([]byte, 0, 4*len(sums))
 	for _, s := range sums {
@@ -18,7 +18,8 @@
 	return base64.RawURLEncoding.AppendEncode(b, raw)
 }
 
-// ParseSums reads the checksums of a body of size bytes; none told is nil.
+// ParseSums parses the value of HeaderSums for a body of size bytes. It returns
+// nil if text is empty.
 func ParseSums(text string, size int64) ([]uint32, error) {
 	if text == "" {
 		return nil, nil
@@ -42,48 +43,49 @@
 	return sums, nil
 }
 
-// errCorrupt is the error of a body that is not what its checksums are of.
-var errCorrupt = errors.New("the body is not that which its checksums are of")
+// errCorrupt is the error of a response whose body does not match its checksums.
+var errCorrupt = errors.New("response body does not match its checksums")
 
-// checking compares an answer's body with its checksums as it is read.
-type checking struct {
-	sums []uint32 // of what was not read yet
-	sum  uint32   // of the block that is read
-	left int64    // of that block
-	rest int64    // of the body after it
+// verifier compares a response's body with its checksums as the body is read.
+type verifier struct {
+	sums      []uint32 // of the current block and those after it
+	sum       uint32   // of what was read of the current block
+	blockLeft int64    // bytes to read of the current block
+	bodyLeft  int64    // bytes of the body after the current block
 }
 
-// begin takes the checksums of a body of length bytes that stand at from in
-// their blob.
-func (c *checking) begin(sums []uint32, from, length int64) error {
-	*c = checking{}
+// begin sets the checksums of a body of length bytes that starts at offset from
+// of its blob.
+func (v *verifier) begin(sums []uint32, from, length int64) error {
+	*v = verifier{}
 	if sums == nil || length == 0 {
 		return nil
 	}
-	first := record.BlockSize - from%record.BlockSize
-	if want := 1 + record.BlockCount(max(length-first, 0)); len(sums) != want {
+	firstBlock := record.BlockSize - from%record.BlockSize
+	if want := 1 + record.BlockCount(max(length-firstBlock, 0)); len(sums) != want {
 		return fmt.Errorf("%d checksums for %d bytes", len(sums), length)
 	}
-	c.sums, c.left = sums, min(first, length)
-	c.rest = length - c.left
+	v.sums, v.blockLeft = sums, min(firstBlock, length)
+	v.bodyLeft = length - v.blockLeft
 	return nil
 }
 
-// add takes what was read and tells whether all blocks that it ends are right.
-func (c *checking) add(p []byte) bool {
-	for len(p) > 0 && len(c.sums) > 0 {
-		n := min(int64(len(p)), c.left)
-		c.sum = record.UpdateChecksum(c.sum, p[:n])
+// add takes the next bytes of the body and reports whether every block that they
+// complete matches its checksum.
+func (v *verifier) add(p []byte) bool {
+	for len(p) > 0 && len(v.sums) > 0 {
+		n := min(int64(len(p)), v.blockLeft)
+		v.sum = record.UpdateChecksum(v.sum, p[:n])
 		p = p[n:]
-		if c.left -= n; c.left > 0 {
+		if v.blockLeft -= n; v.blockLeft > 0 {
 			return true
 		}
-		if c.sum != c.sums[0] {
+		if v.sum != v.sums[0] {
 			return false
 		}
-		c.sums, c.sum = c.sums[1:], 0
-		c.left = min(c.rest, record.BlockSize)
-		c.rest -= c.left
+		v.sums, v.sum = v.sums[1:], 0
+		v.blockLeft = min(v.bodyLeft, record.BlockSize)
+		v.bodyLeft -= v.blockLeft
 	}
 	return true
 }
--- a/internal/brick/message.go
+++ b/internal/brick/message.go
@@ -18,45 +18,45 @@
 
 // Request is one request to a brick.
 type Request struct {
-	Method string // GET, HEAD, PUT or DELETE
+	Method string // GET, HEAD, PUT, PATCH or DELETE
 	Space  string
 	Name   string
-	List   *ListQuery // GET of a space's names in place of a blob
-	Range  string     // as a Range field has it; "": the whole blob
-	Body   Body       // of a PUT
-	Meta   []byte     // of a PUT: kept beside the body
-	Whole  bool       // of a PUT: ranges will not apply
+	List   *ListQuery // if set, a GET lists the space's names instead of reading a blob
+	Range  string     // value of the Range field; empty for the whole blob
+	Body   Body       // of a PUT or PATCH
+	Meta   []byte     // of a PUT: metadata stored with the body
+	Whole  bool       // of a PUT: later reads ignore ranges
 
 	Epoch    uint64 // of an extent or a fence
-	Offset   int64  // of a PATCH
-	Number   uint64 // of a PATCH
-	Truncate bool   // of a PATCH: the extent is emptied
+	Offset   int64  // of a PATCH: where the body is written
+	Number   uint64 // of a PATCH: sequence number
+	Truncate bool   // of a PATCH: empties the extent
 
-	IfVersion uint64 // the blob must have this version
+	IfVersion uint64 // if not 0, the blob must have this version
 	IfAbsent  bool   // the blob must not exist
 
-	RequestID string // id in every log
+	RequestID string // ID in every log
 	Host      int
 	Volume    uint64
 	Units     float64
 	Key       string    // idempotency key
-	Deadline  time.Time // no answer after it counts
-	Expect    string    // the brick that is meant
+	Deadline  time.Time // a response after it does not count
+	Expect    string    // name of the addressed brick; empty accepts any
 }
 
-// ListQuery is a page asked for.
+// ListQuery selects one page of a space's names.
 type ListQuery struct {
 	Prefix, After, Delimiter string
 	MaxItems                 int
 }
 
-// Body is a body that can be sent more than once.
+// Body is a request body that can be sent more than once.
 type Body interface {
 	Len() int64
 	// Parts returns the body in order: slices in memory, or nil and a reader.
 	Parts() ([][]byte, io.Reader)
-	// Sums returns the CRC-32C of each 64 KiB, as the body was when it came;
-	// none where it may still change.
+	// Sums returns the CRC-32C of each block of 64 KiB, computed when the body
+	// was received. It returns none if the body may still change.
 	Sums() []uint32
 }
 
@@ -66,19 +66,20 @@
 // Len returns the number of bytes.
 func (b Bytes) Len() int64 { return int64(len(b)) }
 
-// Parts returns the slice.
+// Parts returns the bytes as one slice.
 func (b Bytes) Parts() ([][]byte, io.Reader) { return [][]byte{b}, nil }
 
-// Sums returns the checksums.
+// Sums returns the CRC-32C of each block.
 func (b Bytes) Sums() []uint32 { return record.AppendChecksums(nil, b) }
 
-// Failure is an attempt that brought no answer which counts.
+// Failure is the error of an attempt that brought no usable response.
 type Failure struct {
-	Status arrowwalk.Status // what the module is told
+	Status arrowwalk.Status // reported to the scheduler module
 	Reason Reason
-	Err    error
+	Err    error // cause; may be nil
 }
 
+// Error returns the reason and the cause.
 func (f *Failure) Error() string {
 	if f.Err == nil {
 		return "brick: " + string(f.Reason)
@@ -86,205 +87,209 @@
 	return "brick: " + string(f.Reason) + ": " + f.Err.Error()
 }
 
+// Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Err }
 
-// Reason is why an attempt failed; logs and metrics carry it.
+// Reason is why an attempt failed, as logs and metrics show it.
 type Reason string
 
-// The reasons, each with the module's status that it maps to.
+// Reasons and the module's status that each maps to.
 const (
-	ReasonUnknownBrick Reason = "unknown_brick" // Moot: not in the node list any more
-	ReasonRefused      Reason = "refused"       // Unreachable: no connection was made
-	ReasonDialTimeout  Reason = "dial_timeout"  // Unreachable: nor in time
-	ReasonWrongBrick   Reason = "wrong_brick"   // Unreachable: another brick listens there
-	ReasonFull         Reason = "full"          // Full: 503 before the request was seen
-	ReasonError        Reason = "error"         // Failed: the brick answered 500 or more
-	ReasonBadAnswer    Reason = "bad_answer"    // Failed: the answer is not HTTP, or breaks a bound
+	ReasonUnknownBrick Reason = "unknown_brick" // NotSent: the brick is no longer in the node list
+	ReasonRefused      Reason = "refused"       // Unreachable: no connection could be opened
+	ReasonDialTimeout  Reason = "dial_timeout"  // Unreachable: no connection was opened in time
+	ReasonWrongBrick   Reason = "wrong_brick"   // Unreachable: another brick listens at the address
+	ReasonFull         Reason = "full"          // Overloaded: 503, before the request was processed
+	ReasonError        Reason = "error"         // Failed: the brick responded with a status of 500 or more
+	ReasonBadAnswer    Reason = "bad_answer"    // Failed or Reset: the response is not HTTP, or exceeds a limit; NotSent: the request does
 	ReasonBroken       Reason = "broken"        // Reset: the connection broke after the request was begun
-	ReasonShort        Reason = "short_body"    // Reset: it broke inside the answer's body
-	ReasonCorrupt      Reason = "corrupt"       // Failed: the brick, or this host, found bytes that are not those written
-	ReasonTimeout      Reason = "timeout"       // TimedOut: no answer before the deadline
-	ReasonAborted      Reason = "aborted"       // Cancelled: the host gave the attempt up
-	ReasonSpool        Reason = "spool"         // Moot: the kept body could not be read again
-	ReasonDiskFull     Reason = "disk_full"     // OK, an answer: 507, the brick takes no writes
-	ReasonClient       Reason = "client"        // Cancelled: the client could not take the answer
+	ReasonShort        Reason = "short_body"    // Reset: the connection broke within the response's body
+	ReasonCorrupt      Reason = "corrupt"       // Failed: the brick or this host found a checksum mismatch
+	ReasonTimeout      Reason = "timeout"       // TimedOut: no response before the deadline
+	ReasonAborted      Reason = "aborted"       // Cancelled, or Unreachable while dialing: the host aborted the attempt
+	ReasonSpool        Reason = "spool"         // Reset: the buffered request body could not be read
+	ReasonDiskFull     Reason = "disk_full"     // OK, a response: 507, the brick accepts no writes
+	ReasonClient       Reason = "client"        // Cancelled: the client could not receive the response
 )
 
-func fail(status arrowwalk.Status, reason Reason, err error) *Failure {
+func newFailure(status arrowwalk.Status, reason Reason, err error) *Failure {
 	return &Failure{Status: status, Reason: reason, Err: err}
 }
 
-// Response is the head of a brick's answer. Its Body is read by the caller, who
-// then calls Done.
+// Response is the head of a brick's response. The caller reads Body and then
+// calls Release.
 type Response struct {
 	Status          int
 	Meta            []byte
-	Whole           bool
+	Whole           bool // ranges do not apply to the blob
 	Version         uint64
-	Replaced        []byte // meta of the blob that a write replaced; nil: none
-	Repeat          bool
-	Draining        bool   // it asks for nothing new
-	Brick           string // ID@STARTED
+	Replaced        []byte // metadata of the blob that a write replaced; nil if none
+	Repeat          bool   // the request was a duplicate and this is the first one's response
+	Draining        bool   // the brick asks for no new requests
+	Brick           string // identity of the brick, ID@STARTED
 	OtherHostsUnits float64
-	FleetRate       float64  // units a second
-	Util            float64  // -1: not told
+	FleetRate       float64  // units per second that all bricks serve for the volume
+	Util            float64  // -1 if not reported
 	Length          int64    // of the body
-	Sums            []uint32 // of the body's blocks, which begin at multiples of 64 KiB of the blob; nil: not told
-	Corrupt         bool     // it failed because bytes are not those that were written
-	RangeStart      int64    // first byte, where Status is 206
-	Size            int64    // of the whole blob, where Status is 206 or 416; else Length
+	Sums            []uint32 // of the body's blocks, which begin at multiples of 64 KiB of the blob; nil if not sent
+	Corrupt         bool     // the request failed because bytes did not match their checksums
+	RangeStart      int64    // offset of the body in the blob, if Status is 206
+	Size            int64    // of the whole blob, if Status is 206 or 416; Length otherwise
 	Body            *http1.Body
-	Raw             syscall.RawConn // of its connection; nil: it has none
-	RequestID       string          // that it answers, as the brick says; "": it does not
+	Raw             syscall.RawConn // of the connection; nil if it has none
+	RequestID       string          // of the request it responds to, as the brick sent it; empty if not sent
 
-	conn  *conn
-	at    *Attempt
-	check checking
+	conn     *conn
+	at       *Attempt
+	verifier verifier
 }
 
 const (
-	codecMost  = 16 << 10
-	nameMost   = 8 << 10
-	statusFull = 503
+	maxMetaBytes      = 16 << 10
+	maxNameBytes      = 8 << 10
+	statusUnavailable = 503
 )
 
-// append writes the call's head.
-func (c *Request) append(b []byte, left time.Duration) []byte {
-	b = append(b, c.Method...)
+// appendHead appends the request's head. timeout is the remaining time that the
+// host waits for the response.
+func (r *Request) appendHead(b []byte, timeout time.Duration) []byte {
+	b = append(b, r.Method...)
 	b = append(b, " /v1/"...)
-	b = append(b, c.Space...)
-	if c.List != nil {
+	b = append(b, r.Space...)
+	if r.List != nil {
 		b = append(b, "?list&max="...)
-		b = strconv.AppendInt(b, int64(c.List.MaxItems), 10)
-		for _, p := range [...][2]string{{"prefix", c.List.Prefix}, {"after", c.List.After}, {"delimiter", c.List.Delimiter}} {
+		b = strconv.AppendInt(b, int64(r.List.MaxItems), 10)
+		for _, p := range [...][2]string{{"prefix", r.List.Prefix}, {"after", r.List.After}, {"delimiter", r.List.Delimiter}} {
 			if p[1] != "" {
 				b = append(append(append(append(b, '&'), p[0]...), '='), url.QueryEscape(p[1])...)
 			}
 		}
 	} else {
-		b = AppendName(append(b, '/'), c.Name)
+		b = AppendName(append(b, '/'), r.Name)
 	}
 	b = append(b, " HTTP/1.1\r\nHost: brick\r\n"...)
-	b = http1.AppendField(b, HeaderRequest, c.RequestID)
-	b = http1.AppendIntField(b, HeaderDeadline, left.Microseconds())
-	b = http1.AppendIntField(b, HeaderHost, int64(c.Host))
+	b = http1.AppendField(b, HeaderRequest, r.RequestID)
+	b = http1.AppendIntField(b, HeaderDeadline, timeout.Microseconds())
+	b = http1.AppendIntField(b, HeaderHost, int64(r.Host))
 	b = append(b, HeaderVolume+": "...)
-	b = append(strconv.AppendUint(b, c.Volume, 10), "\r\n"...)
+	b = append(strconv.AppendUint(b, r.Volume, 10), "\r\n"...)
 	b = append(b, HeaderUnits+": "...)
-	b = append(strconv.AppendFloat(b, c.Units, 'f', 3, 64), "\r\n"...)
-	if c.Expect != "" {
-		b = http1.AppendField(b, HeaderExpect, c.Expect)
+	b = append(strconv.AppendFloat(b, r.Units, 'f', 3, 64), "\r\n"...)
+	if r.Expect != "" {
+		b = http1.AppendField(b, HeaderExpect, r.Expect)
 	}
-	if c.Key != "" {
-		b = http1.AppendField(b, HeaderKey, c.Key)
+	if r.Key != "" {
+		b = http1.AppendField(b, HeaderKey, r.Key)
 	}
-	if c.Range != "" {
-		b = http1.AppendField(b, "Range", c.Range)
+	if r.Range != "" {
+		b = http1.AppendField(b, "Range", r.Range)
 	}
-	if c.IfVersion != 0 {
-		b = fmt.Appendf(b, "If-Match: \"%d\"\r\n", c.IfVersion)
+	if r.IfVersion != 0 {
+		b = fmt.Appendf(b, "If-Match: \"%d\"\r\n", r.IfVersion)
 	}
-	if c.IfAbsent {
+	if r.IfAbsent {
 		b = append(b, "If-None-Match: *\r\n"...)
 	}
-	if len(c.Meta) > 0 {
+	if len(r.Meta) > 0 {
 		b = append(b, HeaderMeta+": "...)
-		b = append(base64.RawURLEncoding.AppendEncode(b, c.Meta), "\r\n"...)
+		b = append(base64.RawURLEncoding.AppendEncode(b, r.Meta), "\r\n"...)
 	}
-	if c.bodyLen() > 0 && c.Method == "PUT" {
-		if sums := c.Body.Sums(); len(sums) > 0 {
+	if r.bodyLen() > 0 && r.Method == "PUT" {
+		if sums := r.Body.Sums(); len(sums) > 0 {
 			b = append(AppendSums(append(b, HeaderSums+": "...), sums), "\r\n"...)
 		}
 	}
-	if c.Whole {
+	if r.Whole {
 		b = append(b, HeaderWhole+": 1\r\n"...)
 	}
-	if c.Epoch != 0 {
-		b = http1.AppendIntField(b, HeaderEpoch, int64(c.Epoch))
+	if r.Epoch != 0 {
+		b = http1.AppendIntField(b, HeaderEpoch, int64(r.Epoch))
 	}
-	if c.Method == "PATCH" {
-		b = http1.AppendIntField(b, HeaderOffset, c.Offset)
-		b = http1.AppendIntField(b, HeaderNumber, int64(c.Number))
-		if c.Truncate {
+	if r.Method == "PATCH" {
+		b = http1.AppendIntField(b, HeaderOffset, r.Offset)
+		b = http1.AppendIntField(b, HeaderNumber, int64(r.Number))
+		if r.Truncate {
 			b = http1.AppendField(b, HeaderTruncate, "1")
 		}
 	}
-	if c.Method == "PUT" || c.Method == "PATCH" {
-		b = http1.AppendIntField(b, "Content-Length", c.bodyLen())
+	if r.Method == "PUT" || r.Method == "PATCH" {
+		b = http1.AppendIntField(b, "Content-Length", r.bodyLen())
 	}
 	return append(b, "\r\n"...)
 }
 
-func (c *Request) bodyLen() int64 {
-	if c.Body == nil {
+func (r *Request) bodyLen() int64 {
+	if r.Body == nil {
 		return 0
 	}
-	return c.Body.Len()
+	return r.Body.Len()
 }
 
-// read fills a from a response's head.
-func (a *Response) read(p *http1.Response) error {
-	*a = Response{Status: p.Status, Util: -1, Length: p.Length, Size: p.Length, Raw: a.Raw, conn: a.conn, at: a.at}
-	for i := range p.Fields {
-		if err := a.take(p.Fields[i].Name, p.Fields[i].Value); err != nil {
-			return fmt.Errorf("header %s: %w", p.Fields[i].Name, err)
+// parseHead sets r from the head of an HTTP response.
+func (r *Response) parseHead(head *http1.Response) error {
+	*r = Response{Status: head.Status, Util: -1, Length: head.Length, Size: head.Length, Raw: r.Raw, conn: r.conn, at: r.at}
+	for i := range head.Fields {
+		if err := r.parseField(head.Fields[i].Name, head.Fields[i].Value); err != nil {
+			return fmt.Errorf("header %s: %w", head.Fields[i].Name, err)
 		}
 	}
-	if p.Status == 206 && a.Size < a.RangeStart+a.Length {
-		return errors.New("header Content-Range: it is at odds with Content-Length")
+	if head.Status == 206 && r.Size < r.RangeStart+r.Length {
+		return errors.New("header Content-Range: contradicts Content-Length")
 	}
-	if err := a.check.begin(a.Sums, a.RangeStart, a.Length); err != nil {
+	if err := r.verifier.begin(r.Sums, r.RangeStart, r.Length); err != nil {
 		return fmt.Errorf("header %s: %w", HeaderSums, err)
 	}
 	return nil
 }
 
-func (a *Response) take(name, value string) (err error) {
+func (r *Response) parseField(name, value string) (err error) {
 	switch {
 	case len(name) >= 3 && strings.EqualFold(name[:3], "Aw-"):
-		return a.takeOwn(name, value)
+		return r.parseProtocolField(name, value)
 	case strings.EqualFold(name, HeaderLoad):
-		a.Util = parseUtil(value)
+		r.Util = parseUtil(value)
 	case strings.EqualFold(name, "Content-Range"):
-		a.RangeStart, a.Size, err = parseContentRange(value)
+		r.RangeStart, r.Size, err = parseContentRange(value)
 	}
 	return err
 }
 
-func (a *Response) takeOwn(name, value string) (err error) {
+// parseProtocolField parses a field whose name begins with "Aw-".
+func (r *Response) parseProtocolField(name, value string) (err error) {
 	switch {
 	case strings.EqualFold(name, HeaderMeta):
-		a.Meta, err = base64.RawURLEncoding.DecodeString(value)
+		r.Meta, err = base64.RawURLEncoding.DecodeString(value)
 	case strings.EqualFold(name, HeaderReplaced):
-		a.Replaced, err = base64.RawURLEncoding.DecodeString(value)
-		if a.Replaced == nil {
-			a.Replaced = []byte{}
+		r.Replaced, err = base64.RawURLEncoding.DecodeString(value)
+		if r.Replaced == nil {
+			r.Replaced = []byte{}
 		}
 	case strings.EqualFold(name, HeaderVersion):
-		a.Version, err = strconv.ParseUint(value, 10, 64)
+		r.Version, err = strconv.ParseUint(value, 10, 64)
 	case strings.EqualFold(name, HeaderWhole):
-		a.Whole = value == "1"
+		r.Whole = value == "1"
 	case strings.EqualFold(name, HeaderRepeat):
-		a.Repeat = value == "1"
+		r.Repeat = value == "1"
 	case strings.EqualFold(name, HeaderState):
-		a.Draining = value == "draining"
+		r.Draining = value == "draining"
 	case strings.EqualFold(name, HeaderBrick):
-		a.Brick = value
+		r.Brick = value
 	case strings.EqualFold(name, HeaderRequest):
-		a.RequestID = value
+		r.RequestID = value
 	case strings.EqualFold(name, HeaderSums):
-		a.Sums, err = parseSums(value)
+		r.Sums, err = parseSums(value)
 	case strings.EqualFold(name, HeaderReason):
-		a.Corrupt = value == Corrupt
+		r.Corrupt = value == Corrupt
 	case strings.EqualFold(name, HeaderOthers):
-		a.OtherHostsUnits, err = parseAmount(value)
+		r.OtherHostsUnits, err = parseUnits(value)
 	case strings.EqualFold(name, HeaderFleet):
-		a.FleetRate, err = parseAmount(value)
+		r.FleetRate, err = parseUnits(value)
 	}
 	return err
 }
 
-func parseAmount(s string) (float64, error) {
+// parseUnits parses a number of units, or of units per second.
+func parseUnits(s string) (float64, error) {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || !(v >= 0 && v < 1e12) {
 		return 0, fmt.Errorf("bad amount %q", s)
@@ -292,8 +297,8 @@
 	return v, nil
 }
 
-// parseContentRange reads "bytes a-b/size" and "bytes */size".
-func parseContentRange(s string) (from, size int64, err error) {
+// parseContentRange parses "bytes first-last/size" and "bytes */size".
+func parseContentRange(s string) (start, size int64, err error) {
 	rest, ok := strings.CutPrefix(s, "bytes ")
 	span, total, slash := strings.Cut(rest, "/")
 	if !ok || !slash {
@@ -306,25 +311,25 @@
 		return 0, size, nil
 	}
 	first, last, dash := strings.Cut(span, "-")
-	from, err = strconv.ParseInt(first, 10, 64)
-	to, err2 := strconv.ParseInt(last, 10, 64)
-	if !dash || err != nil || err2 != nil || from < 0 || to < from || to >= size {
+	start, err = strconv.ParseInt(first, 10, 64)
+	end, err2 := strconv.ParseInt(last, 10, 64)
+	if !dash || err != nil || err2 != nil || start < 0 || end < start || end >= size {
 		return 0, 0, fmt.Errorf("bad value %q", s)
 	}
-	return from, size, nil
+	return start, size, nil
 }
 
-// parseUtil reads cpu_utilization out of an ORCA load report in its text
-// form ("TEXT name=value,..."); -1: not told.
+// parseUtil returns cpu_utilization from an ORCA load report in text form
+// ("TEXT name=value,..."), or -1 if the report does not have it.
 func parseUtil(s string) float64 {
 	s, ok := strings.CutPrefix(s, "TEXT ")
 	if !ok {
 		return -1
 	}
 	for s != "" {
-		var one string
-		one, s, _ = strings.Cut(s, ",")
-		name, value, _ := strings.Cut(strings.TrimSpace(one), "=")
+		var metric string
+		metric, s, _ = strings.Cut(s, ",")
+		name, value, _ := strings.Cut(strings.TrimSpace(metric), "=")
 		if name != "cpu_utilization" {
 			continue
 		}
--- a/internal/brick/pool.go
+++ b/internal/brick/pool.go
@@ -13,22 +13,22 @@
 	"arrowwalk/internal/http1"
 )
 
-// PoolOptions bounds the connections to bricks.
+// PoolOptions configures a Pool.
 type PoolOptions struct {
-	MaxIdlePerBrick int           // connections kept for reuse at each brick; 0: 64
-	IdleTimeout     time.Duration // and for how long; 0: 30 s
-	DialTimeout     time.Duration // 0: 1 s
-	StallTimeout    time.Duration // longest wait for the next bytes of a body that has begun; 0: 10 s
+	MaxIdlePerBrick int           // max idle connections kept for each brick; 0 means 64
+	IdleTimeout     time.Duration // idle timeout of these connections; 0 means 30 s
+	DialTimeout     time.Duration // 0 means 1 s
+	StallTimeout    time.Duration // longest wait for the next bytes of a response that is streamed; 0 means 10 s
 }
 
-// Pool keeps connections to bricks. It is safe for concurrent use and never
-// retries: each Do is one attempt.
+// Pool keeps connections to bricks for reuse. It is safe for concurrent use and
+// never retries: each Do is one attempt.
 type Pool struct {
 	opt   PoolOptions
 	conns *connpool.Pool
 }
 
-// NewPool returns an empty pool.
+// NewPool returns an empty pool. The caller must Close it.
 func NewPool(opt PoolOptions) *Pool {
 	if opt.MaxIdlePerBrick == 0 {
 		opt.MaxIdlePerBrick = 64
@@ -46,140 +46,145 @@
 		DialTimeout: opt.DialTimeout, HeadLimits: http1.DefaultLimits})}
 }
 
-// Close closes the idle connections; those in use close when they come back.
+// Close closes the idle connections. Connections in use are closed when they are
+// released.
 func (p *Pool) Close() { p.conns.Close() }
 
-// CloseIdleExcept closes the idle connections to all addresses but those given.
+// CloseIdleExcept closes the idle connections to all but the given addresses.
 func (p *Pool) CloseIdleExcept(addresses []string) { p.conns.CloseIdleExcept(addresses) }
 
-// DialCount returns how many connections were opened.
+// DialCount returns the number of connections opened so far.
 func (p *Pool) DialCount() int64 {
 	_, _, dialed := p.conns.Counts()
 	return dialed
 }
 
-// conn is a connection with the answer that is read on it.
+// conn is a connection with the response that is being read from it.
 type conn struct {
 	*connpool.Conn
 	resp http1.Response
 	body http1.Body
 }
 
-// Attempt is one sending, which another goroutine may abort: Do, or the reading
-// of the body, then returns a Failure with ReasonAborted.
+// Attempt is one attempt, which any goroutine may abort. Do, or reading the
+// response's body, then returns a Failure with ReasonAborted.
 type Attempt = connpool.Attempt
 
-// Do sends a call to the brick at address and reads the answer's head into
-// ans. On nil the caller reads ans.Body and calls ans.Done. Any error is a
-// *Failure, and nothing is left to do.
-func (p *Pool) Do(at *Attempt, address string, call *Request, ans *Response) error {
-	if len(call.Name) > nameMost || len(call.Meta) > codecMost {
-		return fail(arrowwalk.NotSent, ReasonBadAnswer, errors.New("name or meta too large"))
+// Do sends a request to the brick at address and reads the head of the response
+// into resp. If it returns nil, the caller reads resp.Body and must call
+// resp.Release. Any error is a *Failure, and there is nothing to release.
+func (p *Pool) Do(at *Attempt, address string, req *Request, resp *Response) error {
+	if len(req.Name) > maxNameBytes || len(req.Meta) > maxMetaBytes {
+		return newFailure(arrowwalk.NotSent, ReasonBadAnswer, errors.New("name or metadata too large"))
 	}
-	c, err := p.take(at, address, call.Deadline)
+	c, err := p.connect(at, address, req.Deadline)
 	if err != nil {
 		return err
 	}
-	if !at.Attach(c.Conn, call.Deadline) {
+	if !at.Attach(c.Conn, req.Deadline) {
 		p.conns.Put(c.Conn)
-		return fail(arrowwalk.Cancelled, ReasonAborted, nil)
+		return newFailure(arrowwalk.Cancelled, ReasonAborted, nil)
 	}
-	if err := c.send(call); err != nil {
-		return p.lose(at, c, err)
+	if err := c.send(req); err != nil {
+		return p.discard(at, c, err)
 	}
-	if err := c.HeadReader.ReadResponse(&c.resp, call.Method); err != nil {
-		return p.lose(at, c, err)
+	if err := c.HeadReader.ReadResponse(&c.resp, req.Method); err != nil {
+		return p.discard(at, c, err)
 	}
-	ans.conn, ans.at, ans.Raw = c, at, c.RawConn
-	if err := ans.read(&c.resp); err != nil {
-		return p.lose(at, c, &http1.Error{Status: 502, Reason: err.Error()})
+	resp.conn, resp.at, resp.Raw = c, at, c.RawConn
+	if err := resp.parseHead(&c.resp); err != nil {
+		return p.discard(at, c, &http1.Error{Status: 502, Reason: err.Error()})
 	}
-	if ans.RequestID != "" && ans.RequestID != call.RequestID { // a second answer to one before
-		return p.lose(at, c, &http1.Error{Status: 502, Reason: "the answer is to request " + ans.RequestID})
+	if resp.RequestID != "" && resp.RequestID != req.RequestID { // a second response to an earlier request
+		return p.discard(at, c, &http1.Error{Status: 502, Reason: "response is to request " + resp.RequestID})
 	}
 	c.body.Reset(c.Reader, c.resp.Framing)
-	if call.Method == "HEAD" {
+	if req.Method == "HEAD" {
 		c.body.Reset(c.Reader, http1.Framing{})
 	}
-	ans.Body = &c.body
-	if refused := ans.refusal(); refused != nil {
-		ans.Release(p, ans.Body.Drain(smallRest))
-		return refused
+	resp.Body = &c.body
+	if failure := resp.statusFailure(); failure != nil {
+		resp.Release(p, resp.Body.Drain(maxDrainBytes))
+		return failure
 	}
 	return nil
 }
 
-// smallRest is how much of an unwanted body is read to save the connection.
-const smallRest = 16 << 10
+// maxDrainBytes is how much of an unwanted body is read so that its connection
+// can be reused.
+const maxDrainBytes = 16 << 10
 
-// refusal maps the statuses that are no answer to the client's request.
-func (a *Response) refusal() *Failure {
+// statusFailure returns the failure for statuses that are no response to the
+// client's request, or nil.
+func (r *Response) statusFailure() *Failure {
 	switch {
-	case a.Status == statusFull:
-		return fail(arrowwalk.Overloaded, ReasonFull, nil)
-	case a.Status == 421:
-		return fail(arrowwalk.Unreachable, ReasonWrongBrick, nil)
-	case a.Status >= 500 && a.Status != 507:
-		if a.Corrupt {
-			return fail(arrowwalk.Failed, ReasonCorrupt, nil)
+	case r.Status == statusUnavailable:
+		return newFailure(arrowwalk.Overloaded, ReasonFull, nil)
+	case r.Status == 421:
+		return newFailure(arrowwalk.Unreachable, ReasonWrongBrick, nil)
+	case r.Status >= 500 && r.Status != 507:
+		if r.Corrupt {
+			return newFailure(arrowwalk.Failed, ReasonCorrupt, nil)
 		}
-		return fail(arrowwalk.Failed, ReasonError, nil)
-	case a.Status < 200:
-		return fail(arrowwalk.Failed, ReasonBadAnswer, nil)
+		return newFailure(arrowwalk.Failed, ReasonError, nil)
+	case r.Status < 200:
+		return newFailure(arrowwalk.Failed, ReasonBadAnswer, nil)
 	}
 	return nil
 }
 
-// lose closes a connection on which an attempt failed and names the failure.
-func (p *Pool) lose(at *Attempt, c *conn, err error) *Failure {
+// discard closes the connection of a failed attempt and returns the failure.
+func (p *Pool) discard(at *Attempt, c *conn, err error) *Failure {
 	aborted := !at.Detach()
 	p.conns.Discard(c.Conn)
 	return classify(err, aborted, ReasonBroken)
 }
 
+// classify returns the failure for an error on a connection. broken is the
+// reason if the connection broke.
 func classify(err error, aborted bool, broken Reason) *Failure {
-	var bad *http1.Error
-	var own *Failure
+	var malformed *http1.Error
+	var failure *Failure
 	switch {
-	case errors.As(err, &own):
-		return own
+	case errors.As(err, &failure):
+		return failure
 	case aborted:
-		return fail(arrowwalk.Cancelled, ReasonAborted, err)
+		return newFailure(arrowwalk.Cancelled, ReasonAborted, err)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return fail(arrowwalk.TimedOut, ReasonTimeout, err)
-	case errors.As(err, &bad): // no answer to go by: whether the attempt is over, nobody knows
-		return fail(arrowwalk.Reset, ReasonBadAnswer, err)
+		return newFailure(arrowwalk.TimedOut, ReasonTimeout, err)
+	case errors.As(err, &malformed): // the brick may still be processing the request
+		return newFailure(arrowwalk.Reset, ReasonBadAnswer, err)
 	}
-	return fail(arrowwalk.Reset, broken, err)
+	return newFailure(arrowwalk.Reset, broken, err)
 }
 
-// take returns a connection to the brick at address.
-func (p *Pool) take(at *Attempt, address string, deadline time.Time) (*conn, error) {
+// connect returns a pooled or new connection to the brick at address.
+func (p *Pool) connect(at *Attempt, address string, deadline time.Time) (*conn, error) {
 	c, err := p.conns.Get(at, address, deadline)
 	if err == nil {
 		return &conn{Conn: c}, nil
 	}
 	reason := ReasonRefused
-	var dial *connpool.DialError
-	if errors.As(err, &dial) && dial.Aborted {
+	var dialErr *connpool.DialError
+	if errors.As(err, &dialErr) && dialErr.Aborted {
 		reason = ReasonAborted
-	} else if dial != nil && dial.TimedOut {
+	} else if dialErr != nil && dialErr.TimedOut {
 		reason = ReasonDialTimeout
 	}
-	return nil, fail(arrowwalk.Unreachable, reason, err)
+	return nil, newFailure(arrowwalk.Unreachable, reason, err)
 }
 
 const smallBody = 64 << 10
 
-// send writes the call's head and body. A small body goes out with the head
-// in one write.
-func (c *conn) send(call *Request) error {
-	c.WriteBuf = call.append(c.WriteBuf[:0], time.Until(call.Deadline))
-	if call.bodyLen() == 0 {
+// send writes the request's head and body. A body in memory is sent together
+// with the head in one write.
+func (c *conn) send(req *Request) error {
+	c.WriteBuf = req.appendHead(c.WriteBuf[:0], time.Until(req.Deadline))
+	if req.bodyLen() == 0 {
 		_, err := c.Write(c.WriteBuf)
 		return err
 	}
-	parts, reader := call.Body.Parts()
+	parts, reader := req.Body.Parts()
 	if reader == nil {
 		buffers := make(net.Buffers, 0, len(parts)+1)
 		buffers = append(append(buffers, c.WriteBuf), parts...)
@@ -189,58 +194,58 @@
 	if _, err := c.Write(c.WriteBuf); err != nil {
 		return err
 	}
-	source := &sourceErr{r: reader}
-	n, err := io.CopyN(c.Conn.Conn, source, call.bodyLen())
-	if source.err != nil || err == nil && n < call.bodyLen() {
-		return fail(arrowwalk.Reset, ReasonSpool, source.err)
+	source := &errorRecorder{r: reader}
+	n, err := io.CopyN(c.Conn.Conn, source, req.bodyLen())
+	if source.err != nil || err == nil && n < req.bodyLen() {
+		return newFailure(arrowwalk.Reset, ReasonSpool, source.err)
 	}
 	return err
 }
 
-// sourceErr tells an error of the reading from one of the writing.
-type sourceErr struct {
+// errorRecorder records the error of a reader, to tell read errors from write
+// errors of a copy.
+type errorRecorder struct {
 	r   io.Reader
 	err error
 }
 
-func (s *sourceErr) Read(p []byte) (int, error) {
-	n, err := s.r.Read(p)
+func (e *errorRecorder) Read(p []byte) (int, error) {
+	n, err := e.r.Read(p)
 	if err != nil {
-		s.err = err
+		e.err = err
 	}
 	return n, err
 }
 
-// Read reads from the answer's body; each read may wait as long as the pool's
-// stall bound, or until the deadline where streaming is false. Errors are
-// io.EOF at the end, else a *Failure, after which the connection is closed and
-// Done does nothing.
-func (a *Response) Read(p *Pool, buf []byte) (int, error) {
-	n, err := a.Body.Read(buf)
-	if !a.check.add(buf[:n]) {
-		a.Release(p, false)
-		return 0, fail(arrowwalk.Failed, ReasonCorrupt, errCorrupt)
+// Read reads from the response's body. It waits until the request's deadline, or
+// the one that BeginStream set. It returns io.EOF at the end; any other error is
+// a *Failure, after which the connection is closed and Release does nothing.
+func (r *Response) Read(p *Pool, buf []byte) (int, error) {
+	n, err := r.Body.Read(buf)
+	if !r.verifier.add(buf[:n]) {
+		r.Release(p, false)
+		return 0, newFailure(arrowwalk.Failed, ReasonCorrupt, errCorrupt)
 	}
 	if err == nil || errors.Is(err, io.EOF) {
 		return n, err
 	}
-	failure := p.lose(a.at, a.conn, err)
+	failure := p.discard(r.at, r.conn, err)
 	if failure.Reason == ReasonBroken {
 		failure.Reason = ReasonShort
 	}
-	a.conn = nil
+	r.conn = nil
 	return n, failure
 }
 
-// ReadBlock reads as Read does, but to the end of a block of the body's
-// checksums: what it returns was found right. buf has room for a block.
-func (a *Response) ReadBlock(p *Pool, buf []byte) (int, error) {
-	if len(a.check.sums) == 0 {
-		return a.Read(p, buf)
+// ReadBlock is like Read but reads up to the end of a checksum block, so that
+// every byte that it returns is verified. buf must hold a whole block.
+func (r *Response) ReadBlock(p *Pool, buf []byte) (int, error) {
+	if len(r.verifier.sums) == 0 {
+		return r.Read(p, buf)
 	}
-	want := min(a.check.left, int64(len(buf)))
+	want := min(r.verifier.blockLeft, int64(len(buf)))
 	for done := int64(0); done < want; {
-		n, err := a.Read(p, buf[done:want])
+		n, err := r.Read(p, buf[done:want])
 		done += int64(n)
 		if err != nil && (done < want || !errors.Is(err, io.EOF)) {
 			return 0, err
@@ -249,24 +254,26 @@
 	return int(want), nil
 }
 
-// BeginStream tells that the answer is being passed on: from now on each wait for
-// bytes has the pool's stall bound in place of the call's deadline.
-func (a *Response) BeginStream(p *Pool) { a.at.ExtendDeadline(time.Now().Add(p.opt.StallTimeout)) }
+// BeginStream marks the response as being passed on to the client: from now on
+// the next bytes may take the pool's stall timeout, whatever the request's
+// deadline. Call it for each part of the body that is passed on.
+func (r *Response) BeginStream(p *Pool) { r.at.ExtendDeadline(time.Now().Add(p.opt.StallTimeout)) }
 
-// ReadAll reads the whole body into buf, which it grows, up to most bytes.
-func (a *Response) ReadAll(p *Pool, buf []byte, most int64) ([]byte, error) {
-	if a.Length > most {
-		a.Release(p, false)
-		return buf, fail(arrowwalk.Failed, ReasonBadAnswer, errors.New("answer too large"))
+// ReadAll reads the whole body, up to maxBytes, into buf, which it grows as
+// needed.
+func (r *Response) ReadAll(p *Pool, buf []byte, maxBytes int64) ([]byte, error) {
+	if r.Length > maxBytes {
+		r.Release(p, false)
+		return buf, newFailure(arrowwalk.Failed, ReasonBadAnswer, errors.New("response too large"))
 	}
-	buf = slices.Grow(buf[:0], int(a.Length))
-	for !a.Body.Done() {
-		if int64(len(buf)) > most {
-			a.Release(p, false)
-			return buf, fail(arrowwalk.Failed, ReasonBadAnswer, errors.New("answer too large"))
+	buf = slices.Grow(buf[:0], int(r.Length))
+	for !r.Body.Done() {
+		if int64(len(buf)) > maxBytes {
+			r.Release(p, false)
+			return buf, newFailure(arrowwalk.Failed, ReasonBadAnswer, errors.New("response too large"))
 		}
 		buf = slices.Grow(buf, 512)
-		n, err := a.Read(p, buf[len(buf):cap(buf)])
+		n, err := r.Read(p, buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
 		if errors.Is(err, io.EOF) {
 			break
@@ -278,15 +285,16 @@
 	return buf, nil
 }
 
-// Release gives the connection back: to the pool where the body was read to its
-// end and more may follow, else it is closed.
-func (a *Response) Release(p *Pool, whole bool) {
-	c := a.conn
+// Release releases the connection. It returns to the pool if complete is true,
+// the body was read to its end and the brick keeps the connection open;
+// otherwise it is closed. Calls after the first have no effect.
+func (r *Response) Release(p *Pool, complete bool) {
+	c := r.conn
 	if c == nil {
 		return
 	}
-	a.conn = nil
-	if a.at.Detach() && whole && c.body.Done() && !c.resp.Close && c.Reader.Buffered() == 0 {
+	r.conn = nil
+	if r.at.Detach() && complete && c.body.Done() && !c.resp.Close && c.Reader.Buffered() == 0 {
 		c.SetDeadline(time.Time{})
 		p.conns.Put(c.Conn)
 		return
--- a/internal/brick/protocol.go
+++ b/internal/brick/protocol.go
@@ -1,6 +1,7 @@
-// Package brick is the client's side of the bricks' protocol: plain HTTP/1.1
-// (RFC 9110) with blobs named by space and name. docs/brick-protocol.md is its
-// description; this file holds the names that both sides share.
+// Package brick implements the client side of the protocol that bricks speak:
+// plain HTTP/1.1 (RFC 9110) with blobs addressed by space and name. Its
+// description is docs/brick-protocol.md. This file defines the names that client
+// and server share.
 package brick
 
 import (
@@ -8,54 +9,54 @@
 	"strings"
 )
 
-// Header fields of the protocol. All but the standard ones are "Aw-".
+// Header fields of the protocol. All nonstandard names begin with "Aw-".
 const (
-	HeaderRequest  = "Aw-Request"  // HOST-SEQUENCE.ATTEMPT, the request's id in every log
-	HeaderDeadline = "Aw-Deadline" // microseconds for which the host will wait
+	HeaderRequest  = "Aw-Request"  // HOST-SEQUENCE.ATTEMPT, the request's ID in every log
+	HeaderDeadline = "Aw-Deadline" // microseconds for which the host waits for the response
 	HeaderHost     = "Aw-Host"     // the host's number
 	HeaderVolume   = "Aw-Volume"   // the volume's number
-	HeaderUnits    = "Aw-Units"    // units of work, as plans count them
-	HeaderKey      = "Aw-Key"      // idempotency key: the bricks of a zone drop its repeats
-	HeaderExpect   = "Aw-Expect"   // the brick that the host means; another one answers 421
-	HeaderMeta     = "Aw-Meta"     // base64url of what the writer keeps beside the body
+	HeaderUnits    = "Aw-Units"    // cost in units of work, as plans count them
+	HeaderKey      = "Aw-Key"      // idempotency key; the bricks of a zone deduplicate by it
+	HeaderExpect   = "Aw-Expect"   // name of the addressed brick; any other one responds with 421
+	HeaderMeta     = "Aw-Meta"     // base64url of the metadata that the writer stores with the body
 	HeaderWhole    = "Aw-Whole"    // "1": ranges do not apply to this blob
 	HeaderVersion  = "Aw-Version"  // the blob's version
-	HeaderReplaced = "Aw-Replaced" // base64url of the replaced blob's meta
-	HeaderRepeat   = "Aw-Repeat"   // "1": a repeat that was dropped; this is the first answer
-	HeaderBrick    = "Aw-Brick"    // who answers: ID@STARTED, in microseconds since 1970
-	HeaderState    = "Aw-State"    // "draining": the brick asks for nothing new
-	HeaderOthers   = "Aw-Others"   // units served for the volume through other hosts since last told
-	HeaderFleet    = "Aw-Fleet"    // units a second served for the volume everywhere, late
-	HeaderEpoch    = "Aw-Epoch"    // of a volume's attachment
-	HeaderOffset   = "Aw-Offset"   // of a PATCH: where its body goes
-	HeaderNumber   = "Aw-Number"   // of a PATCH: grows for each extent within an epoch
+	HeaderReplaced = "Aw-Replaced" // base64url of the replaced blob's metadata
+	HeaderRepeat   = "Aw-Repeat"   // "1": a duplicate was dropped and this is the first request's response
+	HeaderBrick    = "Aw-Brick"    // identity of the responding brick: ID@STARTED, in microseconds since 1970
+	HeaderState    = "Aw-State"    // "draining": the brick asks for no new requests
+	HeaderOthers   = "Aw-Others"   // units served for the volume through other hosts since the last report
+	HeaderFleet    = "Aw-Fleet"    // delayed rate of units per second that all bricks serve for the volume
+	HeaderEpoch    = "Aw-Epoch"    // epoch of a volume's attachment
+	HeaderOffset   = "Aw-Offset"   // of a PATCH: where its body is written
+	HeaderNumber   = "Aw-Number"   // of a PATCH: sequence number, increasing per extent within an epoch
 	HeaderTruncate = "Aw-Truncate" // "1": a PATCH empties the extent
 	HeaderSums     = "Aw-Sums"     // base64url of the CRC-32C of each 64 KiB of the body, 4 bytes each
 	HeaderReason   = "Aw-Reason"   // why a request failed: Corrupt
 	HeaderLoad     = "endpoint-load-metrics"
 )
 
-// Corrupt is the reason of a brick that found its bytes, or those that came, not
-// to be those that were written.
+// Corrupt is the HeaderReason of a brick that found that stored or received
+// bytes do not match their checksums.
 const Corrupt = "corrupt"
 
 // Spaces of blobs.
 const (
-	SpaceBuckets = "b" // a record for each bucket
-	SpaceObjects = "o" // BUCKET/KEY: the object, or its manifest
+	SpaceBuckets = "b" // BUCKET: a bucket's record
+	SpaceObjects = "o" // BUCKET/KEY: the object or its manifest
 	SpacePieces  = "p" // data of objects larger than a piece
 	SpaceUploads = "u" // BUCKET/KEY NUL UPLOAD: a multipart upload
-	SpaceParts   = "r" // UPLOAD/NUMBER/ID: a part that was uploaded
-	SpaceVolumes = "v" // a record for each block volume
-	SpaceExtents = "x" // VOLUME/INDEX: a part of a block volume; changed by PATCH
-	SpaceFences  = "f" // VOLUME: the epoch below which its requests are refused
-	SpaceProbe   = "q" // always empty: to ask a brick who it is
+	SpaceParts   = "r" // UPLOAD/NUMBER/ID: an uploaded part
+	SpaceVolumes = "v" // a block volume's record
+	SpaceExtents = "x" // VOLUME/INDEX: a part of a block volume, changed by PATCH
+	SpaceFences  = "f" // VOLUME: the epoch below which the volume's requests are rejected
+	SpaceProbe   = "q" // always empty, for requests that only identify a brick
 )
 
 const upperHex = "0123456789ABCDEF"
 
-// AppendName appends a blob's name to a path, percent-encoded so that it is
-// one segment whatever its bytes are.
+// AppendName appends a blob's name to a path, percent-encoded so that any name
+// is a single path segment.
 func AppendName(b []byte, name string) []byte {
 	for i := 0; i < len(name); i++ {
 		c := name[i]
@@ -68,7 +69,7 @@
 	return b
 }
 
-// Unescape decodes a percent-encoded string; "+" stands for itself.
+// Unescape decodes a percent-encoded string. It does not decode "+" to a space.
 func Unescape(s string) (string, error) {
 	if !strings.Contains(s, "%") {
 		return s, nil
@@ -92,6 +93,7 @@
 	return string(b), nil
 }
 
+// unhex returns the value of a hexadecimal digit, or -1.
 func unhex(c byte) int {
 	switch {
 	case c >= '0' && c <= '9':
@@ -104,18 +106,18 @@
 	return -1
 }
 
-// ListItem is an item of a list's answer (JSON). Bytes are base64 in JSON, so
-// that any name passes unchanged.
+// ListItem is an item of a list response, encoded as JSON. Byte slices are
+// base64 there, so that any name is preserved.
 type ListItem struct {
 	Name     []byte `json:"n"`
 	Meta     []byte `json:"m,omitempty"`
 	Size     int64  `json:"s,omitempty"`
 	Version  uint64 `json:"v,omitempty"`
-	IsPrefix bool   `json:"r,omitempty"`
+	IsPrefix bool   `json:"r,omitempty"` // the item is a common prefix of several blobs
 }
 
-// ListResponse is the body of a list's answer.
+// ListResponse is the body of a list response.
 type ListResponse struct {
 	Items []ListItem `json:"items"`
-	More  bool       `json:"more"`
+	More  bool       `json:"more"` // there are further items after the last one
 }
