--- a/internal/brickd/extent.go
+++ b/internal/brickd/extent.go
@@ -17,50 +17,53 @@
 	"arrowwalk/internal/store"
 )
 
-// Extents of volumes are changed in place, a part at a time: PATCH writes its
-// body at an offset of the blob and leaves the rest. Each carries the epoch of
-// its attachment and a number that grows for the extent within the epoch. A
-// brick refuses what comes from before the epoch it was fenced at (409), and
-// drops what is not newer than what it has: a late copy does no harm whenever
-// it comes.
+// Extents of volumes are changed in part: a PATCH writes its body at an offset of
+// the blob and keeps the rest. Each PATCH carries the epoch of the volume's
+// attachment and a sequence number that increases per extent within the epoch. A
+// brick rejects requests from before the epoch at which the volume was fenced
+// (409) and drops a PATCH that is not newer than the stored extent, so a delayed
+// duplicate has no effect.
 
-// extentMost is the largest extent.
-const extentMost = 1 << 20
+// maxExtentBytes is the largest size of an extent.
+const maxExtentBytes = 1 << 20
 
-const patchStripes = 64
+const numPatchLocks = 64
 
-// fences are the epochs below which volumes' requests are refused.
+// fences holds the epochs below which requests for volumes are rejected.
+// Requests for extents hold mu for reading; raising a fence holds it for
+// writing.
 type fences struct {
-	mu    sync.RWMutex
-	known map[string]uint64
-	patch [patchStripes]sync.Mutex
+	mu         sync.RWMutex
+	epochs     map[string]uint64         // by volume; a cache of the stored fences
+	patchLocks [numPatchLocks]sync.Mutex // by hash of the extent's name
 }
 
-// order is what is kept beside an extent: the epoch and number of its last write.
-type order struct{ epoch, number uint64 }
+// writeOrder is the metadata of an extent: the epoch and the sequence number of
+// its latest write.
+type writeOrder struct{ epoch, number uint64 }
 
-func (o order) encode() []byte {
+func (o writeOrder) encode() []byte {
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, o.epoch), o.number)
 }
 
-func decodeOrder(meta []byte) order {
+func decodeWriteOrder(meta []byte) writeOrder {
 	if len(meta) != 16 {
-		return order{}
+		return writeOrder{}
 	}
-	return order{binary.BigEndian.Uint64(meta), binary.BigEndian.Uint64(meta[8:])}
+	return writeOrder{binary.BigEndian.Uint64(meta), binary.BigEndian.Uint64(meta[8:])}
 }
 
-func (o order) newer(than order) bool {
-	return o.epoch > than.epoch || o.epoch == than.epoch && o.number > than.number
+func (o writeOrder) isNewerThan(other writeOrder) bool {
+	return o.epoch > other.epoch || o.epoch == other.epoch && o.number > other.number
 }
 
-// volumeOf returns the volume that an extent's name begins with.
+// volumeOf returns the volume of an extent, which is the first part of its name.
 func volumeOf(name string) string {
 	volume, _, _ := strings.Cut(name, "/")
 	return volume
 }
 
-func (c *conn) number(field string) (uint64, error) {
+func (c *conn) parseUintField(field string) (uint64, error) {
 	text := c.req.Fields.Get(field)
 	n, err := strconv.ParseUint(text, 10, 63)
 	if err != nil {
@@ -69,14 +72,14 @@
 	return n, nil
 }
 
-// fenced returns the epoch below which a volume's requests are refused. The
-// caller holds f.mu in either way.
-func (c *conn) fenced(volume string) (uint64, error) {
-	f := &c.s.fences
-	if epoch, ok := f.known[volume]; ok {
+// fenceEpoch returns the epoch below which a volume's requests are rejected. The
+// caller holds fences.mu for reading or writing.
+func (c *conn) fenceEpoch(volume string) (uint64, error) {
+	f := &c.server.fences
+	if epoch, ok := f.epochs[volume]; ok {
 		return epoch, nil
 	}
-	info, err := c.s.dir.Stat(brick.SpaceFences, volume)
+	info, err := c.server.blobs.Stat(brick.SpaceFences, volume)
 	if errors.Is(err, store.ErrNotFound) {
 		return 0, nil
 	}
@@ -86,131 +89,133 @@
 	return binary.BigEndian.Uint64(info.Meta), nil
 }
 
-var errBadFence = errors.New("the record of its epoch cannot be read")
+var errBadFence = errors.New("cannot read the fence's epoch")
 
-var stale = reply{status: 409, text: "the volume was attached anew: this epoch is over"}
+var staleEpoch = reply{status: 409, text: "stale epoch: the volume was attached again"}
 
-// fence has a volume's requests of earlier epochs refused from now on.
-func (c *conn) fence(x *Exchange) *reply {
-	epoch, err := c.number(brick.HeaderEpoch)
+// raiseFence makes the brick reject the requests of a volume's earlier epochs.
+func (c *conn) raiseFence(ex *Exchange) *reply {
+	epoch, err := c.parseUintField(brick.HeaderEpoch)
 	if err != nil {
 		return &reply{status: 400, text: err.Error()}
 	}
-	f := &c.s.fences
-	f.mu.Lock() // waits for writes that are under way
+	f := &c.server.fences
+	f.mu.Lock() // waits for requests in progress
 	defer f.mu.Unlock()
-	now, err := c.fenced(x.Name)
+	current, err := c.fenceEpoch(ex.Name)
 	if err != nil {
 		return &reply{status: 500, text: err.Error()}
 	}
-	if epoch < now {
-		r := stale
+	if epoch < current {
+		r := staleEpoch
 		return &r
 	}
-	if epoch > now {
-		info := store.Info{Name: x.Name, Meta: binary.BigEndian.AppendUint64(nil, epoch)}
-		if _, _, err := c.s.dir.Put(context.Background(), brick.SpaceFences, info, bytes.NewReader(nil), nil, store.Condition{}); err != nil {
+	if epoch > current {
+		info := store.Info{Name: ex.Name, Meta: binary.BigEndian.AppendUint64(nil, epoch)}
+		if _, _, err := c.server.blobs.Put(context.Background(), brick.SpaceFences, info, bytes.NewReader(nil), nil, store.Condition{}); err != nil {
 			return &reply{status: statusOf(err), text: err.Error()}
 		}
-		x.Stored = true
+		ex.Stored = true
 	}
-	if f.known == nil {
-		f.known = map[string]uint64{}
+	if f.epochs == nil {
+		f.epochs = map[string]uint64{}
 	}
-	f.known[x.Name] = epoch
+	f.epochs[ex.Name] = epoch
 	return &reply{status: 200}
 }
 
-// extentOf checks an extent's request against its fence. nil: it may go on.
-func (c *conn) extentOf(x *Exchange) (order, *reply) {
-	epoch, err := c.number(brick.HeaderEpoch)
+// checkFence checks a request for an extent against its volume's fence. The reply
+// is nil if the request may proceed.
+func (c *conn) checkFence(ex *Exchange) (writeOrder, *reply) {
+	epoch, err := c.parseUintField(brick.HeaderEpoch)
 	if err != nil {
-		return order{}, &reply{status: 400, text: err.Error()}
+		return writeOrder{}, &reply{status: 400, text: err.Error()}
 	}
-	least, err := c.fenced(volumeOf(x.Name))
+	minEpoch, err := c.fenceEpoch(volumeOf(ex.Name))
 	if err != nil {
-		return order{}, &reply{status: 500, text: err.Error()}
+		return writeOrder{}, &reply{status: 500, text: err.Error()}
 	}
-	if epoch < least {
-		r := stale
-		return order{}, &r
+	if epoch < minEpoch {
+		r := staleEpoch
+		return writeOrder{}, &r
 	}
-	return order{epoch: epoch}, nil
+	return writeOrder{epoch: epoch}, nil
 }
 
-// getExtent reads a part of an extent.
-func (c *conn) getExtent(x *Exchange) *reply {
-	c.s.fences.mu.RLock()
-	defer c.s.fences.mu.RUnlock()
-	if _, r := c.extentOf(x); r != nil {
+// getExtent reads an extent or a range of it.
+func (c *conn) getExtent(ex *Exchange) *reply {
+	c.server.fences.mu.RLock()
+	defer c.server.fences.mu.RUnlock()
+	if _, r := c.checkFence(ex); r != nil {
 		return r
 	}
-	return c.get(x)
+	return c.getBlob(ex)
 }
 
-// patch changes a part of an extent, or empties it.
-func (c *conn) patch(x *Exchange) *reply {
-	if x.Space != brick.SpaceExtents {
-		return &reply{status: 405, text: "only extents are changed in part"}
+// patchExtent changes a part of an extent, or empties it.
+func (c *conn) patchExtent(ex *Exchange) *reply {
+	if ex.Space != brick.SpaceExtents {
+		return &reply{status: 405, text: "PATCH applies to extents only"}
 	}
-	offset, err := c.number(brick.HeaderOffset)
-	if err == nil && (!c.req.HasLength || c.req.Length > extentMost || int64(offset) > extentMost-c.req.Length) {
-		err = fmt.Errorf("header %s: %d and a body of %d bytes are over %d", brick.HeaderOffset, offset, c.req.Length, extentMost)
+	offset, err := c.parseUintField(brick.HeaderOffset)
+	if err == nil && (!c.req.HasLength || c.req.Length > maxExtentBytes || int64(offset) > maxExtentBytes-c.req.Length) {
+		err = fmt.Errorf("header %s: offset %d plus a body of %d bytes exceeds %d bytes", brick.HeaderOffset, offset, c.req.Length, maxExtentBytes)
 	}
-	number, err2 := c.number(brick.HeaderNumber)
+	number, err2 := c.parseUintField(brick.HeaderNumber)
 	if err = errors.Join(err, err2); err != nil {
 		return &reply{status: 400, text: err.Error()}
 	}
 	body := make([]byte, c.req.Length)
-	c.nc.SetReadDeadline(time.Now().Add(c.s.opt.IdleTimeout))
+	c.nc.SetReadDeadline(time.Now().Add(c.server.opt.IdleTimeout))
 	if _, err := io.ReadFull(&c.body, body); err != nil {
 		return &reply{status: 400, text: err.Error()}
 	}
-	c.s.fences.mu.RLock()
-	defer c.s.fences.mu.RUnlock()
-	o, refused := c.extentOf(x)
-	if refused != nil {
-		return refused
+	c.server.fences.mu.RLock()
+	defer c.server.fences.mu.RUnlock()
+	order, rejection := c.checkFence(ex)
+	if rejection != nil {
+		return rejection
 	}
-	o.number = number
-	mu := &c.s.fences.patch[crc32.ChecksumIEEE([]byte(x.Name))%patchStripes]
+	order.number = number
+	mu := &c.server.fences.patchLocks[crc32.ChecksumIEEE([]byte(ex.Name))%numPatchLocks]
 	mu.Lock()
 	defer mu.Unlock()
-	return c.rewrite(x, o, int64(offset), body, c.req.Fields.Get(brick.HeaderTruncate) == "1")
+	return c.rewriteExtent(ex, order, int64(offset), body, c.req.Fields.Get(brick.HeaderTruncate) == "1")
 }
 
-// rewrite writes the extent anew with a part changed.
-func (c *conn) rewrite(x *Exchange, o order, offset int64, part []byte, truncate bool) *reply {
-	blob, err := c.s.dir.Get(x.Space, x.Name)
-	whole := part
+// rewriteExtent stores the extent with part written at offset, or empty if
+// truncate is set. The caller holds the extent's patch lock.
+func (c *conn) rewriteExtent(ex *Exchange, order writeOrder, offset int64, part []byte, truncate bool) *reply {
+	blob, err := c.server.blobs.Get(ex.Space, ex.Name)
+	content := part
 	switch {
 	case errors.Is(err, store.ErrNotFound):
 		if offset > 0 {
-			whole = append(make([]byte, offset, offset+int64(len(part))), part...)
+			content = append(make([]byte, offset, offset+int64(len(part))), part...)
 		}
 	case err != nil:
-		return failed(err)
+		return storeFailure(err)
 	default:
 		defer blob.Close()
-		if !o.newer(decodeOrder(blob.Meta)) {
+		if !order.isNewerThan(decodeWriteOrder(blob.Meta)) {
 			return &reply{status: 200, version: blob.Version, repeat: true}
 		}
 		if !truncate && (offset > 0 || int64(len(part)) < blob.Size) {
-			whole = make([]byte, max(blob.Size, offset+int64(len(part))))
-			if _, err := blob.ReadAt(whole[:blob.Size], 0); err != nil && blob.Size > 0 {
-				return failed(err)
+			content = make([]byte, max(blob.Size, offset+int64(len(part))))
+			if _, err := blob.ReadAt(content[:blob.Size], 0); err != nil && blob.Size > 0 {
+				return storeFailure(err)
 			}
-			copy(whole[offset:], part)
+			copy(content[offset:], part)
 		}
 	}
 	if truncate {
-		whole = nil
+		content = nil
 	}
-	info := store.Info{Name: x.Name, Meta: o.encode(), Size: int64(len(whole))}
-	stored, _, err := c.s.dir.Put(context.Background(), x.Space, info, bytes.NewReader(whole), nil, store.Condition{})
+	info := store.Info{Name: ex.Name, Meta: order.encode(), Size: int64(len(content))}
+	stored, _, err := c.server.blobs.Put(context.Background(), ex.Space, info, bytes.NewReader(content), nil, store.Condition{})
 	if err != nil {
 		return &reply{status: statusOf(err), text: err.Error()}
 	}
-	x.Stored = true
+	ex.Stored = true
 	return &reply{status: 200, version: stored.Version}
 }
--- a/internal/brickd/queue.go
+++ b/internal/brickd/queue.go
@@ -6,44 +6,46 @@
 	"arrowwalk/internal/store/admission"
 )
 
-// line has requests wait for their turn, as admit.Line decides.
-type line struct {
-	mu    sync.Mutex
-	line  *admission.Controller
-	turns map[admission.Ticket]chan struct{}
+// queue blocks requests until a worker is free, as an admission.Controller
+// decides. It is safe for concurrent use.
+type queue struct {
+	mu         sync.Mutex
+	controller *admission.Controller
+	waiters    map[admission.Ticket]chan struct{}
 }
 
-func newLine(l admission.Limits) *line {
-	return &line{line: admission.New(l), turns: map[admission.Ticket]chan struct{}{}}
+func newQueue(limits admission.Limits) *queue {
+	return &queue{controller: admission.New(limits), waiters: map[admission.Ticket]chan struct{}{}}
 }
 
-// enter waits for a worker; false: too many wait already.
-func (l *line) enter(k admission.Kind, cost float64) bool {
-	l.mu.Lock()
-	v, ticket := l.line.Arrive(k, cost)
-	if v != admission.Queued {
-		l.mu.Unlock()
-		return v == admission.Admitted
+// acquire waits for a worker. It returns false if the queue is full.
+func (q *queue) acquire(kind admission.Kind, cost float64) bool {
+	q.mu.Lock()
+	decision, ticket := q.controller.Arrive(kind, cost)
+	if decision != admission.Queued {
+		q.mu.Unlock()
+		return decision == admission.Admitted
 	}
-	turn := make(chan struct{})
-	l.turns[ticket] = turn
-	l.mu.Unlock()
-	<-turn
+	ready := make(chan struct{})
+	q.waiters[ticket] = ready
+	q.mu.Unlock()
+	<-ready
 	return true
 }
 
-// leave gives the worker of a request of a kind to the next.
-func (l *line) leave(k admission.Kind) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if next, ok := l.line.Done(k); ok {
-		close(l.turns[next])
-		delete(l.turns, next)
+// release passes the worker of a request of the given kind to the next request.
+func (q *queue) release(kind admission.Kind) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if next, ok := q.controller.Done(kind); ok {
+		close(q.waiters[next])
+		delete(q.waiters, next)
 	}
 }
 
-func (l *line) waiting() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.line.Queued()
+// length returns the number of waiting requests.
+func (q *queue) length() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.controller.Queued()
 }
--- a/internal/brickd/reply.go
+++ b/internal/brickd/reply.go
@@ -19,24 +19,24 @@
 	"arrowwalk/internal/store/record"
 )
 
-// reply is what is answered.
+// reply is the response to a request.
 type reply struct {
-	status   int
-	text     string // body of an error
-	body     []byte // body of a list
-	blob     *store.Blob
-	info     *store.Info // of a blob that is told of but not sent
-	from     int64       // of the range
-	length   int64
-	size     int64 // of the whole blob
-	version  uint64
-	replaced *store.Info
-	repeat   bool
-	cut      bool // the connection ends after it
-	corrupt  bool // what is stored, or came, is not what was written
-	sums     []uint32
-	others   float64
-	fleet    float64
+	status          int
+	text            string // body of an error
+	body            []byte // body of a list
+	blob            *store.Blob
+	info            *store.Info // of a blob whose metadata is sent without its body
+	rangeStart      int64
+	length          int64
+	size            int64 // of the whole blob
+	version         uint64
+	replaced        *store.Info
+	repeat          bool // the request was a duplicate and this is the first one's response
+	closeConn       bool // the connection is closed after the response
+	corrupt         bool // stored or received bytes do not match their checksums
+	sums            []uint32
+	otherHostsUnits float64
+	fleetRate       float64
 }
 
 func isNoSpace(err error) bool {
@@ -57,41 +57,41 @@
 	return append(b, "\r\n"...)
 }
 
-func (c *conn) list(x *Exchange) *reply {
+func (c *conn) listBlobs(ex *Exchange) *reply {
 	_, query, _ := strings.Cut(c.req.Target, "?")
 	values, err := url.ParseQuery(query)
 	if err != nil {
 		return &reply{status: 400, text: "query: " + err.Error()}
 	}
-	most, err := strconv.Atoi(values.Get("max"))
-	if err != nil || most < 1 || most > 10_000 {
+	maxItems, err := strconv.Atoi(values.Get("max"))
+	if err != nil || maxItems < 1 || maxItems > 10_000 {
 		return &reply{status: 400, text: fmt.Sprintf("query max: bad value %q", values.Get("max"))}
 	}
-	items, more := c.s.dir.List(x.Space, store.Query{
-		Prefix: values.Get("prefix"), After: values.Get("after"), Delimiter: values.Get("delimiter"), MaxItems: most,
+	items, more := c.server.blobs.List(ex.Space, store.Query{
+		Prefix: values.Get("prefix"), After: values.Get("after"), Delimiter: values.Get("delimiter"), MaxItems: maxItems,
 	})
-	answer := brick.ListResponse{Items: make([]brick.ListItem, 0, len(items)), More: more}
+	resp := brick.ListResponse{Items: make([]brick.ListItem, 0, len(items)), More: more}
 	for _, it := range items {
-		answer.Items = append(answer.Items, brick.ListItem{
+		resp.Items = append(resp.Items, brick.ListItem{
 			Name: []byte(it.Name), Meta: it.Meta, Size: it.Size, Version: it.Version, IsPrefix: it.IsPrefix,
 		})
 	}
-	text, err := json.Marshal(answer)
+	text, err := json.Marshal(resp)
 	if err != nil {
 		return &reply{status: 500, text: err.Error()}
 	}
 	return &reply{status: 200, body: text}
 }
 
-// head appends the head of r with the given length.
-func (c *conn) head(r *reply, length int64) {
-	b := http1.AppendStatusLine(c.out[:0], r.status)
-	b = http1.AppendField(b, brick.HeaderBrick, c.s.name)
-	if c.request != "" { // an answer says to what, so that one too many is seen
-		b = http1.AppendField(b, brick.HeaderRequest, c.request)
-	}
-	b = c.s.appendLoad(b)
-	if c.s.drains.Load() {
+// buildHead sets c.writeBuf to the head of r with the given body length.
+func (c *conn) buildHead(r *reply, length int64) {
+	b := http1.AppendStatusLine(c.writeBuf[:0], r.status)
+	b = http1.AppendField(b, brick.HeaderBrick, c.server.identity)
+	if c.requestID != "" { // lets the client detect a second response to an earlier request
+		b = http1.AppendField(b, brick.HeaderRequest, c.requestID)
+	}
+	b = c.server.appendLoad(b)
+	if c.server.draining.Load() {
 		b = http1.AppendField(b, brick.HeaderState, "draining")
 	}
 	if r.version != 0 {
@@ -110,7 +110,7 @@
 	}
 	switch r.status {
 	case 206:
-		b = fmt.Appendf(b, "Content-Range: bytes %d-%d/%d\r\n", r.from, r.from+r.length-1, r.size)
+		b = fmt.Appendf(b, "Content-Range: bytes %d-%d/%d\r\n", r.rangeStart, r.rangeStart+r.length-1, r.size)
 	case 416:
 		b = fmt.Appendf(b, "Content-Range: bytes */%d\r\n", r.size)
 	}
@@ -123,25 +123,25 @@
 	if r.repeat {
 		b = http1.AppendField(b, brick.HeaderRepeat, "1")
 	}
-	if r.others > 0 {
+	if r.otherHostsUnits > 0 {
 		b = append(append(b, brick.HeaderOthers...), ": "...)
-		b = append(strconv.AppendFloat(b, r.others, 'f', 3, 64), "\r\n"...)
+		b = append(strconv.AppendFloat(b, r.otherHostsUnits, 'f', 3, 64), "\r\n"...)
 	}
-	if r.fleet > 0 {
+	if r.fleetRate > 0 {
 		b = append(append(b, brick.HeaderFleet...), ": "...)
-		b = append(strconv.AppendFloat(b, r.fleet, 'f', 3, 64), "\r\n"...)
+		b = append(strconv.AppendFloat(b, r.fleetRate, 'f', 3, 64), "\r\n"...)
 	}
-	if r.cut {
+	if r.closeConn {
 		b = http1.AppendField(b, "Connection", "close")
 	}
 	if r.status != 204 {
 		b = http1.AppendIntField(b, "Content-Length", length)
 	}
-	c.out = append(b, "\r\n"...)
+	c.writeBuf = append(b, "\r\n"...)
 }
 
-// answer gives a reply that holds no blob.
-func (c *conn) answer(r *reply) error {
+// sendText sends a reply that has no blob.
+func (c *conn) sendText(r *reply) error {
 	text := r.body
 	if text == nil && r.text != "" {
 		text = []byte(r.text + "\n")
@@ -149,144 +149,148 @@
 	if r.status == 204 {
 		text = nil
 	}
-	c.head(r, int64(len(text)))
+	c.buildHead(r, int64(len(text)))
 	if c.req.Method != "HEAD" {
-		c.out = append(c.out, text...)
+		c.writeBuf = append(c.writeBuf, text...)
 	}
-	c.nc.SetWriteDeadline(time.Now().Add(c.s.opt.IdleTimeout))
-	if err := c.write(c.out); err != nil {
+	c.nc.SetWriteDeadline(time.Now().Add(c.server.opt.IdleTimeout))
+	if err := c.write(c.writeBuf); err != nil {
 		return err
 	}
-	if r.cut {
-		return errCut
+	if r.closeConn {
+		return errConnCut
 	}
 	return nil
 }
 
-// deliver gives the reply of finished work, spoilt by a scripted fault.
-func (c *conn) deliver(x *Exchange, r *reply, f Fault) error {
-	if f.CutAfter < 0 {
-		x.Status = 0
-		return errCut
+// sendReply sends the reply of a completed request, modified by an injected
+// fault.
+func (c *conn) sendReply(ex *Exchange, r *reply, fault Fault) error {
+	if fault.CutAfter < 0 {
+		ex.Status = 0
+		return errConnCut
 	}
 	if r.blob == nil {
-		if err := c.answer(r); err != nil {
+		if err := c.sendText(r); err != nil {
 			return err
 		}
-		if f.RespondTwice {
-			return c.answer(r)
+		if fault.RespondTwice {
+			return c.sendText(r)
 		}
 		return nil
 	}
-	err := c.sendBlob(x, r, f)
-	if err == nil && f.RespondTwice {
-		err = c.sendBlob(x, r, Fault{})
+	err := c.sendBlob(ex, r, fault)
+	if err == nil && fault.RespondTwice {
+		err = c.sendBlob(ex, r, Fault{})
 	}
 	return err
 }
 
-// smallBody is what is read into the buffer of the head and sent with it.
+// smallBody is the largest body that is sent in one write with its head.
 const smallBody = record.BlockSize
 
-func (c *conn) sendBlob(x *Exchange, r *reply, f Fault) error {
-	if x.Method == "HEAD" {
-		c.head(r, r.length)
-		c.nc.SetWriteDeadline(time.Now().Add(c.s.opt.IdleTimeout))
-		return c.write(c.out)
+func (c *conn) sendBlob(ex *Exchange, r *reply, fault Fault) error {
+	if ex.Method == "HEAD" {
+		c.buildHead(r, r.length)
+		c.nc.SetWriteDeadline(time.Now().Add(c.server.opt.IdleTimeout))
+		return c.write(c.writeBuf)
 	}
-	length := r.length - min(f.MissingBytes, r.length)
-	if f.CutAfter > 0 {
-		length = min(length, f.CutAfter)
+	length := r.length - min(fault.MissingBytes, r.length)
+	if fault.CutAfter > 0 {
+		length = min(length, fault.CutAfter)
 	}
-	if err := c.send(r, length, f); err != nil {
+	if err := c.writeBlob(r, length, fault); err != nil {
 		return err
 	}
 	if r.corrupt {
-		x.Status = 500
+		ex.Status = 500
 		return nil
 	}
-	x.Sent = length
-	if f.ExtraBytes > 0 {
-		c.nc.Write(make([]byte, f.ExtraBytes))
-		return errCut
+	ex.Sent = length
+	if fault.ExtraBytes > 0 {
+		c.nc.Write(make([]byte, fault.ExtraBytes))
+		return errConnCut
 	}
 	if length < r.length {
-		return errCut
+		return errConnCut
 	}
 	return nil
 }
 
-// send writes the head and length bytes of a blob, by the blocks that its
-// checksums cover; a small body goes in one write with the head. The first
-// block, and the last of a range, are read and found right before the head goes
-// out, later ones before they do: one that is not right ends the connection.
-func (c *conn) send(r *reply, length int64, f Fault) error {
-	buf := sendBuffers.Get().(*[record.BlockSize]byte)
-	defer sendBuffers.Put(buf)
-	first, err := c.sumRange(r, buf)
+// writeBlob writes the head and length bytes of a blob, one checksum block at a
+// time; the first block goes in one write with the head. The first block, and
+// the last one of a range, are read and verified before the head is sent, other
+// blocks before they are sent. A block that fails verification after the head
+// was sent ends the connection.
+func (c *conn) writeBlob(r *reply, length int64, fault Fault) error {
+	buf := blockBuffers.Get().(*[record.BlockSize]byte)
+	defer blockBuffers.Put(buf)
+	first, err := c.prepareRange(r, buf)
 	if err != nil {
-		return c.answer(failedRead(r, err))
+		return c.sendText(readFailure(r, err))
 	}
-	if f.OmitChecksums {
+	if fault.OmitChecksums {
 		r.sums = nil
 	}
-	if f.FlipBit && len(first) > 0 {
+	if fault.FlipBit && len(first) > 0 {
 		first[len(first)/2] ^= 1
 	}
-	c.head(r, r.length)
-	c.nc.SetWriteDeadline(time.Now().Add(c.s.opt.IdleTimeout))
+	c.buildHead(r, r.length)
+	c.nc.SetWriteDeadline(time.Now().Add(c.server.opt.IdleTimeout))
 	first = first[:min(int64(len(first)), length)]
-	c.out = append(c.out, first...)
-	if err := c.write(c.out); err != nil {
+	c.writeBuf = append(c.writeBuf, first...)
+	if err := c.write(c.writeBuf); err != nil {
 		return err
 	}
-	for at := int64(len(first)); at < length; {
-		part, err := r.blob.ReadBlock(int((r.from+at)/record.BlockSize), buf[:])
+	for sent := int64(len(first)); sent < length; {
+		part, err := r.blob.ReadBlock(int((r.rangeStart+sent)/record.BlockSize), buf[:])
 		if err != nil {
-			c.s.opt.Log.Error("an answer is cut", "brick", c.s.opt.ID, "error", err)
-			return errCut
+			c.server.opt.Log.Error("response cut short: cannot read block", "brick", c.server.opt.ID, "error", err)
+			return errConnCut
 		}
-		part = part[:min(int64(len(part)), length-at)]
+		part = part[:min(int64(len(part)), length-sent)]
 		if err := c.write(part); err != nil {
 			return err
 		}
-		at += int64(len(part))
+		sent += int64(len(part))
 	}
 	return nil
 }
 
-var sendBuffers = sync.Pool{New: func() any { return new([record.BlockSize]byte) }}
+var blockBuffers = sync.Pool{New: func() any { return new([record.BlockSize]byte) }}
 
-func failedRead(r *reply, err error) *reply {
+// readFailure returns the reply for a blob that cannot be read.
+func readFailure(r *reply, err error) *reply {
 	r.corrupt = errors.Is(err, store.ErrCorrupt)
 	return &reply{status: statusOf(err), text: err.Error(), corrupt: r.corrupt}
 }
 
-// sumRange sets the checksums of the blocks that a range touches, and returns
-// what it takes of the first, read into buf. Blocks of which it takes a part are
-// read and checked whole, and have the checksum of that part.
-func (c *conn) sumRange(r *reply, buf *[record.BlockSize]byte) (first []byte, err error) {
+// prepareRange sets the checksums of the blocks that the range of r touches, and
+// returns the range's part of the first block, read into buf. Blocks of which the
+// range covers only a part are read and verified as a whole, and the checksum
+// sent for them is that of the part.
+func (c *conn) prepareRange(r *reply, buf *[record.BlockSize]byte) (first []byte, err error) {
 	if r.length == 0 {
 		return nil, nil
 	}
-	a, z := int(r.from/record.BlockSize), int((r.from+r.length-1)/record.BlockSize)
-	r.sums = slices.Clone(r.blob.Checksums[a : z+1])
-	cut := func(i int) (part []byte, err error) {
+	firstBlock, lastBlock := int(r.rangeStart/record.BlockSize), int((r.rangeStart+r.length-1)/record.BlockSize)
+	r.sums = slices.Clone(r.blob.Checksums[firstBlock : lastBlock+1])
+	readPart := func(i int) (part []byte, err error) {
 		block, err := r.blob.ReadBlock(i, buf[:])
 		if err != nil {
 			return nil, err
 		}
-		start := int64(i) * record.BlockSize
-		from, to := max(r.from-start, 0), min(r.from+r.length-start, int64(len(block)))
+		blockStart := int64(i) * record.BlockSize
+		from, to := max(r.rangeStart-blockStart, 0), min(r.rangeStart+r.length-blockStart, int64(len(block)))
 		if part = block[from:to]; len(part) < len(block) {
-			r.sums[i-a] = record.Checksum(part)
+			r.sums[i-firstBlock] = record.Checksum(part)
 		}
 		return part, nil
 	}
-	if z > a {
-		if _, err := cut(z); err != nil {
+	if lastBlock > firstBlock {
+		if _, err := readPart(lastBlock); err != nil {
 			return nil, err
 		}
 	}
-	return cut(a)
+	return readPart(firstBlock)
 }
--- a/internal/brickd/server.go
+++ b/internal/brickd/server.go
@@ -1,6 +1,7 @@
-// Package brickd is a brick: a server of blobs over the protocol that
-// internal/brick names, on a store. `arrowwalk serve` embeds it,
-// `arrowwalk brick` runs one, and proofs script its faults through Hook.
+// Package brickd implements a brick: an HTTP server that serves the blobs of a
+// store over the protocol that package brick defines. The command "arrowwalk
+// serve" embeds bricks and "arrowwalk brick" runs one. Tests inject faults
+// through a Hook.
 package brickd
 
 import (
@@ -28,32 +29,32 @@
 	"arrowwalk/internal/tcpinfo"
 )
 
-// Options of a brick.
+// Options configures a brick.
 type Options struct {
 	ID           string
-	Zone         *Zone         // whose bricks drop each other's repeats
-	Meter        *Meter        // of what volumes are served everywhere; nil: not told
-	Workers      int           // requests served at once; 0: 16
-	MaxQueue     int           // requests that may wait for a worker; 0: 1024
-	MaxConns     int           // connections at once; 0: 4096
-	IdleTimeout  time.Duration // for which a connection may say nothing; 0: 2 min
-	MaxBodyBytes int64         // bytes of a body; 0: 64 MiB
-	Hook         Hook          // scripted faults; nil: none
-	Log          *slog.Logger
+	Zone         *Zone         // shared by the bricks that deduplicate each other's writes; nil means a zone of its own with a 4 s window
+	Meter        *Meter        // shared by the bricks that report a common rate per volume; nil reports none
+	Workers      int           // max requests served at once; 0 means 16
+	MaxQueue     int           // max requests that wait for a worker; 0 means 1024
+	MaxConns     int           // max connections; 0 means 4096
+	IdleTimeout  time.Duration // idle timeout of a connection, also for reading a body and writing a response; 0 means 2 min
+	MaxBodyBytes int64         // max bytes of a request body; 0 means 64 MiB
+	Hook         Hook          // injects faults; nil injects none
+	Log          *slog.Logger  // nil discards all records
 }
 
 // Server is a running brick.
 type Server struct {
-	opt     Options
-	dir     *store.Store
-	started int64 // microseconds since 1970
-	name    string
-	ln      net.Listener
-	line    *line
-	busy    busyMeter
-	use     hostMeter
-	fences  fences
-	drains  atomic.Bool
+	opt       Options
+	blobs     *store.Store
+	started   int64  // microseconds since 1970
+	identity  string // ID@STARTED
+	ln        net.Listener
+	queue     *queue
+	busy      busyMeter
+	hostUsage hostMeter
+	fences    fences
+	draining  atomic.Bool
 
 	mu      sync.Mutex
 	conns   map[*conn]struct{}
@@ -61,16 +62,17 @@
 	wg      sync.WaitGroup
 }
 
-// Start serves dir on ln until Close. The caller keeps dir and closes it after.
-func Start(ln net.Listener, dir *store.Store, opt Options) *Server {
-	orInt := func(v *int, d int) {
+// Start serves the blobs of a store on ln until Close. The caller owns the store
+// and closes it after the server.
+func Start(ln net.Listener, blobs *store.Store, opt Options) *Server {
+	setDefault := func(v *int, d int) {
 		if *v == 0 {
 			*v = d
 		}
 	}
-	orInt(&opt.Workers, 16)
-	orInt(&opt.MaxQueue, 1024)
-	orInt(&opt.MaxConns, 4096)
+	setDefault(&opt.Workers, 16)
+	setDefault(&opt.MaxQueue, 1024)
+	setDefault(&opt.MaxConns, 4096)
 	if opt.IdleTimeout == 0 {
 		opt.IdleTimeout = 2 * time.Minute
 	}
@@ -83,12 +85,12 @@
 	if opt.Log == nil {
 		opt.Log = slog.New(slog.DiscardHandler)
 	}
-	s := &Server{opt: opt, dir: dir, ln: ln, started: time.Now().UnixMicro(),
-		line: newLine(admission.Limits{Workers: opt.Workers, MaxQueued: opt.MaxQueue}), conns: map[*conn]struct{}{}}
-	s.name = fmt.Sprintf("%s@%d", opt.ID, s.started)
+	s := &Server{opt: opt, blobs: blobs, ln: ln, started: time.Now().UnixMicro(),
+		queue: newQueue(admission.Limits{Workers: opt.Workers, MaxQueued: opt.MaxQueue}), conns: map[*conn]struct{}{}}
+	s.identity = fmt.Sprintf("%s@%d", opt.ID, s.started)
 	s.busy.init(opt.Workers)
 	s.wg.Add(1)
-	go s.accept()
+	go s.acceptLoop()
 	return s
 }
 
@@ -98,16 +100,16 @@
 // Started returns when the brick started, in microseconds since 1970.
 func (s *Server) Started() int64 { return s.started }
 
-// SetDraining has the brick say in its answers whether it asks for nothing new.
-func (s *Server) SetDraining(yes bool) { s.drains.Store(yes) }
+// SetDraining sets whether the brick's responses ask for no new requests.
+func (s *Server) SetDraining(draining bool) { s.draining.Store(draining) }
 
-// Load returns what live work the brick has, for what runs beside it.
+// Load returns the brick's current load, by which background work is throttled.
 func (s *Server) Load() maintpolicy.Load {
-	return maintpolicy.Load{Utilization: float64(s.busy.util.Load()) / 1000, QueuedRequests: s.line.waiting()}
+	return maintpolicy.Load{Utilization: float64(s.busy.permille.Load()) / 1000, QueuedRequests: s.queue.length()}
 }
 
-// Close stops the brick: it accepts nothing more, cuts its connections and
-// waits for what runs.
+// Close stops the brick: it stops accepting, closes all connections and waits
+// for running requests.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closing = true
@@ -119,7 +121,7 @@
 	s.wg.Wait()
 }
 
-func (s *Server) accept() {
+func (s *Server) acceptLoop() {
 	defer s.wg.Done()
 	for {
 		nc, err := s.ln.Accept()
@@ -128,18 +130,18 @@
 				return
 			}
 			s.opt.Log.Warn("accept failed", "brick", s.opt.ID, "error", err)
-			time.Sleep(5 * time.Millisecond) // out of descriptors: let some close
+			time.Sleep(5 * time.Millisecond) // out of file descriptors: wait for some to be closed
 			continue
 		}
-		c := &conn{s: s, nc: nc}
+		c := &conn{server: s, nc: nc}
 		s.mu.Lock()
-		refused := s.closing || len(s.conns) >= s.opt.MaxConns
-		if !refused {
+		reject := s.closing || len(s.conns) >= s.opt.MaxConns
+		if !reject {
 			s.conns[c] = struct{}{}
 			s.wg.Add(1)
 		}
 		s.mu.Unlock()
-		if refused {
+		if reject {
 			nc.Close()
 			continue
 		}
@@ -147,68 +149,69 @@
 	}
 }
 
-// conn is one connection: requests come and are answered in turn.
+// conn is a client connection. Its requests are served one after the other.
 type conn struct {
-	s    *Server
-	nc   net.Conn
-	in   *bufio.Reader
-	out  []byte
-	req  http1.Request
-	body http1.Body
-
-	request string // the one being answered
-	raw     syscall.RawConn
-	wrote   time.Time // when the last part of the answer was about to be written
+	server   *Server
+	nc       net.Conn
+	reader   *bufio.Reader
+	writeBuf []byte
+	req      http1.Request
+	body     http1.Body
+
+	requestID string // of the current request
+	rawConn   syscall.RawConn
+	lastWrite time.Time // when the latest write of the response began
 }
 
-// write writes to the peer, who may have it before this returns.
+// write writes to the client. The client may receive the bytes before write
+// returns, so lastWrite is set first.
 func (c *conn) write(b []byte) error {
-	c.wrote = time.Now()
+	c.lastWrite = time.Now()
 	_, err := c.nc.Write(b)
 	return err
 }
 
-// errCut ends a connection without a word.
-var errCut = errors.New("connection is cut")
+// errConnCut makes serve close the connection without a further response.
+var errConnCut = errors.New("connection is cut")
 
 func (c *conn) serve() {
-	defer c.s.wg.Done()
+	defer c.server.wg.Done()
 	defer func() {
 		c.nc.Close()
-		c.s.mu.Lock()
-		delete(c.s.conns, c)
-		c.s.mu.Unlock()
+		c.server.mu.Lock()
+		delete(c.server.conns, c)
+		c.server.mu.Unlock()
 	}()
-	c.in = bufio.NewReaderSize(c.nc, 16<<10)
-	heads := http1.NewReader(c.in, http1.DefaultLimits)
+	c.reader = bufio.NewReaderSize(c.nc, 16<<10)
+	heads := http1.NewReader(c.reader, http1.DefaultLimits)
 	for {
-		c.nc.SetReadDeadline(time.Now().Add(c.s.opt.IdleTimeout))
+		c.nc.SetReadDeadline(time.Now().Add(c.server.opt.IdleTimeout))
 		if err := heads.ReadRequest(&c.req); err != nil {
 			if status := http1.StatusOf(err); status != 0 {
-				c.answer(&reply{status: status, text: err.Error(), cut: true})
+				c.sendText(&reply{status: status, text: err.Error(), closeConn: true})
 			}
 			return
 		}
-		c.body.Reset(c.in, c.req.Framing)
-		if err := c.handle(); err != nil || c.req.Close || !c.body.Drain(1<<20) {
+		c.body.Reset(c.reader, c.req.Framing)
+		if err := c.handleRequest(); err != nil || c.req.Close || !c.body.Drain(1<<20) {
 			return
 		}
 	}
 }
 
-// Exchange is one request as it came over the socket and how it was answered;
-// a Hook and the stand-ins' logs see it.
+// Exchange is a request as it was received, and how it was answered. Hooks and
+// the logs of test bricks see it.
 type Exchange struct {
 	Brick           string
 	Zone            string
-	Started         int64 // of the brick
-	At              time.Time
-	EarliestArrival time.Time // it may have come so early: this process may have stood still
+	Started         int64     // start of the brick, microseconds since 1970
+	At              time.Time // when the request was read
+	EarliestArrival time.Time // earliest time at which the request may have arrived; zero if unknown
 	Method          string
 	Space           string
 	Name            string
 	List            bool
-	Request         string // as HeaderRequest has it
+	Request         string // value of HeaderRequest
 	Host            int
 	Volume          uint64
 	Units           float64
@@ -216,134 +219,142 @@
 	Deadline        time.Duration
 	Range           string
 
-	Status   int  // of the answer; 0: none was given
-	Repeat   bool // dropped as a repeat
-	Stored   bool // the store took a write
-	Sent     int64
-	Answered time.Time
+	Status   int       // of the response; 0 if none was sent
+	Repeat   bool      // the request was dropped as a duplicate
+	Stored   bool      // the store has executed a write
+	Sent     int64     // bytes of the response's body
+	Answered time.Time // when the last write of the response began
 }
 
-// Fault is what a Hook makes of a request.
+// Fault is a fault that a Hook injects into a request. The zero value injects
+// none.
 type Fault struct {
-	Delay         time.Duration // of the answer, before the work
-	DropResponse  bool          // the work is done, no answer is given
-	IgnoreRequest bool          // nothing is done and no answer is given
-	Status        int           // answer this in place of the work
-	CutAfter      int64         // cut the connection after so many bytes of the body; -1: before the answer
-	MissingBytes  int64         // bytes of the body left out, though its length is told
-	ExtraBytes    int64         // bytes too many
-	FlipBit       bool          // a bit of the answer's body is another
-	OmitChecksums bool          // the answer has no checksums
-	Garbage       bool          // answer with what is not HTTP
-	EndlessHeader bool          // answer with a header without end
-	RespondTwice  bool          // give the answer two times
-	ExtraWork     time.Duration // a worker is busy for so long besides
-	WaitFor       <-chan struct{}
+	Delay         time.Duration   // wait before the request is processed
+	DropResponse  bool            // process the request but send no response
+	IgnoreRequest bool            // neither process the request nor respond
+	Status        int             // respond with this status instead of processing the request
+	CutAfter      int64           // close the connection after this many bytes of the body; -1 before the response
+	MissingBytes  int64           // number of bytes missing at the end of the body, despite Content-Length
+	ExtraBytes    int64           // number of extra bytes after the body
+	FlipBit       bool            // flip a bit of the response's body
+	OmitChecksums bool            // send no checksums
+	Garbage       bool            // respond with bytes that are not HTTP
+	EndlessHeader bool            // respond with an endless header
+	RespondTwice  bool            // send the response twice
+	ExtraWork     time.Duration   // occupy the worker for this long in addition
+	WaitFor       <-chan struct{} // wait until it is closed
 }
 
-// Hook scripts a brick's faults and keeps its log. Its calls may come from
-// many goroutines at once.
+// Hook injects faults into a brick and logs its requests. Its methods may be
+// called from many goroutines at once.
 type Hook interface {
+	// OnRequest is called when a request was received and returns the fault to
+	// inject.
 	OnRequest(x *Exchange) Fault
+	// OnResponse is called when the request is done, whether or not a response
+	// was sent.
 	OnResponse(x *Exchange)
 }
 
-func (c *conn) handle() error {
-	x, err := c.exchange()
+func (c *conn) handleRequest() error {
+	ex, err := c.parseRequest()
 	if err != nil {
-		return c.answer(&reply{status: 400, text: err.Error()})
+		return c.sendText(&reply{status: 400, text: err.Error()})
 	}
-	var f Fault
-	if c.s.opt.Hook != nil {
-		f = c.s.opt.Hook.OnRequest(x)
-		c.wrote = time.Time{}
+	var fault Fault
+	if c.server.opt.Hook != nil {
+		fault = c.server.opt.Hook.OnRequest(ex)
+		c.lastWrite = time.Time{}
 		defer func() {
-			if x.Answered = c.wrote; x.Answered.IsZero() {
-				x.Answered = time.Now()
+			if ex.Answered = c.lastWrite; ex.Answered.IsZero() {
+				ex.Answered = time.Now()
 			}
-			c.s.opt.Hook.OnResponse(x)
+			c.server.opt.Hook.OnResponse(ex)
 		}()
 	}
-	if f.WaitFor != nil {
-		<-f.WaitFor
+	if fault.WaitFor != nil {
+		<-fault.WaitFor
 	}
-	if done, err := c.before(x, f); done {
+	if done, err := c.injectFault(ex, fault); done {
 		return err
 	}
-	r, release := c.work(x)
-	x.Status, x.Repeat = r.status, r.repeat
-	if f.ExtraWork > 0 && r.status != 503 && r.status != 421 {
-		timer := time.NewTimer(f.ExtraWork)
+	r, release := c.process(ex)
+	ex.Status, ex.Repeat = r.status, r.repeat
+	if fault.ExtraWork > 0 && r.status != 503 && r.status != 421 {
+		timer := time.NewTimer(fault.ExtraWork)
 		<-timer.C
 	}
-	if f.DropResponse {
+	if fault.DropResponse {
 		release()
-		x.Status = 0
-		return c.hang()
+		ex.Status = 0
+		return c.waitForClose()
 	}
 	defer release()
-	return c.deliver(x, r, f)
+	return c.sendReply(ex, r, fault)
 }
 
-// before plays the faults that take the place of the work.
-func (c *conn) before(x *Exchange, f Fault) (done bool, err error) {
-	if f.Delay > 0 {
-		timer := time.NewTimer(f.Delay)
+// injectFault applies the faults that delay or replace the processing of a
+// request. done is true if the request must not be processed.
+func (c *conn) injectFault(ex *Exchange, fault Fault) (done bool, err error) {
+	if fault.Delay > 0 {
+		timer := time.NewTimer(fault.Delay)
 		defer timer.Stop()
 		<-timer.C
 	}
 	switch {
-	case f.IgnoreRequest:
-		return true, c.hang()
-	case f.Status != 0:
-		x.Status = f.Status
-		return true, c.answer(&reply{status: f.Status, text: "scripted"})
-	case f.Garbage:
+	case fault.IgnoreRequest:
+		return true, c.waitForClose()
+	case fault.Status != 0:
+		ex.Status = fault.Status
+		return true, c.sendText(&reply{status: fault.Status, text: "scripted"})
+	case fault.Garbage:
 		c.nc.Write([]byte("\x00\x01garbage \xff without a line"))
-		return true, errCut
-	case f.EndlessHeader:
+		return true, errConnCut
+	case fault.EndlessHeader:
 		line := []byte("X-More: " + strings.Repeat("y", 1000) + "\r\n")
 		c.nc.Write([]byte("HTTP/1.1 200 OK\r\n"))
-		for range 1 << 10 { // a stranger's patience is bounded too
+		for range 1 << 10 { // bounded in case the client reads them all
 			if _, err := c.nc.Write(line); err != nil {
 				break
 			}
 		}
-		return true, errCut
+		return true, errConnCut
 	}
 	return false, nil
 }
 
-// hang says nothing until the peer closes.
-func (c *conn) hang() error {
-	c.nc.SetReadDeadline(time.Now().Add(c.s.opt.IdleTimeout))
-	io.Copy(io.Discard, c.in)
-	return errCut
+// waitForClose sends nothing until the client closes the connection or the idle
+// timeout expires.
+func (c *conn) waitForClose() error {
+	c.nc.SetReadDeadline(time.Now().Add(c.server.opt.IdleTimeout))
+	io.Copy(io.Discard, c.reader)
+	return errConnCut
 }
 
-// came returns the earliest time at which a request may have come. Who judges
-// by a Hook's log must not blame a host for a brick that stood still: the kernel
-// knows when bytes last came, though on a machine that stood still itself its
-// word may be a tenth of a second too early.
-func (c *conn) came() (t time.Time) {
-	if c.s.opt.Hook == nil {
+// earliestArrival returns the earliest time at which a request may have arrived,
+// or the zero time if it was read promptly. Checks that use a Hook's log must not
+// blame a host for the stall of a brick. The kernel reports when bytes last
+// arrived; on a machine that stalled as a whole, that time may be up to 0.1 s too
+// early.
+func (c *conn) earliestArrival() (t time.Time) {
+	if c.server.opt.Hook == nil {
 		return t
 	}
-	if c.raw == nil {
+	if c.rawConn == nil {
 		if sc, ok := c.nc.(syscall.Conn); ok {
-			c.raw, _ = sc.SyscallConn()
+			c.rawConn, _ = sc.SyscallConn()
 		}
 	}
-	if age, ok := tcpinfo.LastReceiveAge(c.raw); ok && age >= tcpinfo.MinReliableAge {
+	if age, ok := tcpinfo.LastReceiveAge(c.rawConn); ok && age >= tcpinfo.MinReliableAge {
 		t = time.Now().Add(-age)
 	}
 	return t
 }
 
-// exchange reads the protocol's fields of a request.
-func (c *conn) exchange() (*Exchange, error) {
-	c.request = ""
-	x := &Exchange{Brick: c.s.opt.ID, Zone: c.s.opt.Zone.Name, Started: c.s.started, At: time.Now(), EarliestArrival: c.came(), Method: c.req.Method}
+// parseRequest parses the current request's target and protocol fields.
+func (c *conn) parseRequest() (*Exchange, error) {
+	c.requestID = ""
+	ex := &Exchange{Brick: c.server.opt.ID, Zone: c.server.opt.Zone.Name, Started: c.server.started, At: time.Now(), EarliestArrival: c.earliestArrival(), Method: c.req.Method}
 	path, query, _ := strings.Cut(c.req.Target, "?")
 	path, ok := strings.CutPrefix(path, "/v1/")
 	if !ok {
@@ -353,24 +364,26 @@
 	if space == "" || len(space) > 8 || strings.Contains(name, "/") {
 		return nil, fmt.Errorf("path %q: not /v1/SPACE/NAME", path)
 	}
-	x.Space, x.List = space, query == "list" || strings.HasPrefix(query, "list&")
+	ex.Space, ex.List = space, query == "list" || strings.HasPrefix(query, "list&")
 	var err error
-	if x.Name, err = brick.Unescape(name); err != nil {
+	if ex.Name, err = brick.Unescape(name); err != nil {
 		return nil, fmt.Errorf("path: %w", err)
 	}
-	if x.Name == "" && !x.List {
+	if ex.Name == "" && !ex.List {
 		return nil, fmt.Errorf("path %q: no name", path)
 	}
 	for i := range c.req.Fields {
-		if err := x.take(&c.req.Fields[i]); err != nil {
+		if err := ex.parseField(&c.req.Fields[i]); err != nil {
 			return nil, err
 		}
 	}
-	c.request = x.Request
-	return x, nil
+	c.requestID = ex.Request
+	return ex, nil
 }
 
-func (x *Exchange) take(f *http1.Field) (err error) {
+// parseField sets the field of the exchange that a header field carries. It
+// ignores unknown fields.
+func (x *Exchange) parseField(f *http1.Field) (err error) {
 	if len(f.Name) < 4 || f.Name[0]|32 != 'a' || f.Name[1]|32 != 'w' {
 		if strings.EqualFold(f.Name, "Range") {
 			x.Range = f.Value
@@ -402,67 +415,68 @@
 	return nil
 }
 
-// work waits for a worker and does what the request asks. release gives the
-// worker back and closes what the reply holds.
-func (c *conn) work(x *Exchange) (r *reply, release func()) {
-	none := func() {}
-	if want := c.req.Fields.Get(brick.HeaderExpect); want != "" && want != c.s.opt.ID {
-		return &reply{status: 421, text: "this is brick " + c.s.opt.ID + ", not " + want}, none
+// process waits for a worker and executes the request. release frees the worker
+// and closes the reply's blob; the caller must call it.
+func (c *conn) process(ex *Exchange) (r *reply, release func()) {
+	noRelease := func() {}
+	if want := c.req.Fields.Get(brick.HeaderExpect); want != "" && want != c.server.opt.ID {
+		return &reply{status: 421, text: "this is brick " + c.server.opt.ID + ", not " + want}, noRelease
 	}
 	kind := admission.Read
-	if x.Method == "PUT" || x.Method == "DELETE" || x.Method == "PATCH" {
+	if ex.Method == "PUT" || ex.Method == "DELETE" || ex.Method == "PATCH" {
 		kind = admission.Write
 	}
-	if !c.s.line.enter(kind, 1+float64(max(c.req.Length, 0))/record.BlockSize) {
-		return &reply{status: 503, text: "queue is full"}, none
+	if !c.server.queue.acquire(kind, 1+float64(max(c.req.Length, 0))/record.BlockSize) {
+		return &reply{status: 503, text: "queue is full"}, noRelease
 	}
-	c.s.busy.begin()
-	r = c.dispatch(x)
+	c.server.busy.begin()
+	r = c.dispatch(ex)
 	if r.status < 300 || r.status == 404 {
-		r.others = c.s.use.served(x.Volume, x.Host, x.Units)
-		if c.s.opt.Meter != nil {
-			r.fleet = c.s.opt.Meter.Served(x.Volume, x.Units)
+		r.otherHostsUnits = c.server.hostUsage.add(ex.Volume, ex.Host, ex.Units)
+		if c.server.opt.Meter != nil {
+			r.fleetRate = c.server.opt.Meter.Served(ex.Volume, ex.Units)
 		}
 	}
 	return r, func() {
 		if r.blob != nil {
 			r.blob.Close()
 		}
-		c.s.busy.end()
-		c.s.line.leave(kind)
+		c.server.busy.end()
+		c.server.queue.release(kind)
 	}
 }
 
-func (c *conn) dispatch(x *Exchange) *reply {
+func (c *conn) dispatch(ex *Exchange) *reply {
 	switch {
-	case x.List && x.Method == "GET":
-		return c.list(x)
-	case x.Method == "GET" && x.Space == brick.SpaceExtents:
-		return c.getExtent(x)
-	case x.Method == "GET" || x.Method == "HEAD":
-		return c.get(x)
-	case x.Method == "PUT" || x.Method == "DELETE" || x.Method == "PATCH":
-		if x.Key == "" {
-			return c.change(x)
+	case ex.List && ex.Method == "GET":
+		return c.listBlobs(ex)
+	case ex.Method == "GET" && ex.Space == brick.SpaceExtents:
+		return c.getExtent(ex)
+	case ex.Method == "GET" || ex.Method == "HEAD":
+		return c.getBlob(ex)
+	case ex.Method == "PUT" || ex.Method == "DELETE" || ex.Method == "PATCH":
+		if ex.Key == "" {
+			return c.executeWrite(ex)
 		}
-		return c.s.opt.Zone.once(x.Key, func() *reply { return c.change(x) })
+		return c.server.opt.Zone.runOnce(ex.Key, func() *reply { return c.executeWrite(ex) })
 	}
-	return &reply{status: 405, text: "method " + x.Method}
+	return &reply{status: 405, text: "method " + ex.Method}
 }
 
-func (c *conn) change(x *Exchange) *reply {
+func (c *conn) executeWrite(ex *Exchange) *reply {
 	switch {
-	case x.Method == "PATCH":
-		return c.patch(x)
-	case x.Method == "PUT" && x.Space == brick.SpaceFences:
-		return c.fence(x)
-	case x.Method == "PUT":
-		return c.put(x)
-	}
-	return c.delete(x)
+	case ex.Method == "PATCH":
+		return c.patchExtent(ex)
+	case ex.Method == "PUT" && ex.Space == brick.SpaceFences:
+		return c.raiseFence(ex)
+	case ex.Method == "PUT":
+		return c.putBlob(ex)
+	}
+	return c.deleteBlob(ex)
 }
 
-func (c *conn) condition() (store.Condition, error) {
+// parseCondition parses the request's If-Match and If-None-Match fields.
+func (c *conn) parseCondition() (store.Condition, error) {
 	var cond store.Condition
 	if v, ok := c.req.Fields.Lookup("If-Match"); ok {
 		version, err := strconv.ParseUint(strings.Trim(v, `"`), 10, 64)
@@ -480,7 +494,7 @@
 	return cond, nil
 }
 
-// statusOf maps the store's errors.
+// statusOf returns the HTTP status for an error of the store.
 func statusOf(err error) int {
 	switch {
 	case errors.Is(err, store.ErrNotFound):
@@ -497,16 +511,16 @@
 	return 500
 }
 
-// failed is the answer to what the store could not do.
-func failed(err error) *reply {
+// storeFailure returns the reply for an error of the store.
+func storeFailure(err error) *reply {
 	return &reply{status: statusOf(err), text: err.Error(), corrupt: errors.Is(err, store.ErrCorrupt) || errors.Is(err, store.ErrChecksumMismatch)}
 }
 
-func (c *conn) put(x *Exchange) *reply {
-	if !c.req.HasLength || c.req.Length > c.s.opt.MaxBodyBytes {
-		return &reply{status: 413, text: fmt.Sprintf("body without a length, or over %d bytes", c.s.opt.MaxBodyBytes)}
+func (c *conn) putBlob(ex *Exchange) *reply {
+	if !c.req.HasLength || c.req.Length > c.server.opt.MaxBodyBytes {
+		return &reply{status: 413, text: fmt.Sprintf("body without a length, or over %d bytes", c.server.opt.MaxBodyBytes)}
 	}
-	cond, err := c.condition()
+	cond, err := c.parseCondition()
 	if err != nil {
 		return &reply{status: 400, text: err.Error()}
 	}
@@ -514,57 +528,59 @@
 	if err != nil {
 		return &reply{status: 400, text: "header Aw-Meta: " + err.Error()}
 	}
-	info := store.Info{Name: x.Name, Meta: meta, Size: c.req.Length, Whole: c.req.Fields.Get(brick.HeaderWhole) == "1"}
-	c.nc.SetReadDeadline(time.Now().Add(c.s.opt.IdleTimeout))
+	info := store.Info{Name: ex.Name, Meta: meta, Size: c.req.Length, Whole: c.req.Fields.Get(brick.HeaderWhole) == "1"}
+	c.nc.SetReadDeadline(time.Now().Add(c.server.opt.IdleTimeout))
 	sums, err := brick.ParseSums(c.req.Fields.Get(brick.HeaderSums), info.Size)
 	if err != nil {
 		return &reply{status: 400, text: "header " + brick.HeaderSums + ": " + err.Error()}
 	}
-	stored, before, err := c.s.dir.Put(context.Background(), x.Space, info, &c.body, sums, cond)
+	stored, replaced, err := c.server.blobs.Put(context.Background(), ex.Space, info, &c.body, sums, cond)
 	if err != nil {
-		return failed(err)
+		return storeFailure(err)
 	}
-	x.Stored = true
+	ex.Stored = true
 	r := &reply{status: 200, version: stored.Version}
-	if before != nil {
-		r.replaced = before
+	if replaced != nil {
+		r.replaced = replaced
 	}
 	return r
 }
 
-func (c *conn) delete(x *Exchange) *reply {
-	cond, err := c.condition()
+func (c *conn) deleteBlob(ex *Exchange) *reply {
+	cond, err := c.parseCondition()
 	if err != nil {
 		return &reply{status: 400, text: err.Error()}
 	}
-	before, err := c.s.dir.Delete(x.Space, x.Name, cond)
+	deleted, err := c.server.blobs.Delete(ex.Space, ex.Name, cond)
 	if err != nil {
 		return &reply{status: statusOf(err), text: err.Error()}
 	}
-	x.Stored = true
-	return &reply{status: 204, replaced: &before}
+	ex.Stored = true
+	return &reply{status: 204, replaced: &deleted}
 }
 
-func (c *conn) get(x *Exchange) *reply {
-	blob, err := c.s.dir.Get(x.Space, x.Name)
+func (c *conn) getBlob(ex *Exchange) *reply {
+	blob, err := c.server.blobs.Get(ex.Space, ex.Name)
 	if err != nil {
-		return failed(err)
+		return storeFailure(err)
 	}
 	r := &reply{status: 200, blob: blob, version: blob.Version, length: blob.Size, size: blob.Size}
-	if x.Range == "" || blob.Whole {
+	if ex.Range == "" || blob.Whole {
 		return r
 	}
-	from, length, ok := resolveRange(x.Range, blob.Size)
+	start, length, ok := resolveRange(ex.Range, blob.Size)
 	if !ok {
 		blob.Close()
-		return &reply{status: 416, version: blob.Version, info: &blob.Info, size: blob.Size, text: "no byte of the range is there"}
+		return &reply{status: 416, version: blob.Version, info: &blob.Info, size: blob.Size, text: "range is beyond the end of the blob"}
 	}
-	r.status, r.from, r.length = 206, from, length
+	r.status, r.rangeStart, r.length = 206, start, length
 	return r
 }
 
-// resolveRange reads "bytes=a-b", "a-" or "-n" (RFC 9110 section 14).
-func resolveRange(text string, size int64) (from, length int64, ok bool) {
+// resolveRange resolves a byte range "bytes=first-last", "bytes=first-" or
+// "bytes=-suffix" (RFC 9110, section 14) of a blob of size bytes. It returns
+// false if the range is invalid or selects no byte.
+func resolveRange(text string, size int64) (start, length int64, ok bool) {
 	spec, found := strings.CutPrefix(text, "bytes=")
 	first, last, dash := strings.Cut(spec, "-")
 	if !found || !dash {
@@ -578,17 +594,17 @@
 		n = min(n, size)
 		return size - n, n, true
 	}
-	from, err := strconv.ParseInt(first, 10, 64)
-	if err != nil || from < 0 || from >= size {
+	start, err := strconv.ParseInt(first, 10, 64)
+	if err != nil || start < 0 || start >= size {
 		return 0, 0, false
 	}
-	to := size - 1
+	end := size - 1
 	if last != "" {
-		end, err := strconv.ParseInt(last, 10, 64)
-		if err != nil || end < from {
+		n, err := strconv.ParseInt(last, 10, 64)
+		if err != nil || n < start {
 			return 0, 0, false
 		}
-		to = min(to, end)
+		end = min(end, n)
 	}
-	return from, to - from + 1, true
+	return start, end - start + 1, true
 }
--- a/internal/brickd/zone.go
+++ b/internal/brickd/zone.go
@@ -9,192 +9,200 @@
 	"arrowwalk/internal/store/admission"
 )
 
-// Zone is the memory of keyed writes that the bricks of a zone share: a repeat
-// within the window is dropped and gets the first answer again.
+// Zone deduplicates keyed writes across the bricks of a zone: a write with the
+// key of an earlier one within the window is dropped and gets the response of the
+// earlier one. It is safe for concurrent use.
 type Zone struct {
 	Name   string
 	Window time.Duration
 
-	mu   sync.Mutex
-	seen map[string]*once
-	old  []*once // in order of arrival
+	mu     sync.Mutex
+	writes map[string]*keyedWrite // by key
+	byAge  []*keyedWrite          // oldest first
 }
 
-// once is a keyed write and its answer.
-type once struct {
+// keyedWrite is a write and its response.
+type keyedWrite struct {
 	key   string
 	at    time.Time
-	done  chan struct{}
+	done  chan struct{} // closed when reply is set
 	reply reply
 }
 
-// NewZone returns a zone's memory with the given window.
+// NewZone returns a zone with the given deduplication window.
 func NewZone(window time.Duration) *Zone {
-	return &Zone{Window: window, seen: map[string]*once{}}
+	return &Zone{Window: window, writes: map[string]*keyedWrite{}}
 }
 
-// once does a keyed write, or waits for its first run and returns that answer.
-// What failed before it had an effect may be tried anew.
-func (z *Zone) once(key string, do func() *reply) *reply {
+// runOnce executes a write, or waits for the earlier write with the same key and
+// returns its reply. A write that failed without effect may be executed again.
+func (z *Zone) runOnce(key string, execute func() *reply) *reply {
 	now := time.Now()
 	z.mu.Lock()
-	for len(z.old) > 0 && now.Sub(z.old[0].at) > z.Window {
-		if o := z.old[0]; z.seen[o.key] == o {
-			delete(z.seen, o.key)
+	for len(z.byAge) > 0 && now.Sub(z.byAge[0].at) > z.Window {
+		if w := z.byAge[0]; z.writes[w.key] == w {
+			delete(z.writes, w.key)
 		}
-		z.old = z.old[1:]
+		z.byAge = z.byAge[1:]
 	}
-	if o := z.seen[key]; o != nil {
+	if w := z.writes[key]; w != nil {
 		z.mu.Unlock()
-		<-o.done
-		r := o.reply
+		<-w.done
+		r := w.reply
 		r.repeat = true
 		return &r
 	}
-	o := &once{key: key, at: now, done: make(chan struct{})}
-	z.seen[key] = o
-	z.old = append(z.old, o)
+	w := &keyedWrite{key: key, at: now, done: make(chan struct{})}
+	z.writes[key] = w
+	z.byAge = append(z.byAge, w)
 	z.mu.Unlock()
-	r := do()
-	o.reply = *r
+	r := execute()
+	w.reply = *r
 	if r.status >= 400 && r.status != 404 && r.status != 412 {
 		z.mu.Lock()
-		if z.seen[key] == o {
-			delete(z.seen, key)
+		if z.writes[key] == w {
+			delete(z.writes, key)
 		}
 		z.mu.Unlock()
 	}
-	close(o.done)
+	close(w.done)
 	return r
 }
 
-// Meter adds up what volumes are served by all bricks and tells it late: the
-// rate of the period before the last finished one.
+// Meter counts the units that all bricks together serve for each volume. It
+// reports rates with a delay: that of the period before the last complete one.
+// It is safe for concurrent use.
 type Meter struct {
-	period time.Duration
-	mu     sync.Mutex
-	from   time.Time
-	now    map[uint64]float64
-	last   map[uint64]float64
-	told   map[uint64]float64
+	period      time.Duration
+	mu          sync.Mutex
+	periodStart time.Time
+	current     map[uint64]float64 // units by volume in the current period
+	previous    map[uint64]float64
+	reported    map[uint64]float64
 }
 
 // NewMeter returns a meter with the given period.
 func NewMeter(period time.Duration) *Meter {
-	return &Meter{period: period, from: time.Now(), now: map[uint64]float64{}}
+	return &Meter{period: period, periodStart: time.Now(), current: map[uint64]float64{}}
 }
 
-// Served counts units of a volume and returns its told rate in units a second.
+// Served adds units served for a volume and returns the volume's reported rate in
+// units per second.
 func (m *Meter) Served(volume uint64, units float64) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if past := time.Since(m.from); past >= m.period {
-		m.told, m.last, m.now = m.last, m.now, map[uint64]float64{}
-		if past >= 3*m.period {
-			m.told, m.last = nil, nil
+	if elapsed := time.Since(m.periodStart); elapsed >= m.period {
+		m.reported, m.previous, m.current = m.previous, m.current, map[uint64]float64{}
+		if elapsed >= 3*m.period {
+			m.reported, m.previous = nil, nil
 		}
-		m.from = time.Now()
+		m.periodStart = time.Now()
 	}
-	m.now[volume] += units
-	return m.told[volume] / m.period.Seconds()
+	m.current[volume] += units
+	return m.reported[volume] / m.period.Seconds()
 }
 
-// hostMeter tells each host what a brick served a volume through other hosts
-// since it last told it.
+// hostMeter counts the units that a brick serves for each volume through each
+// host. It tells a host how many units the volume was served through other hosts
+// since it last told that host.
 type hostMeter struct {
 	mu      sync.Mutex
-	volumes map[uint64]*volumeUse
+	volumes map[uint64]*volumeUsage
 }
 
-type volumeUse struct {
-	last  time.Time
-	total float64
-	own   map[int]float64 // by host: what it had through itself
-	told  map[int]float64 // and what it was told of others
+type volumeUsage struct {
+	lastUsed time.Time
+	total    float64
+	byHost   map[int]float64 // units served through the host
+	reported map[int]float64 // units served through other hosts that the host was told of
 }
 
 const (
-	volumesMost = 4096 // volumes kept; the idle ones go first
-	hostsMost   = 1024
+	maxVolumes = 4096 // volumes counted; idle ones are evicted first
+	maxHosts   = 1024 // hosts counted for each volume
 )
 
-func (m *hostMeter) served(volume uint64, host int, units float64) float64 {
+// add counts units served for a volume through a host and returns the units
+// through other hosts that the host has not been told of yet.
+func (m *hostMeter) add(volume uint64, host int, units float64) float64 {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	v := m.volumes[volume]
 	if v == nil {
-		m.trim(now)
-		v = &volumeUse{own: map[int]float64{}, told: map[int]float64{}}
+		m.evict(now)
+		v = &volumeUsage{byHost: map[int]float64{}, reported: map[int]float64{}}
 		if m.volumes == nil {
-			m.volumes = map[uint64]*volumeUse{}
+			m.volumes = map[uint64]*volumeUsage{}
 		}
 		m.volumes[volume] = v
 	}
-	v.last = now
-	if _, known := v.own[host]; !known {
-		if len(v.own) >= hostsMost {
+	v.lastUsed = now
+	if _, known := v.byHost[host]; !known {
+		if len(v.byHost) >= maxHosts {
 			return 0
 		}
-		v.told[host] = v.total // what came before it was known is not news
+		v.reported[host] = v.total // a new host is not told of earlier units
 	}
 	v.total += units
-	v.own[host] += units
-	others := v.total - v.own[host] - v.told[host]
-	v.told[host] += others
+	v.byHost[host] += units
+	others := v.total - v.byHost[host] - v.reported[host]
+	v.reported[host] += others
 	return others
 }
 
-func (m *hostMeter) trim(now time.Time) {
-	if len(m.volumes) < volumesMost {
+// evict removes idle volumes if there are too many, and any volume if there are
+// far too many.
+func (m *hostMeter) evict(now time.Time) {
+	if len(m.volumes) < maxVolumes {
 		return
 	}
 	for id, v := range m.volumes {
-		if now.Sub(v.last) > time.Minute || len(m.volumes) >= 2*volumesMost {
+		if now.Sub(v.lastUsed) > time.Minute || len(m.volumes) >= 2*maxVolumes {
 			delete(m.volumes, id)
 		}
 	}
 }
 
-// busyMeter measures util: the part of the workers' time that was busy in the
-// last finished period of 100 ms.
+// busyMeter measures the workers' utilization: the part of their time that was
+// busy in the last complete period of busyPeriod.
 type busyMeter struct {
-	mu      sync.Mutex
-	workers int
-	running int
-	since   time.Time // of the last change
-	from    time.Time // of the period
-	spent   time.Duration
-	util    atomic.Int64 // parts of 1000
+	mu          sync.Mutex
+	workers     int
+	running     int       // busy workers
+	lastChange  time.Time // of running
+	periodStart time.Time
+	busyTime    time.Duration // summed over the workers in this period
+	permille    atomic.Int64  // utilization in parts per thousand
 }
 
 const busyPeriod = 100 * time.Millisecond
 
 func (b *busyMeter) init(workers int) {
-	b.workers, b.since, b.from = workers, time.Now(), time.Now()
+	b.workers, b.lastChange, b.periodStart = workers, time.Now(), time.Now()
 }
 
-func (b *busyMeter) change(by int) {
+func (b *busyMeter) addRunning(delta int) {
 	now := time.Now()
 	b.mu.Lock()
-	b.spent += time.Duration(b.running) * now.Sub(b.since)
-	b.since = now
-	b.running += by
-	if span := now.Sub(b.from); span >= busyPeriod {
-		b.util.Store(int64(1000 * b.spent / (span * time.Duration(b.workers))))
-		b.from, b.spent = now, 0
+	b.busyTime += time.Duration(b.running) * now.Sub(b.lastChange)
+	b.lastChange = now
+	b.running += delta
+	if elapsed := now.Sub(b.periodStart); elapsed >= busyPeriod {
+		b.permille.Store(int64(1000 * b.busyTime / (elapsed * time.Duration(b.workers))))
+		b.periodStart, b.busyTime = now, 0
 	}
 	b.mu.Unlock()
 }
 
-func (b *busyMeter) begin() { b.change(1) }
-func (b *busyMeter) end()   { b.change(-1) }
+func (b *busyMeter) begin() { b.addRunning(1) }
+func (b *busyMeter) end()   { b.addRunning(-1) }
 
 // appendLoad appends the load report in ORCA's text form.
 func (s *Server) appendLoad(b []byte) []byte {
-	util := int64(1000 * admission.ReportedUtilization(float64(s.busy.util.Load())/1000, s.dir.CommitStats()))
+	permille := int64(1000 * admission.ReportedUtilization(float64(s.busy.permille.Load())/1000, s.blobs.CommitStats()))
 	b = append(b, brick.HeaderLoad...)
 	b = append(b, ": TEXT cpu_utilization="...)
-	b = append(b, byte('0'+min(util/1000, 9)), '.', byte('0'+util/100%10), byte('0'+util/10%10), byte('0'+util%10))
+	b = append(b, byte('0'+min(permille/1000, 9)), '.', byte('0'+permille/100%10), byte('0'+permille/10%10), byte('0'+permille%10))
 	return append(b, "\r\n"...)
 }
