--- a/internal/brick/pool_test.go
+++ b/internal/brick/pool_test.go
@@ -17,9 +17,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// answerWith starts a server that responds to each request with text, and then
+// respondWith starts a server that responds to each request with text, and then
 // closes the connection if closeAfter is set. It returns the server's address.
-func answerWith(t *testing.T, text string, closeAfter bool) string {
+func respondWith(t *testing.T, text string, closeAfter bool) string {
 	t.Helper()
 	s, err := texts.Start(closeAfter, text)
 	if err != nil {
@@ -58,7 +58,7 @@
 	} {
 		address := unusedAddr
 		if c.reason != ReasonRefused {
-			address = answerWith(t, c.text, c.closeAfter)
+			address = respondWith(t, c.text, c.closeAfter)
 		}
 		p := NewPool(PoolOptions{})
 		var resp Response
@@ -96,7 +96,7 @@
 		}
 		return err
 	}
-	keepAlive, closing := answerWith(t, text, false), answerWith(t, text, true)
+	keepAlive, closing := respondWith(t, text, false), respondWith(t, text, true)
 	for range 5 {
 		if err := get(keepAlive, &Attempt{}); err != nil {
 			t.Fatal(err)
@@ -122,7 +122,7 @@
 	if c := p.conns.PopIdle(keepAlive); c != nil {
 		t.Error("idle connections to a removed address are kept")
 	}
-	unresponsive := answerWith(t, "", false)
+	unresponsive := respondWith(t, "", false)
 	at := &Attempt{}
 	time.AfterFunc(20*time.Millisecond, at.Abort)
 	start := time.Now()
@@ -136,18 +136,18 @@
 	f.Add("TEXT cpu_utilization=0.5,x=1", "bytes 0-1/2", "12", "YQ")
 	f.Add("JSON {}", "bytes */5", "-1", "!")
 	f.Fuzz(func(t *testing.T, load, contentRange, amount, meta string) {
-		p := http1.Response{Status: 206, Framing: http1.Framing{Length: 2, HasLength: true}, Fields: http1.Fields{
+		head := http1.Response{Status: 206, Framing: http1.Framing{Length: 2, HasLength: true}, Fields: http1.Fields{
 			{Name: HeaderLoad, Value: load}, {Name: "Content-Range", Value: contentRange}, {Name: HeaderOthers, Value: amount}, {Name: HeaderMeta, Value: meta}}}
-		var a Response
-		if err := a.parseHead(&p); err != nil {
+		var resp Response
+		if err := resp.parseHead(&head); err != nil {
 			return
 		}
-		if a.RangeStart < 0 || a.Size < a.RangeStart+a.Length || a.OtherHostsUnits < 0 || a.Util < -1 {
-			t.Errorf("%+v", a)
+		if resp.RangeStart < 0 || resp.Size < resp.RangeStart+resp.Length || resp.OtherHostsUnits < 0 || resp.Util < -1 {
+			t.Errorf("%+v", resp)
 		}
 		name, err := Unescape(string(AppendName(nil, meta)))
 		if err != nil || name != meta {
-			t.Errorf("name %q comes back as %q, %v", meta, name, err)
+			t.Errorf("name %q decodes to %q, %v", meta, name, err)
 		}
 	})
 }
@@ -156,8 +156,8 @@
 // arrives after the pool has checked the idle connection, it must not be taken for
 // the response to the next request.
 func TestAnswerToAnotherRequest(t *testing.T) {
-	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nAw-Brick: b@1\r\nAw-Request: 0-r-1-1.0\r\n\r\nok"
-	addr := answerWith(t, answer, false)
+	const response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nAw-Brick: b@1\r\nAw-Request: 0-r-1-1.0\r\n\r\nok"
+	addr := respondWith(t, response, false)
 	p := NewPool(PoolOptions{MaxIdlePerBrick: 2, DialTimeout: time.Second})
 	defer p.Close()
 	var resp Response
