--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -22,17 +22,17 @@
 type Host struct {
 	opt         Options
 	log         *slog.Logger
-	epoch       time.Time // start of the host; monotonic origin of the module's time
-	epochMicros int64     // wall clock at epoch, microseconds since 1970
+	startTime   time.Time // start of the host; monotonic origin of the module's time
+	startMicros int64     // wall clock at startTime, microseconds since 1970
 	runID       string
 
 	mu     sync.Mutex
 	inbox  []message
 	closed bool
-	wake   chan struct{}
-	done   chan struct{}
-	quit   chan struct{}
-	timer  *time.Timer
+	wake   chan struct{} // makes runLoop step the module
+	done   chan struct{} // closed when runLoop has returned
+	quit   chan struct{} // closed by Close
+	timer  *time.Timer   // expires when the Engine has to be stepped
 
 	stalls        *stallGuard
 	heartbeatDone sync.WaitGroup
@@ -77,10 +77,10 @@
 	if opt.Log == nil {
 		opt.Log = slog.New(slog.DiscardHandler)
 	}
-	h := &Host{opt: opt, log: opt.Log, epoch: time.Now(), wake: make(chan struct{}, 1),
+	h := &Host{opt: opt, log: opt.Log, startTime: time.Now(), wake: make(chan struct{}, 1),
 		done: make(chan struct{}), quit: make(chan struct{})}
-	h.epochMicros = h.epoch.UnixMicro()
-	h.runID = fmt.Sprintf("%d-%s", opt.Settings.Host, strconv.FormatInt(h.epochMicros, 36))
+	h.startMicros = h.startTime.UnixMicro()
+	h.runID = fmt.Sprintf("%d-%s", opt.Settings.Host, strconv.FormatInt(h.startMicros, 36))
 	engine, err := NewEngine(opt.Settings, h.moduleTime())
 	if err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 // comparable with the start times in node lists, and a step of the wall clock
 // does not affect it.
 func (h *Host) moduleTime() arrowwalk.Micros {
-	return arrowwalk.Micros(h.epochMicros + time.Since(h.epoch).Microseconds())
+	return arrowwalk.Micros(h.startMicros + time.Since(h.startTime).Microseconds())
 }
 
 // Close stops the host and waits for its goroutines. Tasks that still wait end
@@ -278,7 +278,7 @@
 // Shutdown makes every task end by a time, including tasks that are submitted
 // later.
 func (h *Host) Shutdown(by time.Time) {
-	h.post(message{event: &arrowwalk.Shutdown{At: arrowwalk.Micros(h.epochMicros + h.microsSinceEpoch(by))}})
+	h.post(message{event: &arrowwalk.Shutdown{At: arrowwalk.Micros(h.startMicros + h.microsSinceStart(by))}})
 }
 
 // runLoop steps the module when a timer expires or callers hand over their
@@ -344,7 +344,7 @@
 	switch e := m.event.(type) {
 	case *arrowwalk.Request:
 		// Left is relative to this step: the process may have stalled since Do.
-		e.Left = arrowwalk.Micros(h.epochMicros+h.microsSinceEpoch(m.task.Deadline)) - now
+		e.Left = arrowwalk.Micros(h.startMicros+h.microsSinceStart(m.task.Deadline)) - now
 		l.tasks[e.ID] = m.task
 		m.task.cappedDeadline = l.capDeadline(m.task.Deadline)
 	case *arrowwalk.Outcome:
@@ -360,7 +360,7 @@
 			}
 		}
 	case *arrowwalk.Shutdown:
-		l.shutdownAt = h.epoch.Add(time.Duration(int64(e.At)-h.epochMicros) * time.Microsecond)
+		l.shutdownAt = h.startTime.Add(time.Duration(int64(e.At)-h.startMicros) * time.Microsecond)
 		for _, t := range l.tasks {
 			t.cappedDeadline = l.capDeadline(t.cappedDeadline)
 		}
--- a/internal/host/stall.go
+++ b/internal/host/stall.go
@@ -238,7 +238,7 @@
 	if !ok {
 		return time.Time{}, false
 	}
-	return h.epoch.Add(time.Duration(at-h.epochMicros) * time.Microsecond), true
+	return h.startTime.Add(time.Duration(at-h.startMicros) * time.Microsecond), true
 }
 
 // minReceiveWindow is the number of bytes that fit into a connection's receive
@@ -259,9 +259,9 @@
 	}
 	unread, unreadKnown := tcpinfo.UnreadBytes(raw)
 	age, ageKnown := tcpinfo.LastReceiveAge(raw)
-	data := stall.UnreadData{ObservedAt: h.microsSinceEpoch(time.Now()), LastEmpty: h.microsSinceEpoch(lastEmpty), Age: age.Microseconds(), AgeKnown: ageKnown,
+	data := stall.UnreadData{ObservedAt: h.microsSinceStart(time.Now()), LastEmpty: h.microsSinceStart(lastEmpty), Age: age.Microseconds(), AgeKnown: ageKnown,
 		Partial: remaining < 0 || remaining > 0 && (!unreadKnown || int64(unread) < remaining) || read+unread > minReceiveWindow}
-	return h.epoch.Add(time.Duration(data.ArrivalTime(h.microsSinceEpoch(start))) * time.Microsecond), true
+	return h.startTime.Add(time.Duration(data.ArrivalTime(h.microsSinceStart(start))) * time.Microsecond), true
 }
 
 // SocketDelay returns how long the response to an attempt that was sent at sent
@@ -279,16 +279,16 @@
 // stalledSince returns how much of the time since start the process was stalled.
 // A brick that gave no response is not charged for that part.
 func (h *Host) stalledSince(start time.Time) time.Duration {
-	if h.stalls.lastStallEnd.Load() <= h.epochMicros+h.microsSinceEpoch(start) {
+	if h.stalls.lastStallEnd.Load() <= h.startMicros+h.microsSinceStart(start) {
 		return 0
 	}
 	h.stalls.mu.Lock()
 	defer h.stalls.mu.Unlock()
-	from := h.epochMicros + h.microsSinceEpoch(start)
+	from := h.startMicros + h.microsSinceStart(start)
 	return time.Duration(h.stalls.detector.StalledTime(from, int64(h.moduleTime()))) * time.Microsecond
 }
 
-func (h *Host) microsSinceEpoch(t time.Time) int64 { return t.Sub(h.epoch).Microseconds() }
+func (h *Host) microsSinceStart(t time.Time) int64 { return t.Sub(h.startTime).Microseconds() }
 
 // ResponseSent reports that the response to a task that ended is being sent to
 // the client. A frontend whose tasks set ReportsResponse calls it for each task
