--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -204,7 +204,7 @@
 	t.signals = make(chan signal, 4)
 	t.request = arrowwalk.Request{
 		ID: arrowwalk.RequestID(h.lastRequestID.Add(1)), Class: t.Class, Volume: t.Volume, HasKey: t.HasKey, Key: t.Key,
-		Units: t.Units, Shard: t.Shard, Again: t.IsRetry,
+		Units: t.Units, Shard: t.Shard, IsRetry: t.IsRetry,
 	}
 	h.stats.accepted.Add(1)
 	result := TaskResult{Status: Failed}
@@ -343,8 +343,8 @@
 	l := &h.loop
 	switch e := m.event.(type) {
 	case *arrowwalk.Request:
-		// Left is relative to this step: the process may have stalled since Do.
-		e.Left = arrowwalk.Micros(h.startMicros+h.microsSinceStart(m.task.Deadline)) - now
+		// TimeLeft is relative to this step: the process may have stalled since Do.
+		e.TimeLeft = arrowwalk.Micros(h.startMicros+h.microsSinceStart(m.task.Deadline)) - now
 		l.tasks[e.ID] = m.task
 		m.task.cappedDeadline = l.capDeadline(m.task.Deadline)
 	case *arrowwalk.Outcome:
