--- a/internal/front/s3/put.go
+++ b/internal/front/s3/put.go
@@ -16,50 +16,50 @@
 	"arrowwalk/internal/spool"
 )
 
-// putObject serves PUT of an object.
+// putObject serves PutObject.
 func (x *exchange) putObject() error {
-	if err := x.needBucket(); err != nil {
+	if err := x.requireBucket(); err != nil {
 		return err
 	}
-	if err := refuseSettings(x.c.req.Fields); err != nil {
+	if err := rejectUnsupportedFields(x.conn.req.Fields); err != nil {
 		return err
 	}
-	rec := &record{}
-	if err := x.describe(rec); err != nil {
+	newRecord := &record{}
+	if err := x.readMetadata(newRecord); err != nil {
 		return err
 	}
-	call, err := x.writeConditions()
+	request, err := x.parseWriteConditions()
 	if err != nil {
 		return err
 	}
-	u, err := x.newUpload()
+	body, err := x.newUpload()
 	if err != nil {
 		return err
 	}
-	id := newID()
-	body := x.s.opt.Spool.NewBuffer()
-	defer body.Release()
-	runs, err := x.storeBody(u, id+"/o", body)
+	id := newUniqueID()
+	buffer := x.server.opts.Spool.NewBuffer()
+	defer buffer.Release()
+	runs, err := x.storeBody(body, id+"/o", buffer)
 	if err == nil {
-		err = u.finish()
+		err = body.verify()
 	}
 	if err == nil {
-		rec.ETag, rec.Size, rec.Sums = u.etag(), u.got, u.checked()
-		rec.Time = time.Now().UnixMilli()
-		err = x.storeRecord(call, rec, id, runs, body)
+		newRecord.ETag, newRecord.Size, newRecord.Checksums = body.etag(), body.received, body.verifiedChecksums()
+		newRecord.ModifiedMS = time.Now().UnixMilli()
+		err = x.storeRecord(request, newRecord, id, runs, buffer)
 	}
 	if err != nil {
 		if len(runs) > 0 {
-			x.s.janitor.dropRuns(x, runs)
+			x.server.gc.deleteRuns(x, runs)
 		}
 		return err
 	}
-	return x.answer(200, u.answerFields(), nil)
+	return x.respond(200, body.responseFields(), nil)
 }
 
-// refuseSettings refuses fields that ask for what is not there, where passing
-// them over would break a promise to the client.
-func refuseSettings(fields http1.Fields) error {
+// rejectUnsupportedFields rejects headers that request an unsupported feature
+// and that cannot be ignored without breaking a guarantee to the client.
+func rejectUnsupportedFields(fields http1.Fields) error {
 	for i := range fields {
 		name := strings.ToLower(fields[i].Name)
 		if strings.HasPrefix(name, "x-amz-server-side-encryption") || strings.HasPrefix(name, "x-amz-object-lock") ||
@@ -73,87 +73,89 @@
 	return nil
 }
 
-// writeConditions reads If-Match and If-None-Match of a write.
-func (x *exchange) writeConditions() (brick.Request, error) {
-	var call brick.Request
-	fields := x.c.req.Fields
-	if v, ok := fields.Lookup("If-None-Match"); ok {
-		if v != "*" {
-			return call, errNotImplemented
+// parseWriteConditions translates If-Match and If-None-Match into the
+// conditions of a brick write.
+func (x *exchange) parseWriteConditions() (brick.Request, error) {
+	var request brick.Request
+	fields := x.conn.req.Fields
+	if value, ok := fields.Lookup("If-None-Match"); ok {
+		if value != "*" {
+			return request, errNotImplemented
 		}
-		call.IfAbsent = true
+		request.IfAbsent = true
 	}
 	match, ok := fields.Lookup("If-Match")
 	if !ok {
-		return call, nil
+		return request, nil
 	}
 	name := placement.Object(x.bucket, x.key)
-	ans, _, there, err := x.fetch(brick.SpaceObjects, name, x.home(name), false)
+	response, _, found, err := x.readBlob(brick.SpaceObjects, name, x.shardOf(name), false)
 	if err != nil {
-		return call, err
+		return request, err
 	}
-	if !there {
-		return call, errNoSuchKey
+	if !found {
+		return request, errNoSuchKey
 	}
-	rec, err := decodeRecord(ans.Meta)
+	rec, err := decodeRecord(response.Meta)
 	if err != nil {
-		return call, err
+		return request, err
 	}
-	if !etagIn(match, rec.ETag) {
-		return call, errPrecondition
+	if !matchesETag(match, rec.ETag) {
+		return request, errPrecondition
 	}
-	call.IfVersion = ans.Version
-	return call, nil
+	request.IfVersion = response.Version
+	return request, nil
 }
 
-// storeBody reads an upload. What fits into one piece is left in body; else
-// the pieces are stored as they come, and their run is returned, also with an
-// error, so that they can be dropped.
-func (x *exchange) storeBody(u *upload, base string, body *spool.Buffer) ([]run, error) {
-	most := x.s.cfg.PieceBytes
-	var runs []run
+// storeBody reads an upload. A body that fits into one piece is left in
+// buffer. A larger body is stored in pieces as it arrives, and the run of
+// pieces is returned, also together with an error, so that the caller can
+// delete them.
+func (x *exchange) storeBody(u *upload, base string, buffer *spool.Buffer) ([]pieceRun, error) {
+	pieceSize := x.server.cfg.PieceBytes
+	var runs []pieceRun
 	for index := 0; ; index++ {
-		got, err := body.Fill(u, most)
+		size, err := buffer.Fill(u, pieceSize)
 		if err != nil {
 			return runs, err
 		}
-		last := got < most || u.got == u.size
-		if last && got == most {
-			if err := readEnd(u); err != nil {
+		isLast := size < pieceSize || u.received == u.declaredSize
+		if isLast && size == pieceSize {
+			if err := readBodyEnd(u); err != nil {
 				return runs, err
 			}
 		}
-		if index == 0 && last {
+		if index == 0 && isLast {
 			return nil, nil
 		}
-		if got > 0 {
+		if size > 0 {
 			if runs == nil {
-				runs = []run{{Base: base, Piece: most}}
+				runs = []pieceRun{{Base: base, PieceSize: pieceSize}}
 			}
-			runs[0].Size += got
+			runs[0].Size += size
 			name := placement.Piece(base, index)
-			call := brick.Request{Space: brick.SpacePieces, Name: name, Body: body}
-			began := time.Now()
-			if _, err := x.store(call, x.home(name)); err != nil {
+			request := brick.Request{Space: brick.SpacePieces, Name: name, Body: buffer}
+			writeStart := time.Now()
+			if _, err := x.writeBlob(request, x.shardOf(name)); err != nil {
 				return runs, err
 			}
-			x.awaySince(began)
-			body.Release()
+			x.recordReadPause(writeStart)
+			buffer.Release()
 		}
-		if last {
+		if isLast {
 			return runs, nil
 		}
 	}
 }
 
-// readEnd reads the end of a body whose bytes have all come: the last chunk's
-// signature and the trailer.
-func readEnd(u *upload) error {
-	var one [1]byte
+// readBodyEnd reads the end of a body whose data is complete: the signature of
+// the last chunk and the trailer.
+func readBodyEnd(u *upload) error {
+	var buf [1]byte
 	for range 3 {
-		n, err := u.Read(one[:])
+		n, err := u.Read(buf[:])
 		if n > 0 {
-			return refuse(400, "InvalidRequest", "The body is longer than it said.")
+			return newAPIError(400, "InvalidRequest", "The body is longer than its declared length.")
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) {
@@ -165,71 +167,76 @@
 	return nil
 }
 
-// storeRecord writes an object's one record: with its body, or with the list
-// of its pieces. The pieces of the object that it replaces are dropped.
-func (x *exchange) storeRecord(call brick.Request, rec *record, id string, runs []run, body *spool.Buffer) error {
-	call.Space, call.Name = brick.SpaceObjects, placement.Object(x.bucket, x.key)
+// storeRecord writes the blob of an object: its record with the body, or with
+// the manifest of its pieces. The pieces of the object that it replaces are
+// deleted in the background.
+func (x *exchange) storeRecord(request brick.Request, rec *record, id string, runs []pieceRun, body *spool.Buffer) error {
+	request.Space, request.Name = brick.SpaceObjects, placement.Object(x.bucket, x.key)
 	if runs != nil {
-		rec.Data = id
-		text, err := json.Marshal(manifest{runs})
+		rec.PiecePrefix = id
+		manifestJSON, err := json.Marshal(manifest{runs})
 		if err != nil {
 			return err
 		}
-		call.Body, call.Whole = brick.Bytes(text), true
+		request.Body, request.Whole = brick.Bytes(manifestJSON), true
 	} else if body != nil {
-		call.Body = body
+		request.Body = body
 	}
 	var err error
-	if call.Meta, err = rec.encode(); err != nil {
+	if request.Meta, err = rec.encode(); err != nil {
 		return err
 	}
-	ans, err := x.store(call, x.home(call.Name))
+	response, err := x.writeBlob(request, x.shardOf(request.Name))
 	if err != nil {
 		return err
 	}
-	x.dropReplaced(ans.Replaced, rec.Data)
+	x.deleteReplacedPieces(response.Replaced, rec.PiecePrefix)
 	return nil
 }
 
-// dropReplaced drops the pieces of an object that is no more.
-func (x *exchange) dropReplaced(meta []byte, by string) {
+// deleteReplacedPieces deletes the pieces of a replaced or deleted object in
+// the background. meta is its record and newPrefix the piece prefix of the new
+// object, if any.
+func (x *exchange) deleteReplacedPieces(meta []byte, newPrefix string) {
 	if len(meta) == 0 {
 		return
 	}
-	if old, err := decodeRecord(meta); err == nil && old.Data != "" && old.Data != by {
-		x.s.janitor.drop(x, old.Data)
+	if old, err := decodeRecord(meta); err == nil && old.PiecePrefix != "" && old.PiecePrefix != newPrefix {
+		x.server.gc.deletePieces(x, old.PiecePrefix)
 	}
 }
 
-// deleteObject serves DELETE of an object; one that is not there is deleted
-// already.
+// deleteObject serves DeleteObject. Deleting an object that does not exist
+// succeeds.
 func (x *exchange) deleteObject() error {
-	if err := x.noBody(); err != nil {
+	if err := x.checkEmptyBody(); err != nil {
 		return err
 	}
-	if err := x.needBucket(); err != nil {
+	if err := x.requireBucket(); err != nil {
 		return err
 	}
 	if err := x.deleteKey(x.key); err != nil {
 		return err
 	}
-	x.head(204, nil, -1)
+	x.buildHead(204, nil, -1)
 	return x.flush()
 }
 
+// deleteKey deletes one object of the bucket.
 func (x *exchange) deleteKey(key string) error {
 	name := placement.Object(x.bucket, key)
-	ans, ok, err := x.remove(brick.SpaceObjects, name, x.home(name), 0)
+	response, ok, err := x.deleteBlob(brick.SpaceObjects, name, x.shardOf(name), 0)
 	if err != nil {
 		return err
 	}
 	if ok {
-		x.dropReplaced(ans.Replaced, "")
+		x.deleteReplacedPieces(response.Replaced, "")
 	}
 	return nil
 }
 
-type deleteBody struct {
+// deleteObjectsBody is the XML body of DeleteObjects.
+type deleteObjectsBody struct {
 	XMLName xml.Name `xml:"Delete"`
 	Quiet   bool
 	Object  []struct {
@@ -238,71 +245,76 @@
 	}
 }
 
-type deleteResult struct {
+// deleteObjectsResult is the XML body of the response to DeleteObjects.
+type deleteObjectsResult struct {
 	XMLName xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ DeleteResult"`
 	Deleted []deletedKey
 	Error   []deleteError
 }
 
+// deletedKey is the XML element of a deleted key.
 type deletedKey struct{ Key string }
 
+// deleteError is the XML element of a key that could not be deleted.
 type deleteError struct{ Key, Code, Message string }
 
-// deleteObjects serves POST ?delete: up to 1000 keys, each with its own answer.
+// deleteObjects serves DeleteObjects: up to 1000 keys, each with its own
+// result.
 func (x *exchange) deleteObjects() error {
-	if err := x.needBucket(); err != nil {
+	if err := x.requireBucket(); err != nil {
 		return err
 	}
-	text, err := x.readSmall(2 << 20)
+	body, err := x.readSmallBody(2 << 20)
 	if err != nil {
 		return err
 	}
-	var in deleteBody
-	if err := xml.Unmarshal(text, &in); err != nil || len(in.Object) == 0 || len(in.Object) > 1000 {
+	var request deleteObjectsBody
+	if err := xml.Unmarshal(body, &request); err != nil || len(request.Object) == 0 || len(request.Object) > 1000 {
 		return errMalformedXML
 	}
-	errs := make([]error, len(in.Object))
-	x.parallel(len(in.Object), func(i int) {
-		switch o := in.Object[i]; {
-		case o.VersionID != "" && o.VersionID != "null":
+	errs := make([]error, len(request.Object))
+	x.runParallel(len(request.Object), func(i int) {
+		switch object := request.Object[i]; {
+		case object.VersionID != "" && object.VersionID != "null":
 			errs[i] = errNotImplemented
-		case o.Key == "" || len(o.Key) > keyMost:
-			errs[i] = refuse(400, "KeyTooLongError", "Your key is too long or empty.")
+		case object.Key == "" || len(object.Key) > maxKeyBytes:
+			errs[i] = newAPIError(400, "KeyTooLongError", "Your key is too long or empty.")
 		default:
-			errs[i] = x.deleteKey(o.Key)
+			errs[i] = x.deleteKey(object.Key)
 		}
 	})
-	out := deleteResult{}
-	for i, o := range in.Object {
-		if errors.Is(errs[i], errGone) {
-			return errGone
+	result := deleteObjectsResult{}
+	for i, object := range request.Object {
+		if errors.Is(errs[i], errClientGone) {
+			return errClientGone
 		}
 		if errs[i] != nil {
-			api := asAPI(errs[i])
-			if api == nil {
-				api = asAPI(errInternal)
+			apiErr := toAPIError(errs[i])
+			if apiErr == nil {
+				apiErr = toAPIError(errInternal)
 			}
-			out.Error = append(out.Error, deleteError{o.Key, api.code, api.message})
-		} else if !in.Quiet {
-			out.Deleted = append(out.Deleted, deletedKey{o.Key})
+			result.Error = append(result.Error, deleteError{object.Key, apiErr.code, apiErr.message})
+		} else if !request.Quiet {
+			result.Deleted = append(result.Deleted, deletedKey{object.Key})
 		}
 	}
-	return x.answerXML(200, out)
+	return x.respondXML(200, result)
 }
 
-type copyResult struct {
+// copyObjectResult is the XML body of the response to CopyObject.
+type copyObjectResult struct {
 	XMLName      xml.Name `xml:"CopyObjectResult"`
 	ETag         string
 	LastModified string
 }
 
-// copyObject serves PUT with x-amz-copy-source.
+// copyObject serves CopyObject.
 func (x *exchange) copyObject() error {
-	fields := x.c.req.Fields
-	if err := refuseSettings(fields); err != nil {
+	fields := x.conn.req.Fields
+	if err := rejectUnsupportedFields(fields); err != nil {
 		return err
 	}
-	if err := x.noBody(); err != nil {
+	if err := x.checkEmptyBody(); err != nil {
 		return err
 	}
 	source, err := brick.Unescape(strings.TrimPrefix(fields.Get("x-amz-copy-source"), "/"))
@@ -311,91 +323,94 @@
 		return errNotImplemented
 	}
 	if err != nil || !ok || bucket == "" || key == "" {
-		return refuse(400, "InvalidArgument", "Copy Source must mention the source bucket and key: sourcebucket/sourcekey.")
+		return newAPIError(400, "InvalidArgument", "Copy Source must mention the source bucket and key: sourcebucket/sourcekey.")
 	}
 	directive := fields.Get("x-amz-metadata-directive")
 	if directive != "" && directive != "COPY" && directive != "REPLACE" {
-		return refuse(400, "InvalidArgument", "Unknown metadata directive.")
+		return newAPIError(400, "InvalidArgument", "Unknown metadata directive.")
 	}
 	if source == x.bucket+"/"+x.key && directive != "REPLACE" {
-		return refuse(400, "InvalidRequest", "This copy request is illegal because it is trying to copy an object to itself without changing the object's metadata.")
+		return newAPIError(400, "InvalidRequest", "This copy request is illegal because it is trying to copy an object to itself without changing the object's metadata.")
 	}
-	if err := x.needBucket(); err != nil {
+	if err := x.requireBucket(); err != nil {
 		return err
 	}
-	call, err := x.writeConditions()
+	request, err := x.parseWriteConditions()
 	if err != nil {
 		return err
 	}
-	return x.copyFrom(bucket, key, directive == "REPLACE", call)
+	return x.copyFrom(bucket, key, directive == "REPLACE", request)
 }
 
-func (x *exchange) copyFrom(bucket, key string, replace bool, call brick.Request) error {
+// copyFrom copies the object bucket/key to the object of the request. With
+// replace, the metadata comes from the request instead of the source.
+func (x *exchange) copyFrom(bucket, key string, replace bool, request brick.Request) error {
 	from := placement.Object(bucket, key)
-	ans, text, ok, err := x.fetch(brick.SpaceObjects, from, x.home(from), true)
+	response, body, ok, err := x.readBlob(brick.SpaceObjects, from, x.shardOf(from), true)
 	if err != nil {
 		return err
 	}
 	if !ok {
-		return x.missing(bucket)
+		return x.notFoundError(bucket)
 	}
-	rec, err := decodeRecord(ans.Meta)
+	sourceRecord, err := decodeRecord(response.Meta)
 	if err != nil {
 		return err
 	}
-	cond := parseConditions(x.c.req.Fields, "x-amz-copy-source-")
-	if err := cond.check(rec); err != nil {
+	conditions := parseConditions(x.conn.req.Fields, "x-amz-copy-source-")
+	if err := conditions.check(sourceRecord); err != nil {
 		return errPrecondition
 	}
-	to := &record{ETag: rec.ETag, Size: rec.Size, Sums: rec.Sums, Type: rec.Type, Fields: rec.Fields}
+	newRecord := &record{ETag: sourceRecord.ETag, Size: sourceRecord.Size, Checksums: sourceRecord.Checksums, ContentType: sourceRecord.ContentType, Fields: sourceRecord.Fields}
 	if replace {
-		to.Type, to.Fields = "", nil
-		if err := x.describe(to); err != nil {
+		newRecord.ContentType, newRecord.Fields = "", nil
+		if err := x.readMetadata(newRecord); err != nil {
 			return err
 		}
 	}
-	to.Time = time.Now().UnixMilli()
-	id := newID()
-	var runs []run
-	if ans.Whole {
-		if runs, err = x.copyPieces(text, id, rec.Size); err != nil {
-			x.s.janitor.drop(x, id)
+	newRecord.ModifiedMS = time.Now().UnixMilli()
+	id := newUniqueID()
+	var runs []pieceRun
+	if response.Whole {
+		if runs, err = x.copyPieces(body, id, sourceRecord.Size); err != nil {
+			x.server.gc.deletePieces(x, id)
 			return err
 		}
 	} else {
-		call.Body = brick.Bytes(text)
+		request.Body = brick.Bytes(body)
 	}
-	if err := x.storeRecord(call, to, id, runs, nil); err != nil {
+	if err := x.storeRecord(request, newRecord, id, runs, nil); err != nil {
 		if runs != nil {
-			x.s.janitor.drop(x, id)
+			x.server.gc.deletePieces(x, id)
 		}
 		return err
 	}
-	return x.answerXML(200, copyResult{ETag: quote(to.ETag), LastModified: isoTime(to.Time)})
+	return x.respondXML(200, copyObjectResult{ETag: quoteETag(newRecord.ETag), LastModified: formatISOTime(newRecord.ModifiedMS)})
 }
 
-// copyPieces copies an object's pieces under another name.
-func (x *exchange) copyPieces(text []byte, id string, size int64) ([]run, error) {
+// copyPieces copies the pieces of a manifest to new names that begin with id,
+// and returns the new runs.
+func (x *exchange) copyPieces(manifestJSON []byte, id string, size int64) ([]pieceRun, error) {
 	var m manifest
-	if err := json.Unmarshal(text, &m); err != nil || !m.valid(size) {
-		return nil, fmt.Errorf("manifest of the copy's source: %v", err)
+	if err := json.Unmarshal(manifestJSON, &m); err != nil || !m.isValid(size) {
+		return nil, fmt.Errorf("invalid manifest of the copy source: %v", err)
 	}
-	runs := make([]run, len(m.Runs))
+	runs := make([]pieceRun, len(m.Runs))
 	for i, r := range m.Runs {
-		runs[i] = run{Base: id + "/" + strconv.Itoa(i), Size: r.Size, Piece: r.Piece}
-		for index := range int((r.Size + r.Piece - 1) / r.Piece) {
-			if x.wait == 0 { // a copy takes as long as it is large
-				x.renew()
+		runs[i] = pieceRun{Base: id + "/" + strconv.Itoa(i), Size: r.Size, PieceSize: r.PieceSize}
+		for index := range int((r.Size + r.PieceSize - 1) / r.PieceSize) {
+			if x.clientTimeout == 0 { // the time limit applies to each piece, because copying takes time in proportion to the size
+				x.restartWait()
 			}
-			from, to := placement.Piece(r.Base, index), placement.Piece(runs[i].Base, index)
-			_, data, ok, err := x.fetch(brick.SpacePieces, from, x.home(from), true)
+			sourceName, targetName := placement.Piece(r.Base, index), placement.Piece(runs[i].Base, index)
+			_, data, ok, err := x.readBlob(brick.SpacePieces, sourceName, x.shardOf(sourceName), true)
 			if err != nil {
 				return nil, err
 			}
 			if !ok {
 				return nil, errInternal
 			}
-			if _, err := x.store(brick.Request{Space: brick.SpacePieces, Name: to, Body: brick.Bytes(data)}, x.home(to)); err != nil {
+			if _, err := x.writeBlob(brick.Request{Space: brick.SpacePieces, Name: targetName, Body: brick.Bytes(data)}, x.shardOf(targetName)); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -17,166 +17,173 @@
 	"arrowwalk/internal/host"
 )
 
-// openDesk opens the record of orders and plays it again, before any brick is
-// told of: a drain by hand holds from the first moment.
-func (g *Gateway) openDesk() error {
+// openController opens the log of operators' orders and replays it. This
+// happens before any brick is known, so that drains ordered by an operator
+// apply from the start.
+func (g *Gateway) openController() error {
 	var err error
-	if g.opt.ControlSocket != "" {
-		if g.book, err = orderlog.Open(filepath.Join(g.opt.DataDir, "orders.db")); err != nil {
+	if g.opts.ControlSocket != "" {
+		if g.orderLog, err = orderlog.Open(filepath.Join(g.opts.DataDir, "orders.db")); err != nil {
 			return err
 		}
 	}
-	g.desk, err = control.NewController(g.book)
+	g.controller, err = control.NewController(g.orderLog)
 	return err
 }
 
-// startControl opens the operators' socket.
+// startControl starts the server of the operators' socket.
 func (g *Gateway) startControl() error {
-	if at, ok := strings.CutPrefix(g.opt.DisabledGuard, "crash-"); ok { // ends outright there, for a proof
-		g.desk.OnStage = func(stage string) {
-			if stage == at {
+	if crashStage, ok := strings.CutPrefix(g.opts.DisabledGuard, "crash-"); ok { // a proof makes the process crash at this stage
+		g.controller.OnStage = func(stage string) {
+			if stage == crashStage {
 				syscall.Kill(syscall.Getpid(), syscall.SIGKILL)
 				select {}
 			}
 		}
 	}
-	g.desk.SetApplyFunc(func() {
-		if g.opt.DisabledGuard == "apply" { // recorded, and not carried out: a proof must see it
+	g.controller.SetApplyFunc(func() {
+		if g.opts.DisabledGuard == "apply" { // the order is recorded but not applied, which a proof must detect
 			return
 		}
-		g.words.Clear() // what an order took back may be said again
-		g.keeper.Refresh()
-		g.host.Snapshot() // comes back after the host has taken the change
+		g.selfDraining.Clear() // bricks may report again what an order has overridden
+		g.tracker.Refresh()
+		g.host.Snapshot() // returns after the host has applied the change
 	})
-	if g.opt.ControlSocket == "" {
+	if g.opts.ControlSocket == "" {
 		return nil
 	}
 	var err error
-	g.ctl, err = control.Listen(g.opt.ControlSocket, g.desk, g, g.opt.Log)
+	g.controlServer, err = control.Listen(g.opts.ControlSocket, g.controller, g, g.opts.Log)
 	return err
 }
 
-// listed tells the desk of discovery's word.
-func (g *Gateway) listed(members []host.Member) {
+// updateController passes the members that discovery lists to the controller.
+func (g *Gateway) updateController(members []host.Member) {
 	states := map[arrowwalk.NodeState]drains.State{arrowwalk.Ready: drains.Ready, arrowwalk.Draining: drains.Draining, arrowwalk.Removed: drains.Gone}
-	list := make([]drains.Brick, 0, len(members))
+	bricks := make([]drains.Brick, 0, len(members))
 	for _, m := range members {
-		list = append(list, drains.Brick{Name: string(m.ID), Shard: m.Shard, State: states[m.State], Started: int64(m.Started)})
+		bricks = append(bricks, drains.Brick{Name: string(m.ID), Shard: m.Shard, State: states[m.State], Started: int64(m.Started)})
 	}
-	slices.SortFunc(list, func(a, b drains.Brick) int { return cmp.Compare(a.Name, b.Name) })
-	g.desk.UpdateBricks(list)
+	slices.SortFunc(bricks, func(a, b drains.Brick) int { return cmp.Compare(a.Name, b.Name) })
+	g.controller.UpdateBricks(bricks)
 }
 
-// overlay makes of a member what the desk decides.
-func (g *Gateway) overlay(m *host.Member) {
-	if g.desk.BrickState(string(m.ID)) == drains.Draining && m.State == arrowwalk.Ready {
+// applyDrains sets a ready member to draining if the controller drains the
+// brick.
+func (g *Gateway) applyDrains(m *host.Member) {
+	if g.controller.BrickState(string(m.ID)) == drains.Draining && m.State == arrowwalk.Ready {
 		m.State = arrowwalk.Draining
 	}
 }
 
-// said takes in what a brick says of itself in an answer. Nearly all say the
-// same as before, which is all that a request's goroutine finds out.
-func (g *Gateway) said(brick string, draining bool) {
-	if before, known := g.words.Load(brick); known && before == draining || !known && !draining {
+// recordSelfDraining records the draining state that a brick reports about
+// itself in a response. Requests call it, and nearly always the state is
+// unchanged, so that case is only a map lookup.
+func (g *Gateway) recordSelfDraining(brick string, draining bool) {
+	if previous, known := g.selfDraining.Load(brick); known && previous == draining || !known && !draining {
 		return
 	}
-	g.words.Store(brick, draining)
-	if g.desk.SetSelfDraining(brick, draining) {
-		g.keeper.RefreshAsync()
+	g.selfDraining.Store(brick, draining)
+	if g.controller.SetSelfDraining(brick, draining) {
+		g.tracker.RefreshAsync()
 	}
 }
 
-// ended counts how a collection's task ended.
-func (g *Gateway) ended(bucket string, plan, shard int, end host.TaskStatus) {
-	if bucket == "" { // a chore of the gateway's own: no collection's
+// recordOutcome counts the outcome of a task of a bucket or volume.
+func (g *Gateway) recordOutcome(bucket string, plan, shard int, end host.TaskStatus) {
+	if bucket == "" { // background work of the gateway, not of a bucket
 		return
 	}
-	ends := map[host.TaskStatus]trafficstats.Outcome{host.Served: trafficstats.Served, host.Refused: trafficstats.Refused, host.Failed: trafficstats.Failed}
-	if e, ok := ends[end]; ok {
-		g.desk.Stats.RecordOutcome(bucket, g.opt.Config.Plans[plan].Name, shard, e)
+	outcomes := map[host.TaskStatus]trafficstats.Outcome{host.Served: trafficstats.Served, host.Refused: trafficstats.Refused, host.Failed: trafficstats.Failed}
+	if outcome, ok := outcomes[end]; ok {
+		g.controller.Stats.RecordOutcome(bucket, g.opts.Config.Plans[plan].Name, shard, outcome)
 	}
 }
 
-// HostLabel names this run of this host (control.Source).
+// HostLabel returns the label of this run of the host. It implements
+// control.Gateway.
 func (g *Gateway) HostLabel() string { return g.host.RunID() }
 
-// RunningRequests lists the requests that the host owes an answer (control.Source).
+// RunningRequests lists the requests in progress, oldest first. It implements
+// control.Gateway.
 func (g *Gateway) RunningRequests() []control.RunningRequest {
 	state := g.host.Snapshot()
 	if state == nil {
 		return nil
 	}
-	out := make([]control.RunningRequest, 0, len(state.Running))
+	requests := make([]control.RunningRequest, 0, len(state.Running))
 	for _, r := range state.Running {
-		out = append(out, control.RunningRequest{ID: r.ClientRequestID, Class: g.host.Settings().Classes[r.Class].Name, Units: r.Units,
+		requests = append(requests, control.RunningRequest{ID: r.ClientRequestID, Class: g.host.Settings().Classes[r.Class].Name, Units: r.Units,
 			AgeUS: r.Age.Microseconds(), Stage: r.Stage, Brick: r.Brick, Attempts: r.Attempts, Volume: uint64(r.Volume)})
 	}
-	slices.SortFunc(out, func(a, b control.RunningRequest) int { return cmp.Compare(b.AgeUS, a.AgeUS) })
-	return out
+	slices.SortFunc(requests, func(a, b control.RunningRequest) int { return cmp.Compare(b.AgeUS, a.AgeUS) })
+	return requests
 }
 
-// Snapshot is the whole picture (control.Source).
+// Snapshot returns the current state of the gateway, its bricks and its
+// volumes. It implements control.Gateway.
 func (g *Gateway) Snapshot() *control.Snapshot {
 	now := time.Now()
-	stats, front, use := g.host.Stats(), g.front.Stats(), g.spool.Usage()
-	s := &control.Snapshot{At: now.UnixMicro(), Host: g.host.RunID(), Accepted: stats.Accepted,
-		Served: stats.Ended["served"], Refused: stats.Ended["refused"], Failed: stats.Ended["failed"], Connections: front.OpenConns,
-		BodyMemoryBytes: use.Memory, SpoolBytes: use.File, LastEvent: g.desk.LastEventNumber()}
+	stats, frontStats, spoolUsage := g.host.Stats(), g.s3Server.Stats(), g.spool.Usage()
+	snapshot := &control.Snapshot{At: now.UnixMicro(), Host: g.host.RunID(), Accepted: stats.Accepted,
+		Served: stats.Ended["served"], Refused: stats.Ended["refused"], Failed: stats.Ended["failed"], Connections: frontStats.OpenConns,
+		BodyMemoryBytes: spoolUsage.Memory, SpoolBytes: spoolUsage.File, LastEvent: g.controller.LastEventNumber()}
 	state := g.host.Snapshot()
 	if state == nil {
-		return s
+		return snapshot
 	}
 	views := map[arrowwalk.NodeID]arrowwalk.NodeView{}
 	for _, v := range state.Nodes {
 		views[v.ID] = v
 	}
-	s.Volumes = g.volumes(state)
-	out, units := map[string]int{}, map[string]float64{}
+	snapshot.Volumes = g.volumeStatuses(state)
+	outstanding, units := map[string]int{}, map[string]float64{}
 	for _, r := range state.Running {
 		if r.Stage == "sent" {
-			s.Sent++
-			out[r.Brick]++
+			snapshot.Sent++
+			outstanding[r.Brick]++
 			units[r.Brick] += r.Units
 		} else {
-			s.Queued++
+			snapshot.Queued++
 		}
 	}
 	members := map[string]host.Member{}
-	for _, m := range state.Members {
-		members[string(m.ID)] = m
-	}
-	figures, levels := g.desk.Stats.Bricks(now), g.keeper.TrustLevels()
-	bad := map[string]int{}
-	for _, e := range g.bricks {
-		bad[e.name] = e.dir.QuarantinedBlocks()
-	}
-	n, longest := g.host.StallStats()
-	s.Stalls, s.MaxStallUS = n, longest.Microseconds()
-	warm := arrowwalk.Micros(g.opt.Config.Rules.WarmWithinMS) * 1000
-	for _, st := range g.desk.Statuses() {
-		m := members[st.Brick]
-		b := control.BrickStatus{Status: st, BrickStats: figures[st.Brick], Address: m.Address, Zone: m.Zone, Trust: levels[st.Brick],
-			OutstandingRequests: out[st.Brick], OutstandingUnits: units[st.Brick], Cap: views[m.ID].MaxUnitsInFlight, QueueUS: int64(views[m.ID].QueueDelay)}
-		if b.BrickStats.Name == "" {
-			b.BrickStats = trafficstats.BrickStats{Name: st.Brick, Util: -1}
+	for _, member := range state.Members {
+		members[string(member.ID)] = member
+	}
+	brickStats, levels := g.controller.Stats.Bricks(now), g.tracker.TrustLevels()
+	quarantined := map[string]int{}
+	for _, e := range g.embeddedBricks {
+		quarantined[e.name] = e.store.QuarantinedBlocks()
+	}
+	stalls, longestStall := g.host.StallStats()
+	snapshot.Stalls, snapshot.MaxStallUS = stalls, longestStall.Microseconds()
+	warmAge := arrowwalk.Micros(g.opts.Config.Rules.WarmWithinMS) * 1000
+	for _, status := range g.controller.Statuses() {
+		member := members[status.Brick]
+		brick := control.BrickStatus{Status: status, BrickStats: brickStats[status.Brick], Address: member.Address, Zone: member.Zone, Trust: levels[status.Brick],
+			OutstandingRequests: outstanding[status.Brick], OutstandingUnits: units[status.Brick], Cap: views[member.ID].MaxUnitsInFlight, QueueUS: int64(views[member.ID].QueueDelay)}
+		if brick.BrickStats.Name == "" {
+			brick.BrickStats = trafficstats.BrickStats{Name: status.Brick, Util: -1}
 		}
-		b.QuarantinedBlocks = bad[st.Brick]
-		b.Cold = m.Started > 0 && arrowwalk.Micros(now.UnixMicro())-m.Started < warm
-		s.Bricks = append(s.Bricks, b)
+		brick.QuarantinedBlocks = quarantined[status.Brick]
+		brick.Cold = member.Started > 0 && arrowwalk.Micros(now.UnixMicro())-member.Started < warmAge
+		snapshot.Bricks = append(snapshot.Bricks, brick)
 	}
-	return s
+	return snapshot
 }
 
-// volumes joins what was counted of collections with the module's view.
-func (g *Gateway) volumes(state *host.Snapshot) []control.VolumeStatus {
+// volumeStatuses combines the counted traffic of each volume with the
+// scheduler's view of it.
+func (g *Gateway) volumeStatuses(state *host.Snapshot) []control.VolumeStatus {
 	views := map[arrowwalk.VolumeID]arrowwalk.VolumeView{}
 	for _, v := range state.Volumes {
 		views[v.ID] = v
 	}
-	var out []control.VolumeStatus
-	for _, v := range g.desk.Stats.Volumes() {
+	var statuses []control.VolumeStatus
+	for _, v := range g.controller.Stats.Volumes() {
 		view := views[s3.VolumeID(v.Name)]
-		out = append(out, control.VolumeStatus{VolumeStats: v, Quadrant: view.Quadrant, TokenRate: view.TokenRate, MeasuredRate: view.ServedRate, Reserve: view.ReserveUnits})
+		statuses = append(statuses, control.VolumeStatus{VolumeStats: v, Quadrant: view.Quadrant, TokenRate: view.TokenRate, MeasuredRate: view.ServedRate, Reserve: view.ReserveUnits})
 	}
-	return out
+	return statuses
 }
