--- a/internal/front/s3/exchange.go
+++ b/internal/front/s3/exchange.go
@@ -22,260 +22,277 @@
 	"arrowwalk/internal/spool"
 )
 
-// exchange is one request and its one answer.
+// exchange is one request and its response. It belongs to the connection's
+// goroutine; goroutines that runParallel starts may also run calls with it.
 type exchange struct {
-	s      *Server
-	c      *conn
-	id     string
-	began  time.Time
-	path   string // decoded
-	bucket string
-	key    string
-	query  sigv4.Query
-	who    *sigv4.Identity
-	volume arrowwalk.Volume
-	wait   time.Duration // how long the client says it waits; 0: it does not say
-	again  bool          // the client says that it tries again
-	asked  bool          // 100 Continue was sent, or was not wanted
-	begun  bool          // bytes of the answer were sent
-	close  bool          // the connection ends after the answer
-	status int
-	sent   int64
-	from   time.Time // when the client began to wait: the last byte of its request had come
-	away   bool      // the body was not read for long: its rest may lie in the client's own buffers
-	mark   time.Time // since then sinceMark bytes of the body were read
-	tells  bool      // somebody waits for the answer on a socket
-	late   []*host.Task
-
-	sinceMark int64
+	server            *Server
+	conn              *conn
+	requestID         string
+	startedAt         time.Time
+	path              string // percent-decoded
+	bucket            string
+	key               string
+	query             sigv4.Query
+	identity          *sigv4.Identity
+	volume            arrowwalk.Volume
+	clientTimeout     time.Duration // from headerClientTimeout; 0 if not given
+	isRetry           bool          // the client marked the request as a retry
+	continueSettled   bool          // 100 Continue was sent or is not needed
+	responseStarted   bool          // bytes of the response were sent
+	closeConn         bool          // close the connection after the response
+	status            int
+	bytesSent         int64
+	waitStart         time.Time // when the client began to wait: its last byte had arrived
+	restMayBeBuffered bool      // reading paused for long enough that the rest of the body may be in the client's socket buffers
+	markedAt          time.Time // start of the period counted by bytesSinceMark
+	hasClient         bool      // a client waits for the response on a socket
+	lateTasks         []*host.Task
+
+	bytesSinceMark int64
 }
 
-// headerWait is how a client tells how many milliseconds it will wait for an
-// answer, less than the class's deadline.
-const headerWait = "X-Arrowwalk-Wait-Ms"
+// headerClientTimeout is the request header with which a client shortens the
+// deadline of the class: the milliseconds that it waits for a response.
+const headerClientTimeout = "X-Arrowwalk-Wait-Ms"
 
 const (
-	queryMost = 64
-	keyMost   = 1024 // bytes, as the specification has it
+	maxQueryParams = 64
+	maxKeyBytes    = 1024 // limit of the S3 specification
 )
 
+// newExchange returns an exchange with a new request ID for the next request
+// of c.
 func newExchange(c *conn) *exchange {
-	id := c.s.opt.Host.RunID() + "-" + strconv.FormatUint(c.s.sequence.Add(1), 10)
+	id := c.server.opts.Host.RunID() + "-" + strconv.FormatUint(c.server.requestSeq.Add(1), 10)
 	now := time.Now()
-	return &exchange{s: c.s, c: c, id: id, began: now, from: now}
+	return &exchange{server: c.server, conn: c, requestID: id, startedAt: now, waitStart: now}
 }
 
-// came tells since when the client may have waited, where a stall of this host
-// ended less than span ago: what is found then may have lain in its socket, and
-// the kernel is asked how old it is. got is what was read just before.
-func (x *exchange) came(got int, span time.Duration) (time.Time, bool) {
-	if x.s.opt.IgnoreSocketAge {
+// arrivalAfterStall returns when the last bytes of the client arrived, if a
+// stall of this host ended less than window ago. Bytes read after a stall may
+// have waited in the socket, so the kernel is asked for their age. justRead is
+// the number of bytes read immediately before.
+func (x *exchange) arrivalAfterStall(justRead int, window time.Duration) (time.Time, bool) {
+	if x.server.opts.IgnoreSocketAge {
 		return time.Time{}, false
 	}
-	rest := x.c.body.Remaining()
-	if rest > 0 {
-		rest = max(0, rest-int64(x.c.in.Buffered()))
+	remaining := x.conn.body.Remaining()
+	if remaining > 0 {
+		remaining = max(0, remaining-int64(x.conn.reader.Buffered()))
 	}
-	from, ok := x.s.opt.Host.RequestArrival(x.c.raw, x.c.empty, got+x.c.in.Buffered(), rest, span)
-	x.away = x.away || ok && rest != 0
-	return from, ok
+	arrival, ok := x.server.opts.Host.RequestArrival(x.conn.rawConn, x.conn.socketEmptyAt, justRead+x.conn.reader.Buffered(), remaining, window)
+	x.restMayBeBuffered = x.restMayBeBuffered || ok && remaining != 0
+	return arrival, ok
 }
 
-// begin notes that the request's head was read: what is there of the request
-// may have lain in its socket for as long as its client may wait.
-func (x *exchange) begin() {
-	x.tells = true
-	if from, ok := x.came(0, x.s.longest); ok {
-		x.from = from
+// recordHeadArrival sets the start of the client's wait after the request head
+// was read. After a stall, the request may have waited in the socket for up to
+// the longest time that a client waits.
+func (x *exchange) recordHeadArrival() {
+	x.hasClient = true
+	if arrival, ok := x.arrivalAfterStall(0, x.server.maxClientWait); ok {
+		x.waitStart = arrival
 	}
 }
 
-// handle serves the request and gives its answer.
+// handle serves the request and writes its response.
 func (x *exchange) handle() {
-	err := x.serve()
+	err := x.dispatch()
 	if err == nil {
 		return
 	}
-	x.finish(err)
+	x.respondError(err)
 }
 
-func (x *exchange) serve() error {
-	if err := x.parse(); err != nil {
-		x.close = true
+// dispatch parses and authenticates the request and calls its handler.
+func (x *exchange) dispatch() error {
+	if err := x.parseRequest(); err != nil {
+		x.closeConn = true
 		return err
 	}
-	who, err := x.s.verifier.Verify(&sigv4.Request{
-		Method: x.c.req.Method, Path: x.path, Query: x.query, Fields: x.c.req.Fields,
-	}, x.s.opt.Now())
+	identity, err := x.server.verifier.Verify(&sigv4.Request{
+		Method: x.conn.req.Method, Path: x.path, Query: x.query, Fields: x.conn.req.Fields,
+	}, x.server.opts.Now())
 	if err != nil {
 		return err
 	}
-	x.who = who
-	if x.s.opt.NotReadyReason != nil {
-		if why := x.s.opt.NotReadyReason(); why != "" {
-			return &apiError{status: 503, code: "SlowDown", message: why, after: time.Second}
+	x.identity = identity
+	if x.server.opts.NotReadyReason != nil {
+		if reason := x.server.opts.NotReadyReason(); reason != "" {
+			return &apiError{status: 503, code: "SlowDown", message: reason, retryAfter: time.Second}
 		}
 	}
 	return x.route()
 }
 
-// parse reads the target and the fields that say how to treat the request.
-func (x *exchange) parse() error {
-	req := &x.c.req
+// parseRequest parses the request target and the headers that apply to all
+// requests.
+func (x *exchange) parseRequest() error {
+	req := &x.conn.req
 	path, query, _ := strings.Cut(req.Target, "?")
 	if !strings.HasPrefix(path, "/") {
-		return refuse(400, "InvalidURI", "The request target must begin with a slash.")
+		return newAPIError(400, "InvalidURI", "The request target must begin with a slash.")
 	}
 	var err error
 	if x.path, err = brick.Unescape(path); err != nil {
-		return refuse(400, "InvalidURI", "Couldn't parse the specified URI.")
+		return newAPIError(400, "InvalidURI", "Couldn't parse the specified URI.")
 	}
-	if x.query, err = sigv4.ParseQuery(query, queryMost); err != nil {
+	if x.query, err = sigv4.ParseQuery(query, maxQueryParams); err != nil {
 		return err
 	}
 	x.bucket, x.key, _ = strings.Cut(x.path[1:], "/")
-	if len(x.key) > keyMost {
-		return refuse(400, "KeyTooLongError", "Your key is too long.")
+	if len(x.key) > maxKeyBytes {
+		return newAPIError(400, "KeyTooLongError", "Your key is too long.")
 	}
 	if !utf8.ValidString(x.key) {
-		return refuse(400, "InvalidURI", "The key is not valid UTF-8.")
+		return newAPIError(400, "InvalidURI", "The key is not valid UTF-8.")
 	}
-	if ms, ok := req.Fields.Lookup(headerWait); ok {
+	if ms, ok := req.Fields.Lookup(headerClientTimeout); ok {
 		n, err := strconv.Atoi(ms)
 		if err != nil || n < 1 {
-			return refuse(400, "InvalidArgument", "Header %s: %q is not a number of milliseconds.", headerWait, ms)
+			return newAPIError(400, "InvalidArgument", "Header %s: %q is not a number of milliseconds.", headerClientTimeout, ms)
 		}
-		x.wait = time.Duration(n) * time.Millisecond
+		x.clientTimeout = time.Duration(n) * time.Millisecond
 	}
 	if r := req.Fields.Get("Amz-Sdk-Request"); r != "" && !strings.HasPrefix(r, "attempt=1;") {
-		x.again = true
+		x.isRetry = true
 	}
 	x.volume = arrowwalk.Volume{ID: VolumeID(x.bucket),
-		Plan: x.s.buckets.plan(x.bucket), Hosts: x.s.cfg.Host.Count}
+		Plan: x.server.buckets.plan(x.bucket), Hosts: x.server.cfg.Host.Count}
 	return nil
 }
 
-// VolumeID is the module's number of a bucket's volume, the same at all hosts.
+// VolumeID returns the scheduler's volume ID of a bucket. It is the same on
+// all hosts.
 func VolumeID(bucket string) arrowwalk.VolumeID {
 	return arrowwalk.VolumeID(placement.Hash(bucket) >> 1)
 }
 
-// due returns when the client stops waiting for a task of a class: it began to
-// wait at x.from.
-func (x *exchange) due(class int) time.Time {
-	ms := x.s.cfg.Classes.Read.DeadlineMS
+// deadline returns when the client stops waiting for a task of the given
+// class, counted from x.waitStart.
+func (x *exchange) deadline(class int) time.Time {
+	ms := x.server.cfg.Classes.Read.DeadlineMS
 	if class == config.ClassWrite {
-		ms = x.s.cfg.Classes.Write.DeadlineMS
+		ms = x.server.cfg.Classes.Write.DeadlineMS
 	}
-	span := config.MS(ms)
-	if x.wait > 0 {
-		span = min(span, x.wait)
+	timeout := config.MS(ms)
+	if x.clientTimeout > 0 {
+		timeout = min(timeout, x.clientTimeout)
 	}
-	return x.from.Add(span)
+	return x.waitStart.Add(timeout)
 }
 
-// renew lets the client's wait begin anew: it has taken more of the answer.
-func (x *exchange) renew() { x.from = time.Now() }
-
-// finish writes the one answer of a request that a handler gave up.
-func (x *exchange) finish(err error) {
-	if errors.Is(err, errGone) {
-		x.close = true
-		x.s.stats.gone.Add(1)
-		x.s.log.Debug("client gone", "request", x.id)
+// restartWait restarts the client's wait, because it has received more of the
+// response.
+func (x *exchange) restartWait() { x.waitStart = time.Now() }
+
+// respondError writes the response for an error returned by a handler. If the
+// response has already started, it closes the connection instead.
+func (x *exchange) respondError(err error) {
+	if errors.Is(err, errClientGone) {
+		x.closeConn = true
+		x.server.stats.clientsGone.Add(1)
+		x.server.log.Debug("client disconnected", "request", x.requestID)
 		return
 	}
-	if x.begun || errors.Is(err, errCut) { // too late for a status: a short answer tells that it failed
-		x.close = true
-		x.s.stats.cut.Add(1)
-		x.s.log.Warn("answer cut short", "request", x.id, "sent", x.sent, "error", err)
-		x.c.nc.Close()
+	if x.responseStarted || errors.Is(err, errTruncated) { // too late for a status; the client sees a truncated response
+		x.closeConn = true
+		x.server.stats.truncatedResponses.Add(1)
+		x.server.log.Warn("response truncated", "request", x.requestID, "sent", x.bytesSent, "error", err)
+		x.conn.netConn.Close()
 		return
 	}
-	api := asAPI(err)
-	if api == nil {
-		api = x.readFailure(err)
+	apiErr := toAPIError(err)
+	if apiErr == nil {
+		apiErr = x.bodyReadError(err)
 	}
-	if left := x.c.body.Remaining(); left < 0 || left > drainMost {
-		x.close = true // the rest of the body would have to be read first
+	if remaining := x.conn.body.Remaining(); remaining < 0 || remaining > maxDrainBytes {
+		x.closeConn = true // too much unread body to reuse the connection
 	}
-	if api.status >= 500 && api.status != 501 {
-		x.s.log.Warn("request not served", "request", x.id, "method", x.c.req.Method, "bucket", x.bucket,
-			"status", api.status, "code", api.code, "after", time.Since(x.began))
+	if apiErr.status >= 500 && apiErr.status != 501 {
+		x.server.log.Warn("request not served", "request", x.requestID, "method", x.conn.req.Method, "bucket", x.bucket,
+			"status", apiErr.status, "code", apiErr.code, "after", time.Since(x.startedAt))
 	}
-	if api.status == 304 {
-		x.head(304, nil, -1)
+	if apiErr.status == 304 {
+		x.buildHead(304, nil, -1)
 		x.flush()
 		return
 	}
-	text := append([]byte(xml.Header), marshal(errorBody{
-		Code: api.code, Message: api.message, Resource: x.path, RequestID: x.id, HostID: x.s.opt.Host.RunID(),
+	body := append([]byte(xml.Header), marshalXML(errorBody{
+		Code: apiErr.code, Message: apiErr.message, Resource: x.path, RequestID: x.requestID, HostID: x.server.opts.Host.RunID(),
 	})...)
 	fields := http1.Fields{{Name: "Content-Type", Value: "application/xml"}}
-	if api.status == 503 {
-		wait := max(1, int64((api.after+time.Second-1)/time.Second))
-		fields = append(fields, http1.Field{Name: "Retry-After", Value: strconv.FormatInt(wait, 10)})
+	if apiErr.status == 503 {
+		retrySeconds := max(1, int64((apiErr.retryAfter+time.Second-1)/time.Second))
+		fields = append(fields, http1.Field{Name: "Retry-After", Value: strconv.FormatInt(retrySeconds, 10)})
 	}
-	if !x.c.body.Done() && x.c.req.Expect100 && !x.asked {
-		x.close = true // the client may send the body or not: nothing else can follow
+	if !x.conn.body.Done() && x.conn.req.Expect100 && !x.continueSettled {
+		x.closeConn = true // unknown whether the client will send the body, so the connection cannot be reused
 	}
-	x.answer(api.status, fields, text)
+	x.respond(apiErr.status, fields, body)
 }
 
-// readFailure names what went wrong with reading the client's body.
-func (x *exchange) readFailure(err error) *apiError {
-	var bad *http1.Error
-	x.close = true
+// bodyReadError returns the error response for a failure to read the request
+// body. The connection is closed after it.
+func (x *exchange) bodyReadError(err error) *apiError {
+	var httpErr *http1.Error
+	x.closeConn = true
 	switch {
-	case errors.As(err, &bad):
-		return &apiError{status: bad.Status, code: "InvalidRequest", message: bad.Reason}
+	case errors.As(err, &httpErr):
+		return &apiError{status: httpErr.Status, code: "InvalidRequest", message: httpErr.Reason}
 	case isTimeout(err):
-		return asAPI(errStalled)
+		return toAPIError(errRequestTimeout)
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return asAPI(errIncomplete)
+		return toAPIError(errIncompleteBody)
 	case errors.Is(err, spool.ErrFull):
-		return asAPI(slowDown(time.Second))
+		return toAPIError(slowDown(time.Second))
 	}
-	x.s.log.Error("unexpected error", "request", x.id, "error", err)
-	return asAPI(errInternal)
+	x.server.log.Error("unexpected error", "request", x.requestID, "error", err)
+	return toAPIError(errInternal)
 }
 
-func marshal(v any) []byte {
+// marshalXML encodes a response body. It panics on error, because only types
+// of this package are encoded.
+func marshalXML(v any) []byte {
 	text, err := xml.Marshal(v)
 	if err != nil {
-		panic("xml: " + err.Error()) // our own types only
+		panic("xml: " + err.Error())
 	}
 	return text
 }
 
-// httpDate is the Date field, made once a second.
-var httpDate atomic.Pointer[dateText]
+// cachedDate is the value of the Date header, formatted at most once per
+// second.
+var cachedDate atomic.Pointer[formattedDate]
 
-type dateText struct {
+// formattedDate is the text of the Date header for one second.
+type formattedDate struct {
 	second int64
 	text   string
 }
 
-// timeFormat is that of dates in HTTP.
-const timeFormat = "Mon, 02 Jan 2006 15:04:05 GMT"
+// httpTimeFormat is the layout of dates in HTTP headers.
+const httpTimeFormat = "Mon, 02 Jan 2006 15:04:05 GMT"
 
-func dateNow() string {
+// currentDate returns the value of the Date header.
+func currentDate() string {
 	now := time.Now()
-	if d := httpDate.Load(); d != nil && d.second == now.Unix() {
+	if d := cachedDate.Load(); d != nil && d.second == now.Unix() {
 		return d.text
 	}
-	d := &dateText{now.Unix(), now.UTC().Format(timeFormat)}
-	httpDate.Store(d)
+	d := &formattedDate{now.Unix(), now.UTC().Format(httpTimeFormat)}
+	cachedDate.Store(d)
 	return d.text
 }
 
-// head builds the answer's head; length -1: it has no body and tells no length.
-func (x *exchange) head(status int, fields http1.Fields, length int64) {
+// buildHead builds the response head in the write buffer. A length of -1 means
+// no body and no Content-Length.
+func (x *exchange) buildHead(status int, fields http1.Fields, length int64) {
 	x.status = status
-	x.s.stats.statuses[status/100].Add(1)
-	b := http1.AppendStatusLine(x.c.out[:0], status)
-	b = http1.AppendField(b, "x-amz-request-id", x.id)
-	b = http1.AppendField(b, "Date", dateNow())
+	x.server.stats.responsesByClass[status/100].Add(1)
+	b := http1.AppendStatusLine(x.conn.writeBuf[:0], status)
+	b = http1.AppendField(b, "x-amz-request-id", x.requestID)
+	b = http1.AppendField(b, "Date", currentDate())
 	b = append(b, "Server: arrowwalk\r\n"...)
 	for i := range fields {
 		b = http1.AppendField(b, fields[i].Name, fields[i].Value)
@@ -283,94 +300,96 @@
 	if length >= 0 {
 		b = http1.AppendIntField(b, "Content-Length", length)
 	}
-	if x.s.closing.Load() {
-		x.close = true
+	if x.server.closing.Load() {
+		x.closeConn = true
 	}
-	if x.close || x.c.req.Close {
-		x.close = true
+	if x.closeConn || x.conn.req.Close {
+		x.closeConn = true
 		b = append(b, "Connection: close\r\n"...)
 	}
-	x.c.out = append(b, "\r\n"...)
+	x.conn.writeBuf = append(b, "\r\n"...)
 }
 
-// answer gives a whole answer.
-func (x *exchange) answer(status int, fields http1.Fields, body []byte) error {
-	x.head(status, fields, int64(len(body)))
-	if x.c.req.Method != "HEAD" {
-		x.c.out = append(x.c.out, body...)
+// respond writes a complete response.
+func (x *exchange) respond(status int, fields http1.Fields, body []byte) error {
+	x.buildHead(status, fields, int64(len(body)))
+	if x.conn.req.Method != "HEAD" {
+		x.conn.writeBuf = append(x.conn.writeBuf, body...)
 	}
 	return x.flush()
 }
 
-// answerXML gives a whole answer with an XML body.
-func (x *exchange) answerXML(status int, v any) error {
-	return x.answer(status, http1.Fields{{Name: "Content-Type", Value: "application/xml"}},
-		append([]byte(xml.Header), marshal(v)...))
+// respondXML writes a complete response with an XML body.
+func (x *exchange) respondXML(status int, v any) error {
+	return x.respond(status, http1.Fields{{Name: "Content-Type", Value: "application/xml"}},
+		append([]byte(xml.Header), marshalXML(v)...))
 }
 
-// flush sends what head and answer have built.
+// flush writes the buffer that buildHead and respond have filled.
 func (x *exchange) flush() error {
-	err := x.write(x.c.out)
-	if cap(x.c.out) > 16<<10 {
-		x.c.out = nil
+	err := x.write(x.conn.writeBuf)
+	if cap(x.conn.writeBuf) > 16<<10 {
+		x.conn.writeBuf = nil
 	}
 	return err
 }
 
-// write sends bytes of the answer; a client that does not take them in time
-// loses its connection.
+// write sends bytes of the response. A client that does not accept them within
+// the write stall timeout is disconnected.
 func (x *exchange) write(p []byte) error {
-	x.begun = true
-	x.c.nc.SetWriteDeadline(time.Now().Add(config.MS(x.s.cfg.Timeouts.WriteStallMS)))
-	return x.wrote(x.c.nc.Write(p))
+	x.responseStarted = true
+	x.conn.netConn.SetWriteDeadline(time.Now().Add(config.MS(x.server.cfg.Timeouts.WriteStallMS)))
+	return x.recordWrite(x.conn.netConn.Write(p))
 }
 
-func (x *exchange) wrote(n int, err error) error {
-	x.sent += int64(n)
+// recordWrite counts n sent bytes and converts a write error to errClientGone.
+func (x *exchange) recordWrite(n int, err error) error {
+	x.bytesSent += int64(n)
 	if err != nil {
-		x.close = true
-		return errGone
+		x.closeConn = true
+		return errClientGone
 	}
 	return nil
 }
 
-// writeParts sends several slices at once.
-func (x *exchange) writeParts(parts net.Buffers) error {
-	x.begun = true
-	x.c.nc.SetWriteDeadline(time.Now().Add(config.MS(x.s.cfg.Timeouts.WriteStallMS)))
-	n, err := parts.WriteTo(x.c.nc)
-	return x.wrote(int(n), err)
+// writeBuffers sends several buffers in one call.
+func (x *exchange) writeBuffers(buffers net.Buffers) error {
+	x.responseStarted = true
+	x.conn.netConn.SetWriteDeadline(time.Now().Add(config.MS(x.server.cfg.Timeouts.WriteStallMS)))
+	n, err := buffers.WriteTo(x.conn.netConn)
+	return x.recordWrite(int(n), err)
 }
 
-// patience is for how long a brick's answer waits on a client that takes none
-// of it, before the rest is kept so that the brick is free.
-const patience = 20 * time.Millisecond
+// partialWriteTimeout is how long a brick's response waits for a client that
+// accepts no data, before the rest is spooled to free the brick.
+const partialWriteTimeout = 20 * time.Millisecond
 
-// writeSome sends what the client takes without a long wait, and returns how
-// much that was.
-func (x *exchange) writeSome(p []byte) (int, error) {
-	x.begun = true
-	x.c.nc.SetWriteDeadline(time.Now().Add(patience))
-	n, err := x.c.nc.Write(p)
+// writePartial sends what the client accepts within partialWriteTimeout and
+// returns the number of bytes sent.
+func (x *exchange) writePartial(p []byte) (int, error) {
+	x.responseStarted = true
+	x.conn.netConn.SetWriteDeadline(time.Now().Add(partialWriteTimeout))
+	n, err := x.conn.netConn.Write(p)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		x.sent += int64(n)
+		x.bytesSent += int64(n)
 		return n, nil
 	}
-	return n, x.wrote(n, err)
+	return n, x.recordWrite(n, err)
 }
 
-// proceed tells a client that waits for it to send the body.
-func (x *exchange) proceed() error {
-	if x.asked || !x.c.req.Expect100 || x.c.in.Buffered() > 0 {
-		x.asked = true
+// sendContinue sends 100 Continue if the client waits for it before it sends
+// the body.
+func (x *exchange) sendContinue() error {
+	if x.continueSettled || !x.conn.req.Expect100 || x.conn.reader.Buffered() > 0 {
+		x.continueSettled = true
 		return nil
 	}
-	x.asked = true
-	x.c.nc.SetWriteDeadline(time.Now().Add(config.MS(x.s.cfg.Timeouts.WriteStallMS)))
-	_, err := x.c.nc.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	x.continueSettled = true
+	x.conn.netConn.SetWriteDeadline(time.Now().Add(config.MS(x.server.cfg.Timeouts.WriteStallMS)))
+	_, err := x.conn.netConn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	if err != nil {
-		x.close = true
-		return errGone
+		x.closeConn = true
+		return errClientGone
 	}
 	return nil
 }
--- a/internal/front/s3/list.go
+++ b/internal/front/s3/list.go
@@ -11,52 +11,59 @@
 	"arrowwalk/internal/front/s3/sigv4"
 )
 
+// sortedKeys returns the keys of m in order.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// listing is what the two versions of ListObjects, and ListMultipartUploads,
-// ask for.
-type listing struct {
+// listParams holds the parameters that ListObjects, ListObjectsV2, ListParts
+// and ListMultipartUploads share.
+type listParams struct {
 	prefix, delimiter string
-	most              int
-	encoded           bool // names are to be percent-encoded
+	maxItems          int
+	urlEncode         bool // percent-encode names in the result
 }
 
-const keysMost = 1000 // in a page, as the specification has it
+// maxListItems is the page size limit of the S3 specification.
+const maxListItems = 1000
 
-func (x *exchange) listing(most string) (listing, error) {
-	l := listing{prefix: x.query.Get("prefix"), delimiter: x.query.Get("delimiter"), most: keysMost}
-	if text, ok := x.query.Lookup(most); ok {
-		n, err := strconv.Atoi(text)
+// parseListParams parses the shared parameters; maxParam is the name of the
+// one that limits the page size.
+func (x *exchange) parseListParams(maxParam string) (listParams, error) {
+	params := listParams{prefix: x.query.Get("prefix"), delimiter: x.query.Get("delimiter"), maxItems: maxListItems}
+	if value, ok := x.query.Lookup(maxParam); ok {
+		n, err := strconv.Atoi(value)
 		if err != nil || n < 0 {
-			return l, refuse(400, "InvalidArgument", "Argument %s must be an integer between 0 and 2147483647.", most)
+			return params, newAPIError(400, "InvalidArgument", "Argument %s must be an integer between 0 and 2147483647.", maxParam)
 		}
-		l.most = min(n, keysMost)
+		params.maxItems = min(n, maxListItems)
 	}
 	switch encoding := x.query.Get("encoding-type"); encoding {
 	case "":
 	case "url":
-		l.encoded = true
+		params.urlEncode = true
 	default:
-		return l, refuse(400, "InvalidArgument", "Invalid Encoding Method specified in Request.")
+		return params, newAPIError(400, "InvalidArgument", "Invalid Encoding Method specified in Request.")
 	}
-	return l, nil
+	return params, nil
 }
 
-func (l *listing) text(s string) string {
-	if l.encoded {
-		return string(sigv4.AppendPercentEncoded(nil, s, true))
+// encodeName returns a name as it appears in the result.
+func (l *listParams) encodeName(name string) string {
+	if l.urlEncode {
+		return string(sigv4.AppendPercentEncoded(nil, name, true))
 	}
-	return s
+	return name
 }
 
-func (l *listing) encodingType() string {
-	if l.encoded {
+// encodingType returns the value of the EncodingType element.
+func (l *listParams) encodingType() string {
+	if l.urlEncode {
 		return "url"
 	}
 	return ""
 }
 
-type listResult struct {
+// listObjectsResult is the XML body of ListObjects and ListObjectsV2.
+type listObjectsResult struct {
 	XMLName               xml.Name `xml:"http://s3.amazonaws.com/doc/2006-03-01/ ListBucketResult"`
 	Name                  string
 	Prefix                string
@@ -74,6 +81,7 @@
 	CommonPrefixes        []commonPrefix
 }
 
+// listedObject is the XML element of one object.
 type listedObject struct {
 	Key          string
 	LastModified string
@@ -83,102 +91,104 @@
 	Owner        *owner `xml:",omitempty"`
 }
 
+// commonPrefix is the XML element of a group of keys up to a delimiter.
 type commonPrefix struct{ Prefix string }
 
-// listObjects serves ListObjects in both its versions.
+// listObjects serves ListObjects and ListObjectsV2.
 func (x *exchange) listObjects() error {
-	if err := x.noBody(); err != nil {
+	if err := x.checkEmptyBody(); err != nil {
 		return err
 	}
-	l, err := x.listing("max-keys")
+	params, err := x.parseListParams("max-keys")
 	if err != nil {
 		return err
 	}
-	if err := x.needBucket(); err != nil {
+	if err := x.requireBucket(); err != nil {
 		return err
 	}
-	second := false
+	isV2 := false
 	switch x.query.Get("list-type") {
 	case "":
 	case "2":
-		second = true
+		isV2 = true
 	default:
-		return refuse(400, "InvalidArgument", "Invalid list-type.")
+		return newAPIError(400, "InvalidArgument", "Invalid list-type.")
 	}
-	out := &listResult{Name: x.bucket, Prefix: l.text(l.prefix), MaxKeys: l.most, Delimiter: l.text(l.delimiter), EncodingType: l.encodingType()}
-	after, err := x.listStart(out, &l, second)
+	result := &listObjectsResult{Name: x.bucket, Prefix: params.encodeName(params.prefix), MaxKeys: params.maxItems, Delimiter: params.encodeName(params.delimiter), EncodingType: params.encodingType()}
+	after, err := x.pageStart(result, &params, isV2)
 	if err != nil {
 		return err
 	}
-	last, err := x.fillPage(out, &l, after, second && x.query.Get("fetch-owner") != "true")
+	last, err := x.fillPage(result, &params, after, isV2 && x.query.Get("fetch-owner") != "true")
 	if err != nil {
 		return err
 	}
-	if second {
-		count := len(out.Contents) + len(out.CommonPrefixes)
-		out.KeyCount = &count
-		if out.IsTruncated {
-			out.NextContinuationToken = base64.URLEncoding.EncodeToString([]byte(last))
+	if isV2 {
+		count := len(result.Contents) + len(result.CommonPrefixes)
+		result.KeyCount = &count
+		if result.IsTruncated {
+			result.NextContinuationToken = base64.URLEncoding.EncodeToString([]byte(last))
 		}
-	} else if out.IsTruncated && l.delimiter != "" {
-		out.NextMarker = l.text(last)
+	} else if result.IsTruncated && params.delimiter != "" {
+		result.NextMarker = params.encodeName(last)
 	}
-	return x.answerXML(200, out)
+	return x.respondXML(200, result)
 }
 
-// listStart returns the key after which the page begins.
-func (x *exchange) listStart(out *listResult, l *listing, second bool) (string, error) {
-	if !second {
+// pageStart returns the key after which the page begins, and echoes the
+// parameters in the result.
+func (x *exchange) pageStart(result *listObjectsResult, params *listParams, isV2 bool) (string, error) {
+	if !isV2 {
 		marker := x.query.Get("marker")
-		text := l.text(marker)
-		out.Marker = &text
+		encoded := params.encodeName(marker)
+		result.Marker = &encoded
 		return marker, nil
 	}
 	after := x.query.Get("start-after")
-	out.StartAfter = l.text(after)
+	result.StartAfter = params.encodeName(after)
 	token, ok := x.query.Lookup("continuation-token")
 	if !ok {
 		return after, nil
 	}
 	key, err := base64.URLEncoding.DecodeString(token)
 	if err != nil {
-		return "", refuse(400, "InvalidArgument", "The continuation token provided is incorrect.")
+		return "", newAPIError(400, "InvalidArgument", "The continuation token provided is incorrect.")
 	}
-	out.ContinuationToken = token
+	result.ContinuationToken = token
 	return string(key), nil
 }
 
-// fillPage reads a page of keys and returns the last of them.
-func (x *exchange) fillPage(out *listResult, l *listing, after string, anonymous bool) (string, error) {
-	if l.most == 0 {
+// fillPage adds a page of keys to the result and returns the last one.
+func (x *exchange) fillPage(result *listObjectsResult, params *listParams, after string, omitOwner bool) (string, error) {
+	if params.maxItems == 0 {
 		return "", nil
 	}
-	lead := x.bucket + "/"
-	list := brick.ListQuery{Prefix: lead + l.prefix, Delimiter: l.delimiter, MaxItems: l.most}
+	bucketPrefix := x.bucket + "/"
+	list := brick.ListQuery{Prefix: bucketPrefix + params.prefix, Delimiter: params.delimiter, MaxItems: params.maxItems}
 	if after != "" {
-		list.After = lead + after
+		list.After = bucketPrefix + after
 	}
-	items, more, err := x.pagesEverywhere(brick.SpaceObjects, list)
+	items, more, err := x.listAllShards(brick.SpaceObjects, list)
 	if err != nil {
 		return "", err
 	}
-	out.IsTruncated = more
+	result.IsTruncated = more
 	last := ""
-	for _, it := range items {
-		last = string(it.Name[len(lead):])
-		if it.IsPrefix {
-			out.CommonPrefixes = append(out.CommonPrefixes, commonPrefix{l.text(last)})
+	for _, item := range items {
+		last = string(item.Name[len(bucketPrefix):])
+		if item.IsPrefix {
+			result.CommonPrefixes = append(result.CommonPrefixes, commonPrefix{params.encodeName(last)})
 			continue
 		}
-		rec, err := decodeRecord(it.Meta)
+		record, err := decodeRecord(item.Meta)
 		if err != nil {
 			return "", err
 		}
-		o := listedObject{Key: l.text(last), LastModified: isoTime(rec.Time), ETag: quote(rec.ETag), Size: rec.Size, StorageClass: "STANDARD"}
-		if !anonymous {
-			o.Owner = &ours
+		object := listedObject{Key: params.encodeName(last), LastModified: formatISOTime(record.ModifiedMS), ETag: quoteETag(record.ETag), Size: record.Size, StorageClass: "STANDARD"}
+		if !omitOwner {
+			object.Owner = &defaultOwner
 		}
-		out.Contents = append(out.Contents, o)
+		result.Contents = append(result.Contents, object)
 	}
 	return last, nil
 }
--- a/internal/front/s3/server.go
+++ b/internal/front/s3/server.go
@@ -24,45 +24,47 @@
 	"arrowwalk/internal/spool"
 )
 
-// Options of a Server. The caller keeps Host, Pool and Spool, and closes them
-// after Shutdown.
+// Options configures a Server. The caller owns Host, Pool and Spool, and
+// closes them after Shutdown.
 type Options struct {
 	Config  *config.Config
 	Host    *host.Host
 	Pool    *brick.Pool
 	Spool   *spool.Pool
-	Secrets map[string]string // access key to secret
+	Secrets map[string]string // secret keys by access key
 	Log     *slog.Logger
-	Now     func() time.Time // wall clock for signatures; nil: time.Now
-	// OnObservation is told what attempts showed of bricks, and Ended how tasks of
-	// collections ended; nil: nobody is.
+	Now     func() time.Time // wall clock for signatures; nil means time.Now
+	// OnObservation is called with what each attempt revealed about its brick, and
+	// OnTaskEnd with the result of each task of a bucket. Both may be nil.
 	OnObservation func(attempts.Observation)
 	OnTaskEnd     func(bucket string, plan, shard int, end host.TaskStatus)
-	// NotReadyReason says why nothing can be served, or ""; nil: it always can.
+	// NotReadyReason returns why no request can be served, or "" if requests can
+	// be served. If it is nil, requests are always served.
 	NotReadyReason func() string
-	// IgnoreSocketAge takes what is found after a stall for fresh; for proofs that must
-	// fail.
+	// IgnoreSocketAge treats bytes that are found after a stall as new. Only for
+	// proofs that must fail.
 	IgnoreSocketAge bool
-	// AcceptAnyBrick lets any brick answer for another; for proofs that must fail.
+	// AcceptAnyBrick accepts a response from a brick other than the one addressed.
+	// Only for proofs that must fail.
 	AcceptAnyBrick bool
 }
 
-// Server is the object API on one listener.
+// Server serves the object API on one listener.
 type Server struct {
-	opt      Options
-	cfg      *config.Config
-	log      *slog.Logger
-	ln       net.Listener
-	verifier *sigv4.Verifier
-	slots    *placement.Map
-	sizes    *sizing.Estimator
-	buckets  bucketCache
-	janitor  *janitor
-	limits   http1.Limits
-	sequence atomic.Uint64
-	sender   attempts.Sender
-	longest  time.Duration // that a client may wait
-	stats    counters
+	opts          Options
+	cfg           *config.Config
+	log           *slog.Logger
+	listener      net.Listener
+	verifier      *sigv4.Verifier
+	shards        *placement.Map
+	sizeEstimator *sizing.Estimator
+	buckets       bucketCache
+	gc            *garbageCollector
+	headLimits    http1.Limits
+	requestSeq    atomic.Uint64
+	sender        attempts.Sender
+	maxClientWait time.Duration // longest time that a client waits for a response
+	stats         counters
 
 	mu      sync.Mutex
 	conns   map[*conn]struct{}
@@ -71,73 +73,75 @@
 	quit    chan struct{}
 }
 
-// counters are what the front counts.
+// counters holds the statistics of a Server. It is safe for concurrent use.
 type counters struct {
-	requests, refusedConns, badRequests, gone, cut atomic.Uint64
-	statuses                                       [6]atomic.Uint64 // by hundreds
-	conns                                          atomic.Int64
+	requests, refusedConns, badRequests, clientsGone, truncatedResponses atomic.Uint64
+	responsesByClass                                                     [6]atomic.Uint64 // by the first digit of the status
+	openConns                                                            atomic.Int64
 }
 
-// Stats are counts since the start, and the connections open now.
+// Stats holds counts since the start of the server and the number of open
+// connections.
 type Stats struct {
 	Requests, RefusedConns, BadRequests, ClientsGone, TruncatedResponses uint64
 	ResponsesByClass                                                     [6]uint64
 	OpenConns                                                            int64
 }
 
-// Stats returns the counts so far.
+// Stats returns the current statistics. It is safe for concurrent use.
 func (s *Server) Stats() Stats {
 	c := &s.stats
 	out := Stats{Requests: c.requests.Load(), RefusedConns: c.refusedConns.Load(), BadRequests: c.badRequests.Load(),
-		ClientsGone: c.gone.Load(), TruncatedResponses: c.cut.Load(), OpenConns: c.conns.Load()}
-	for i := range c.statuses {
-		out.ResponsesByClass[i] = c.statuses[i].Load()
+		ClientsGone: c.clientsGone.Load(), TruncatedResponses: c.truncatedResponses.Load(), OpenConns: c.openConns.Load()}
+	for i := range c.responsesByClass {
+		out.ResponsesByClass[i] = c.responsesByClass[i].Load()
 	}
 	return out
 }
 
-// Start serves ln until Shutdown.
-func Start(ln net.Listener, opt Options) (*Server, error) {
-	slots, err := opt.Config.Placement()
+// Start serves connections of listener until Shutdown, which closes it.
+func Start(listener net.Listener, opts Options) (*Server, error) {
+	shards, err := opts.Config.Placement()
 	if err != nil {
 		return nil, err
 	}
-	if opt.Log == nil {
-		opt.Log = slog.New(slog.DiscardHandler)
+	if opts.Log == nil {
+		opts.Log = slog.New(slog.DiscardHandler)
 	}
-	if opt.Now == nil {
-		opt.Now = time.Now
+	if opts.Now == nil {
+		opts.Now = time.Now
 	}
-	cfg := opt.Config
-	s := &Server{opt: opt, cfg: cfg, log: opt.Log, ln: ln, slots: slots, conns: map[*conn]struct{}{},
-		quit: make(chan struct{}), sizes: sizing.NewEstimator(64 << 10),
-		verifier: sigv4.NewVerifier(cfg.Region, config.MS(cfg.Timeouts.SkewMS), opt.Secrets),
-		limits:   http1.Limits{MaxLineBytes: min(16<<10, cfg.Bounds.HeaderBytes), MaxHeadBytes: cfg.Bounds.HeaderBytes, MaxFields: 200}}
-	s.sender = attempts.Sender{Pool: opt.Pool, Host: opt.Host, Config: cfg, Observe: opt.OnObservation, AcceptAnyBrick: opt.AcceptAnyBrick}
-	s.longest = s.sender.MaxTimeout()
+	cfg := opts.Config
+	s := &Server{opts: opts, cfg: cfg, log: opts.Log, listener: listener, shards: shards, conns: map[*conn]struct{}{},
+		quit: make(chan struct{}), sizeEstimator: sizing.NewEstimator(64 << 10),
+		verifier:   sigv4.NewVerifier(cfg.Region, config.MS(cfg.Timeouts.SkewMS), opts.Secrets),
+		headLimits: http1.Limits{MaxLineBytes: min(16<<10, cfg.Bounds.HeaderBytes), MaxHeadBytes: cfg.Bounds.HeaderBytes, MaxFields: 200}}
+	s.sender = attempts.Sender{Pool: opts.Pool, Host: opts.Host, Config: cfg, Observe: opts.OnObservation, AcceptAnyBrick: opts.AcceptAnyBrick}
+	s.maxClientWait = s.sender.MaxTimeout()
 	s.buckets.init(cfg)
-	s.janitor = startJanitor(s)
+	s.gc = startGarbageCollector(s)
 	s.wg.Add(2)
-	go s.accept()
-	go s.watch()
+	go s.acceptLoop()
+	go s.watchClients()
 	return s, nil
 }
 
 // Addr returns the address that the server listens on.
-func (s *Server) Addr() string { return s.ln.Addr().String() }
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Shutdown stops accepting, lets the requests that were taken get their
-// answers, and closes the connections; when ctx ends it cuts what is left.
+// Shutdown stops accepting connections, waits until the requests in progress
+// are answered, and closes the connections. When ctx ends, it closes the
+// remaining connections at once.
 func (s *Server) Shutdown(ctx context.Context) {
 	if s.closing.Swap(true) {
 		return
 	}
-	s.ln.Close()
-	s.eachConn(func(c *conn) { c.wakeIdle() })
+	s.listener.Close()
+	s.forEachConn(func(c *conn) { c.interruptIdle() })
 	done := make(chan struct{})
 	go func() {
-		s.waitConns(ctx)
-		s.janitor.stop(ctx)
+		s.waitForConns(ctx)
+		s.gc.stop(ctx)
 		close(s.quit)
 		s.wg.Wait()
 		close(done)
@@ -145,63 +149,67 @@
 	<-done
 }
 
-// waitConns waits for the connections to end, and cuts them when ctx ends.
-func (s *Server) waitConns(ctx context.Context) {
-	tick := time.NewTicker(5 * time.Millisecond)
-	defer tick.Stop()
-	for s.stats.conns.Load() > 0 {
+// waitForConns waits until all connections have ended. When ctx ends, it
+// closes the remaining ones.
+func (s *Server) waitForConns(ctx context.Context) {
+	ticker := time.NewTicker(5 * time.Millisecond)
+	defer ticker.Stop()
+	for s.stats.openConns.Load() > 0 {
 		select {
-		case <-tick.C:
-			s.eachConn(func(c *conn) { c.wakeIdle() })
+		case <-ticker.C:
+			s.forEachConn(func(c *conn) { c.interruptIdle() })
 		case <-ctx.Done():
-			s.eachConn(func(c *conn) {
-				c.abandon()
-				c.nc.Close()
+			s.forEachConn(func(c *conn) {
+				c.abandonTasks()
+				c.netConn.Close()
 			})
-			<-tick.C
+			<-ticker.C
 		}
 	}
 }
 
-func (s *Server) eachConn(do func(*conn)) {
+// forEachConn calls visit for each open connection while it holds s.mu.
+func (s *Server) forEachConn(visit func(*conn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		do(c)
+		visit(c)
 	}
 }
 
-func (s *Server) accept() {
+// acceptLoop accepts connections until the listener is closed.
+func (s *Server) acceptLoop() {
 	defer s.wg.Done()
 	for {
-		nc, err := s.ln.Accept()
+		netConn, err := s.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
 			s.log.Warn("accept failed", "error", err)
 			select {
-			case <-time.After(10 * time.Millisecond): // out of descriptors: let some close
+			case <-time.After(10 * time.Millisecond): // probably out of file descriptors; wait until some are closed
 			case <-s.quit:
 				return
 			}
 			continue
 		}
-		s.open(nc)
+		s.startConn(netConn)
 	}
 }
 
-// open serves a connection, or refuses it where there are too many.
-func (s *Server) open(nc net.Conn) {
-	if s.stats.conns.Add(1) > int64(s.cfg.Bounds.Connections) || s.closing.Load() {
-		s.stats.conns.Add(-1)
+// startConn starts serving a connection, or responds with 503 and closes it if
+// the server is closing or has reached its connection limit.
+func (s *Server) startConn(netConn net.Conn) {
+	if s.stats.openConns.Add(1) > int64(s.cfg.Bounds.Connections) || s.closing.Load() {
+		s.stats.openConns.Add(-1)
 		s.stats.refusedConns.Add(1)
-		nc.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
-		nc.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
-		nc.Close()
+		netConn.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
+		netConn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
+		netConn.Close()
 		return
 	}
-	c := &conn{s: s, nc: nc, raw: sockstate.RawConn(nc)}
+	c := &conn{server: s, netConn: netConn, rawConn: sockstate.RawConn(netConn)}
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
 	s.mu.Unlock()
@@ -209,287 +217,304 @@
 	go c.serve()
 }
 
-// watchEvery is how often the server looks whether waiting clients have gone.
-const watchEvery = 50 * time.Millisecond
+// clientCheckInterval is the interval at which watchClients looks for
+// disconnected clients.
+const clientCheckInterval = 50 * time.Millisecond
 
-// watch looks whether the clients of waiting requests are still there: nobody
-// reads their connections meanwhile, so nobody else would see it.
-func (s *Server) watch() {
+// watchClients detects clients that disconnect while their requests wait for
+// the host. Nothing reads these connections meanwhile, so the disconnect would
+// otherwise go unnoticed.
+func (s *Server) watchClients() {
 	defer s.wg.Done()
-	tick := time.NewTicker(watchEvery)
-	defer tick.Stop()
+	ticker := time.NewTicker(clientCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-s.quit:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		var gone []*conn
-		s.eachConn(func(c *conn) {
-			if c.waits() && sockstate.AtEOF(c.raw) {
-				gone = append(gone, c)
+		var disconnected []*conn
+		s.forEachConn(func(c *conn) {
+			if c.needsClientCheck() && sockstate.AtEOF(c.rawConn) {
+				disconnected = append(disconnected, c)
 			}
 		})
-		for _, c := range gone {
-			c.abandon()
+		for _, c := range disconnected {
+			c.abandonTasks()
 		}
 	}
 }
 
-// conn is one client's connection.
+// conn is a client connection.
 type conn struct {
-	s    *Server
-	nc   net.Conn
-	raw  syscall.RawConn
-	in   *bufio.Reader // nil while idle
-	out  []byte
-	req  http1.Request
-	body http1.Body
-
-	empty time.Time // the connection's socket was seen empty, or nearly so
-
-	mu      sync.Mutex
-	idle    bool
-	left    bool                     // the client has gone
-	waiting map[*host.Task]time.Time // tasks that wait for the host
-	first   *host.Task               // the only one, in most requests
-	since   time.Time                // of first
+	server   *Server
+	netConn  net.Conn
+	rawConn  syscall.RawConn
+	reader   *bufio.Reader // nil while idle
+	writeBuf []byte
+	req      http1.Request
+	body     http1.Body
+
+	socketEmptyAt time.Time // when the socket was last seen empty, approximately
+
+	mu             sync.Mutex
+	idle           bool
+	clientGone     bool                     // the client has disconnected
+	otherTasks     map[*host.Task]time.Time // further waiting tasks and when they began to wait
+	firstTask      *host.Task               // first waiting task, for most requests the only one
+	firstTaskSince time.Time                // when firstTask began to wait
 }
 
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 8<<10) }}
+// readerPool holds the read buffers that idle connections release.
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 8<<10) }}
 
+// serve serves the requests of the connection until it ends.
 func (c *conn) serve() {
-	defer c.s.wg.Done()
+	defer c.server.wg.Done()
 	defer func() {
-		c.release()
-		c.nc.Close()
-		c.s.mu.Lock()
-		delete(c.s.conns, c)
-		c.s.mu.Unlock()
-		c.s.stats.conns.Add(-1)
+		c.releaseBuffers()
+		c.netConn.Close()
+		c.server.mu.Lock()
+		delete(c.server.conns, c)
+		c.server.mu.Unlock()
+		c.server.stats.openConns.Add(-1)
 	}()
-	for c.awaitRequest() && c.serveOne() {
+	for c.waitForRequest() && c.serveRequest() {
 	}
 }
 
-// release gives the reader back while nothing is read.
-func (c *conn) release() {
-	if c.in != nil {
-		c.in.Reset(nil)
-		readers.Put(c.in)
-		c.in = nil
+// releaseBuffers returns the reader to the pool and frees the other buffers of
+// an idle connection.
+func (c *conn) releaseBuffers() {
+	if c.reader != nil {
+		c.reader.Reset(nil)
+		readerPool.Put(c.reader)
+		c.reader = nil
 	}
-	c.out = nil
+	c.writeBuf = nil
 	c.req = http1.Request{}
 }
 
-// awaitRequest waits, without a buffer, for the first byte of a request.
-func (c *conn) awaitRequest() bool {
-	if c.in != nil && c.in.Buffered() > 0 {
-		return !c.s.closing.Load()
+// waitForRequest waits for the first byte of a request. An idle connection
+// holds no buffers. It returns false if the connection is to be closed.
+func (c *conn) waitForRequest() bool {
+	if c.reader != nil && c.reader.Buffered() > 0 {
+		return !c.server.closing.Load()
 	}
-	c.empty = time.Now()
+	c.socketEmptyAt = time.Now()
 	c.mu.Lock()
 	c.idle = true
-	c.nc.SetReadDeadline(time.Now().Add(config.MS(c.s.cfg.Timeouts.IdleMS)))
-	closing := c.s.closing.Load()
+	c.netConn.SetReadDeadline(time.Now().Add(config.MS(c.server.cfg.Timeouts.IdleMS)))
+	closing := c.server.closing.Load()
 	c.mu.Unlock()
 	if closing {
 		return false
 	}
-	if c.raw != nil {
-		if err := c.awaitByte(); err != nil {
+	if c.rawConn != nil {
+		if err := c.waitForByte(); err != nil {
 			return false
 		}
 	}
 	c.mu.Lock()
 	c.idle = false
-	c.nc.SetReadDeadline(time.Now().Add(config.MS(c.s.cfg.Timeouts.HeaderMS)))
+	c.netConn.SetReadDeadline(time.Now().Add(config.MS(c.server.cfg.Timeouts.HeaderMS)))
 	c.mu.Unlock()
-	if c.in == nil {
-		c.in = readers.Get().(*bufio.Reader)
-		c.in.Reset(patient{c})
+	if c.reader == nil {
+		c.reader = readerPool.Get().(*bufio.Reader)
+		c.reader.Reset(stallTolerantReader{c})
 	}
 	return true
 }
 
-// releaseAfter is for how long a connection keeps its buffers between requests.
-const releaseAfter = 100 * time.Millisecond
+// bufferReleaseDelay is how long an idle connection keeps its buffers after a
+// request.
+const bufferReleaseDelay = 100 * time.Millisecond
 
-// awaitByte waits for a byte to read. A connection that stays idle gives its
-// buffers back first.
-func (c *conn) awaitByte() error {
-	if c.in != nil {
+// waitForByte waits until a byte can be read. A connection that stays idle
+// releases its buffers after bufferReleaseDelay.
+func (c *conn) waitForByte() error {
+	if c.reader != nil {
 		c.mu.Lock()
-		if !c.s.closing.Load() {
-			c.nc.SetReadDeadline(time.Now().Add(releaseAfter))
+		if !c.server.closing.Load() {
+			c.netConn.SetReadDeadline(time.Now().Add(bufferReleaseDelay))
 		}
 		c.mu.Unlock()
-		_, err := c.in.Peek(1)
-		if err == nil || !isTimeout(err) || c.s.closing.Load() {
+		_, err := c.reader.Peek(1)
+		if err == nil || !isTimeout(err) || c.server.closing.Load() {
 			return err
 		}
-		c.release()
+		c.releaseBuffers()
 		c.mu.Lock()
-		c.nc.SetReadDeadline(time.Now().Add(config.MS(c.s.cfg.Timeouts.IdleMS)))
+		c.netConn.SetReadDeadline(time.Now().Add(config.MS(c.server.cfg.Timeouts.IdleMS)))
 		c.mu.Unlock()
-		if c.s.closing.Load() {
+		if c.server.closing.Load() {
 			return net.ErrClosed
 		}
 	}
-	return sockstate.WaitReadable(c.raw)
+	return sockstate.WaitReadable(c.rawConn)
 }
 
-// patient reads a connection. Where its time is up and bytes are there all the
-// same, nobody looked in time: a host that stood still, or a busy one, does not
-// take that for the client's silence.
-type patient struct{ c *conn }
+// stallTolerantReader reads from a connection. If the read deadline passes
+// although bytes are available, the host was stalled or busy and did not read
+// in time; the reader then tries again instead of reporting a timeout of the
+// client.
+type stallTolerantReader struct{ conn *conn }
 
-// lookAgain is for how long bytes that are there are waited for.
-const lookAgain = 50 * time.Millisecond
+// lateReadTimeout bounds the second read after a deadline that passed while
+// bytes were available.
+const lateReadTimeout = 50 * time.Millisecond
 
-// Read reads what has come.
-func (p patient) Read(b []byte) (int, error) {
-	n, err := p.c.nc.Read(b)
-	if n > 0 || !isTimeout(err) || p.c.raw == nil || p.c.s.closing.Load() || !sockstate.Readable(p.c.raw) {
+// Read implements io.Reader.
+func (r stallTolerantReader) Read(b []byte) (int, error) {
+	n, err := r.conn.netConn.Read(b)
+	if n > 0 || !isTimeout(err) || r.conn.rawConn == nil || r.conn.server.closing.Load() || !sockstate.Readable(r.conn.rawConn) {
 		return n, err
 	}
-	p.c.nc.SetReadDeadline(time.Now().Add(lookAgain))
-	return p.c.nc.Read(b)
+	r.conn.netConn.SetReadDeadline(time.Now().Add(lateReadTimeout))
+	return r.conn.netConn.Read(b)
 }
 
-// wakeIdle ends an idle connection's wait when the server closes.
-func (c *conn) wakeIdle() {
+// interruptIdle ends the wait of an idle connection when the server closes.
+func (c *conn) interruptIdle() {
 	c.mu.Lock()
 	if c.idle {
-		c.nc.SetReadDeadline(time.Unix(1, 0))
+		c.netConn.SetReadDeadline(time.Unix(1, 0))
 	}
 	c.mu.Unlock()
 }
 
+// isTimeout reports whether err is a network timeout.
 func isTimeout(err error) bool {
 	var ne net.Error
 	return errors.As(err, &ne) && ne.Timeout()
 }
 
-// enter notes that a task waits for the host; false: the client has gone.
-func (c *conn) enter(t *host.Task) bool {
+// addTask registers a task that waits for the host. It returns false if the
+// client has disconnected.
+func (c *conn) addTask(t *host.Task) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.left {
+	if c.clientGone {
 		return false
 	}
-	if c.first == nil {
-		c.first, c.since = t, time.Now()
+	if c.firstTask == nil {
+		c.firstTask, c.firstTaskSince = t, time.Now()
 		return true
 	}
-	if c.waiting == nil {
-		c.waiting = map[*host.Task]time.Time{}
+	if c.otherTasks == nil {
+		c.otherTasks = map[*host.Task]time.Time{}
 	}
-	c.waiting[t] = time.Now()
+	c.otherTasks[t] = time.Now()
 	return true
 }
 
-func (c *conn) leave(t *host.Task) {
+// removeTask unregisters a task that no longer waits for the host.
+func (c *conn) removeTask(t *host.Task) {
 	c.mu.Lock()
-	if c.first == t {
-		c.first = nil
+	if c.firstTask == t {
+		c.firstTask = nil
 	} else {
-		delete(c.waiting, t)
+		delete(c.otherTasks, t)
 	}
 	c.mu.Unlock()
 }
 
-// waits tells whether a task has waited long enough for a look at the client.
-func (c *conn) waits() bool {
+// needsClientCheck reports whether a task has waited long enough to check that
+// the client is still connected.
+func (c *conn) needsClientCheck() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.first != nil && time.Since(c.since) > watchEvery || len(c.waiting) > 0
+	return c.firstTask != nil && time.Since(c.firstTaskSince) > clientCheckInterval || len(c.otherTasks) > 0
 }
 
-// abandon tells the host that the client has gone.
-func (c *conn) abandon() {
+// abandonTasks tells the host that the client has disconnected.
+func (c *conn) abandonTasks() {
 	c.mu.Lock()
-	c.left = true
+	c.clientGone = true
 	tasks := make([]*host.Task, 0, 1)
-	if c.first != nil {
-		tasks = append(tasks, c.first)
+	if c.firstTask != nil {
+		tasks = append(tasks, c.firstTask)
 	}
-	for t := range c.waiting {
+	for t := range c.otherTasks {
 		tasks = append(tasks, t)
 	}
 	c.mu.Unlock()
 	for _, t := range tasks {
-		c.s.opt.Host.Abandon(t)
+		c.server.opts.Host.Abandon(t)
 	}
 }
 
-// serveOne reads and answers one request; false: the connection ends.
-func (c *conn) serveOne() bool {
-	c.s.opt.Host.Heartbeat()
-	heads := http1.NewReader(c.in, c.s.limits)
-	if err := heads.ReadRequest(&c.req); err != nil {
-		c.refuseHead(err)
+// serveRequest reads one request and responds to it. It returns false if the
+// connection is to be closed.
+func (c *conn) serveRequest() bool {
+	c.server.opts.Host.Heartbeat()
+	headReader := http1.NewReader(c.reader, c.server.headLimits)
+	if err := headReader.ReadRequest(&c.req); err != nil {
+		c.rejectHead(err)
 		return false
 	}
-	c.s.stats.requests.Add(1)
-	c.body.Reset(c.in, c.req.Framing)
+	c.server.stats.requests.Add(1)
+	c.body.Reset(c.reader, c.req.Framing)
 	x := newExchange(c)
-	x.begin()
+	x.recordHeadArrival()
 	x.handle()
-	for _, t := range x.late {
-		c.s.opt.Host.ResponseSent(t)
+	for _, t := range x.lateTasks {
+		c.server.opts.Host.ResponseSent(t)
 	}
-	if x.close || c.req.Close || c.s.closing.Load() {
-		c.linger()
+	if x.closeConn || c.req.Close || c.server.closing.Load() {
+		c.lingeringClose()
 		return false
 	}
 	if !c.body.Done() {
-		c.nc.SetReadDeadline(time.Now().Add(time.Second))
-		return c.body.Drain(drainMost)
+		c.netConn.SetReadDeadline(time.Now().Add(time.Second))
+		return c.body.Drain(maxDrainBytes)
 	}
 	return true
 }
 
 const (
-	// drainMost is how much of an unread body is read so that the connection
-	// can go on.
-	drainMost = 256 << 10
-	// lingerMost and lingerFor bound what is read of a client that still sends
-	// after its answer, so that closing does not reset the connection under it.
-	lingerMost = 64 << 20
-	lingerFor  = 2 * time.Second
+	// maxDrainBytes is how much of an unread request body is discarded so that the
+	// connection can be reused.
+	maxDrainBytes = 256 << 10
+	// maxLingerBytes and lingerTimeout bound a lingering close. A client that
+	// still sends after its response must be read from, because closing with
+	// unread data resets the connection and the client may lose the response.
+	maxLingerBytes = 64 << 20
+	lingerTimeout  = 2 * time.Second
 )
 
-// refuseHead answers what is no request, if there is anybody to answer.
-func (c *conn) refuseHead(err error) {
+// rejectHead responds to an invalid or late request head. It does nothing if
+// the connection failed or was closed.
+func (c *conn) rejectHead(err error) {
 	status := http1.StatusOf(err)
 	if status == 0 {
-		if !isTimeout(err) || c.in.Buffered() == 0 && errors.Is(err, io.EOF) {
+		if !isTimeout(err) || c.reader.Buffered() == 0 && errors.Is(err, io.EOF) {
 			return
 		}
 		status = 408
 	}
-	c.s.stats.badRequests.Add(1)
+	c.server.stats.badRequests.Add(1)
 	x := newExchange(c)
-	x.close = true
+	x.closeConn = true
 	code := map[int]string{408: "RequestTimeout", 414: "InvalidURI", 431: "RequestHeaderSectionTooLarge", 501: "NotImplemented"}[status]
 	if code == "" {
 		code = "InvalidRequest"
 	}
-	x.finish(&apiError{status: status, code: code, message: err.Error()})
-	c.linger()
+	x.respondError(&apiError{status: status, code: code, message: err.Error()})
+	c.lingeringClose()
 }
 
-// linger reads what the client still sends for a while, so that closing does
-// not reset the connection under the answer.
-func (c *conn) linger() {
-	if c.body.Done() && c.in.Buffered() == 0 {
+// lingeringClose closes the write side and discards what the client still
+// sends, within bounds, so that closing does not reset the connection before
+// the client has read the response.
+func (c *conn) lingeringClose() {
+	if c.body.Done() && c.reader.Buffered() == 0 {
 		return
 	}
-	if tcp, ok := c.nc.(*net.TCPConn); ok {
+	if tcp, ok := c.netConn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
 	}
-	c.nc.SetReadDeadline(time.Now().Add(lingerFor))
-	io.CopyN(io.Discard, c.in, lingerMost)
+	c.netConn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	io.CopyN(io.Discard, c.reader, maxLingerBytes)
 }
